--- a/src/briarseam/admission/crash_calls.py
+++ b/src/briarseam/admission/crash_calls.py
@@ -10,14 +10,14 @@
 
 from briarseam.admission import condemnation_records as records
 from briarseam.admission import crash_messages as messages
-from briarseam.admission import trials
+from briarseam.admission import trial_coordinator
 from briarseam.wire import connection
 
 if typing.TYPE_CHECKING:
     from briarseam.admission import agents as all_agents
     from briarseam.admission import evidence
-    from briarseam.admission import holdings
     from briarseam.admission import owners
+    from briarseam.admission import prompt_holds
     from briarseam.wire import client as wire_client
     from briarseam.wire import codec
     from briarseam.wire import server
@@ -29,7 +29,7 @@
 ASK_S = 0.3
 AVOID_S = 2.0
 # A trial is written to the log before it is granted.
-TRIAL_SLACK_S = trials.WRITE_S + 2 * ASK_S
+TRIAL_SLACK_S = trial_coordinator.WRITE_S + 2 * ASK_S
 ASKED = 3
 MAX_RELEASES = 10_000
 # From an agent's address to its client.
@@ -53,8 +53,8 @@
         self,
         agents: all_agents.Agents,
         clients: Clients,
-        held: holdings.Holdings,
-        tried: trials.Trials,
+        held: prompt_holds.PromptHolds,
+        tried: trial_coordinator.TrialCoordinator,
     ) -> None:
         self.agents = agents
         self.clients = clients
--- a/src/briarseam/admission/absences.py
+++ b/src/briarseam/admission/entry_liveness.py
@@ -6,7 +6,7 @@
 import typing
 
 
-class Absences:
+class EntryLiveness:
     """Tells which entries had no connection for longer than a grace time.
 
     An entry whose connections were cut opens new ones at once; one that
--- a/src/briarseam/admission/idempotency.py
+++ b/src/briarseam/admission/idempotency.py
@@ -14,7 +14,7 @@
 
 from briarseam import repeating
 from briarseam import verdict
-from briarseam.admission import absences
+from briarseam.admission import entry_liveness
 from briarseam.admission import messages
 from briarseam.claims import messages as claims
 from briarseam.claims import records
@@ -108,7 +108,9 @@
         clock: typing.Callable[[], float] = time.monotonic,
     ) -> None:
         self.claims = claims
-        self.absences = absences.Absences(connected, GRACE_S, clock)
+        self.entry_liveness = entry_liveness.EntryLiveness(
+            connected, GRACE_S, clock
+        )
         self.clock = clock
         self.lock = threading.Lock()
         self.attempts: dict[str, Attempt] = {}
@@ -133,7 +135,7 @@
         now = self.clock()
         with self.lock:
             entries = {one.keyed.entry for one in self.attempts.values()}
-        gone = self.absences.gone(entries)
+        gone = self.entry_liveness.gone(entries)
         self.lose(
             lambda attempt: (
                 attempt.keyed.entry in gone or attempt.bound_at < now
--- a/src/briarseam/admission/locating.py
+++ b/src/briarseam/admission/locating.py
@@ -7,9 +7,9 @@
 
 from briarseam import verdict
 from briarseam.admission import answer_id
-from briarseam.admission import generations
 from briarseam.admission import messages
 from briarseam.admission import refusals
+from briarseam.admission import resume_counts
 from briarseam.wire import connection
 
 if typing.TYPE_CHECKING:
@@ -75,7 +75,7 @@
         self.key = key
         self.identify = identify
         self.is_running = is_running
-        self.generations = generations.Generations()
+        self.resume_counts = resume_counts.ResumeCounts()
 
     def register(self, router: server.Router, wrap: Wrap) -> None:
         """Answer the entries' and the other agents' messages."""
@@ -125,11 +125,13 @@
         reply = self.ask_home(found.home, message)
         if isinstance(reply, messages.ResumeCounted):
             return reply.generation
-        return generations.UNKNOWN
+        return resume_counts.UNKNOWN
 
     def resumed(self, message: messages.Resumed) -> messages.ResumeCounted:
         """Count a resume of an answer whose home this agent is."""
-        return messages.ResumeCounted(self.generations.resume(message.run_id))
+        return messages.ResumeCounted(
+            self.resume_counts.count_resume(message.run_id)
+        )
 
     def may_cancel(
         self, message: messages.MayCancel
@@ -146,7 +148,9 @@
         if found.home == self.homes.me:
             if not self.is_running(found.run_id):
                 return messages.CancelAnswered(False)
-            allowed = self.generations.cancel(found.run_id, message.generation)
+            allowed = self.resume_counts.cancel(
+                found.run_id, message.generation
+            )
             return messages.CancelAnswered(allowed)
         reply = self.ask_home(found.home, message)
         if isinstance(reply, messages.CancelAnswered):
--- a/src/briarseam/admission/orphans.py
+++ b/src/briarseam/admission/orphans.py
@@ -8,7 +8,7 @@
 import typing
 
 from briarseam import repeating
-from briarseam.admission import absences
+from briarseam.admission import entry_liveness
 from briarseam.admission import messages
 
 SWEEP_S = 0.25
@@ -50,7 +50,9 @@
         end: typing.Callable[[messages.RunEnded], typing.Any],
         clock: typing.Callable[[], float] = time.monotonic,
     ) -> None:
-        self.absences = absences.Absences(connected, GRACE_S, clock)
+        self.entry_liveness = entry_liveness.EntryLiveness(
+            connected, GRACE_S, clock
+        )
         self.end = end
         self.clock = clock
         self.granted: dict[str, Granted] = {}
@@ -81,7 +83,7 @@
         now = self.clock()
         with self.lock:
             runs = list(self.granted.values())
-        gone = self.absences.gone({run.entry for run in runs})
+        gone = self.entry_liveness.gone({run.entry for run in runs})
         for run in runs:
             if run.entry in gone or now - run.since >= BOUND_S:
                 self.end(ended(run))
--- a/src/briarseam/admission/holdings.py
+++ b/src/briarseam/admission/prompt_holds.py
@@ -31,7 +31,7 @@
     runs: dict[str, float] = dataclasses.field(default_factory=dict)
 
 
-class Holdings:
+class PromptHolds:
     """The prompts whose fingerprints this agent owns; thread-safe.
 
     Parameters
--- a/src/briarseam/admission/generations.py
+++ b/src/briarseam/admission/resume_counts.py
@@ -14,7 +14,7 @@
 UNKNOWN = -1
 
 
-class Generations:
+class ResumeCounts:
     """Resumes by run id; thread-safe and bounded."""
 
     def __init__(self, max_answers: int = MAX_ANSWERS) -> None:
@@ -27,7 +27,7 @@
         )
         self.lock = threading.Lock()
 
-    def resume(self, run_id: str) -> int | None:
+    def count_resume(self, run_id: str) -> int | None:
         """Count a resume; ``None`` when the run was given up for good."""
         with self.lock:
             if run_id in self.cancelled:
--- a/src/briarseam/admission/service.py
+++ b/src/briarseam/admission/service.py
@@ -6,7 +6,7 @@
 import typing
 
 from briarseam import verdict
-from briarseam.admission import guarded
+from briarseam.admission import guarded_placement
 from briarseam.admission import idempotency
 from briarseam.admission import locating
 from briarseam.admission import messages
@@ -171,7 +171,7 @@
         self.check_model(request.model)
         release = self.required_release(request, organisation)
         try:
-            return guarded.place(
+            return guarded_placement.place(
                 self.parts.guard, self.placer, organisation, request, release
             )
         except verdict.RefusalError as error:
--- a/src/briarseam/admission/trials.py
+++ b/src/briarseam/admission/trial_coordinator.py
@@ -46,7 +46,7 @@
         """
 
 
-class Trials:
+class TrialCoordinator:
     """Grants trials while this agent is their keeper; thread-safe.
 
     Parameters
--- a/src/briarseam/compose/crashes.py
+++ b/src/briarseam/compose/crashes.py
@@ -10,9 +10,9 @@
 from briarseam.admission import condemnation_log
 from briarseam.admission import crash_calls
 from briarseam.admission import crash_guard
-from briarseam.admission import holdings
 from briarseam.admission import owners
-from briarseam.admission import trials
+from briarseam.admission import prompt_holds
+from briarseam.admission import trial_coordinator
 from briarseam.configuration import teams
 from briarseam.endpoints import engine_start
 from briarseam.routing import state as routing
@@ -116,8 +116,8 @@
     calls = crash_calls.CrashCalls(
         agents.Agents(me, members),
         clients,
-        holdings.Holdings(),
-        trials.Trials(book, noted, engines),
+        prompt_holds.PromptHolds(),
+        trial_coordinator.TrialCoordinator(book, noted, engines),
     )
     guard = crash_guard.CrashGuard(
         crash_guard.GuardParts(
--- a/tests/admission/conftest.py
+++ b/tests/admission/conftest.py
@@ -3,7 +3,7 @@
 import pytest
 
 from briarseam.admission import condemnation
-from briarseam.admission import trials
+from briarseam.admission import trial_coordinator
 from tests.admission import crashes
 
 
@@ -28,5 +28,5 @@
 
 
 @pytest.fixture
-def tried(book, fake_log, endpoints) -> trials.Trials:
-    return trials.Trials(book, fake_log, endpoints)
+def tried(book, fake_log, endpoints) -> trial_coordinator.TrialCoordinator:
+    return trial_coordinator.TrialCoordinator(book, fake_log, endpoints)
--- a/tests/admission/test_crash_guard.py
+++ b/tests/admission/test_crash_guard.py
@@ -8,17 +8,17 @@
 from briarseam import verdict
 from briarseam.admission import condemnation
 from briarseam.admission import crash_guard
-from briarseam.admission import holdings
 from briarseam.admission import messages
-from briarseam.admission import trials
+from briarseam.admission import prompt_holds
+from briarseam.admission import trial_coordinator
 from tests.admission import crashes
 
 
 class FakeOthers:
     """This agent as the only one."""
 
-    def __init__(self, tried: trials.Trials) -> None:
-        self.held = holdings.Holdings()
+    def __init__(self, tried: trial_coordinator.TrialCoordinator) -> None:
+        self.held = prompt_holds.PromptHolds()
         self.tried = tried
         self.away = False
 
--- a/tests/admission/test_trials.py
+++ b/tests/admission/test_trial_coordinator.py
@@ -7,7 +7,7 @@
 from briarseam.admission import condemnation
 from briarseam.admission import condemnation_records as records
 from briarseam.admission import evidence
-from briarseam.admission import trials
+from briarseam.admission import trial_coordinator
 from tests.admission import crashes
 
 
@@ -59,7 +59,9 @@
     )
 
 
-def pass_first_trial(tried: trials.Trials, book: condemnation.Book) -> None:
+def pass_first_trial(
+    tried: trial_coordinator.TrialCoordinator, book: condemnation.Book
+) -> None:
     """Let a suspect get past where it was cut, at ``engine-1``."""
     book.merge(crashes.lost("engine-0"))
     book.merge(crashes.lost("engine-0", case=crashes.OTHER))
