--- a/src/briarseam/admission/condemnation.py
+++ b/src/briarseam/admission/condemnation.py
@@ -52,7 +52,7 @@
         When it ends by itself.
     """
 
-    losses: tuple[evidence.Lost, ...]
+    losses: tuple[evidence.EndpointLost, ...]
     until_ms: int
 
 
@@ -71,7 +71,7 @@
     def __init__(self, now_ms: typing.Callable[[], int]) -> None:
         self.now_ms = now_ms
         self.lock = threading.Lock()
-        self.losses: dict[str, dict[str, evidence.Lost]] = {}
+        self.losses: dict[str, dict[str, evidence.EndpointLost]] = {}
         self.cleared: dict[str, evidence.Cleared] = {}
         self.trials: dict[str, evidence.Trial] = {}
         self.passed: dict[str, evidence.TrialPassed] = {}
@@ -82,7 +82,7 @@
         """Take an item in; tell whether it was new."""
         with self.lock:
             match item:
-                case evidence.Lost():
+                case evidence.EndpointLost():
                     return self.merge_loss(item)
                 case evidence.Trial():
                     return put(self.trials, item.group, item)
@@ -96,7 +96,7 @@
                     ]
                     return any(fresh)
 
-    def merge_loss(self, item: evidence.Lost) -> bool:
+    def merge_loss(self, item: evidence.EndpointLost) -> bool:
         """Take a loss in; it ends its group's trial."""
         losses = self.losses.setdefault(item.fingerprint, {})
         put(
@@ -125,7 +125,7 @@
         items += dict.fromkeys(item for item in found if item is not None)
         return items
 
-    def counting(self, fingerprint: str) -> list[evidence.Lost]:
+    def counting(self, fingerprint: str) -> list[evidence.EndpointLost]:
         """Return a prompt's losses that count; call it under ``lock``."""
         losses = [
             loss
@@ -136,7 +136,7 @@
             return []
         return losses
 
-    def is_excused(self, loss: evidence.Lost) -> bool:
+    def is_excused(self, loss: evidence.EndpointLost) -> bool:
         """Tell whether another suspect's trial took the endpoint down.
 
         An innocent prompt that got past the point where its first endpoint
@@ -165,7 +165,7 @@
         lost = self.losses.get(trial.fingerprint, {})
         return trial.group in lost or trial.group not in self.ended
 
-    def until_ms(self, losses: typing.Sequence[evidence.Lost]) -> int:
+    def until_ms(self, losses: typing.Sequence[evidence.EndpointLost]) -> int:
         """Return when losses cease to count: a term after the last."""
         return max(loss.time_ms for loss in losses) + LASTS_MS
 
@@ -266,7 +266,7 @@
 
 Kept = typing.TypeVar(
     "Kept",
-    evidence.Lost,
+    evidence.EndpointLost,
     evidence.Trial,
     evidence.TrialPassed,
     evidence.TrialEnded,
--- a/src/briarseam/admission/condemnation_log.py
+++ b/src/briarseam/admission/condemnation_log.py
@@ -147,7 +147,7 @@
         if not self.book.merge(item):
             return
         match item:
-            case evidence.Lost(fingerprint=fingerprint):
+            case evidence.EndpointLost(fingerprint=fingerprint):
                 standing = type(self.book.standing(fingerprint)).__name__
                 log.warning(
                     "endpoint_lost_with_prompt",
--- a/src/briarseam/admission/crash_guard.py
+++ b/src/briarseam/admission/crash_guard.py
@@ -84,7 +84,7 @@
         Weight version that a continuation must keep, else empty.
     """
 
-    case: evidence.Case
+    case: evidence.PromptIdentity
     request: admission.Admit
     version: str
 
@@ -107,7 +107,7 @@
         Whether it is one.
     """
 
-    case: evidence.Case
+    case: evidence.PromptIdentity
     endpoint: str
     boot_id: str
     group: str
@@ -291,7 +291,7 @@
 
     def watch(
         self,
-        case: evidence.Case,
+        case: evidence.PromptIdentity,
         granted: admission.Granted,
         group: str,
         trial: bool = False,
@@ -340,7 +340,7 @@
     def accuse(self, watched: Watched) -> None:
         """Tell of an endpoint that died with a prompt."""
         case = watched.case
-        lost = evidence.Lost(
+        lost = evidence.EndpointLost(
             case.fingerprint,
             case.organisation,
             case.model,
--- a/src/briarseam/admission/evidence.py
+++ b/src/briarseam/admission/evidence.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Case:
+class PromptIdentity:
     """A prompt, known by what is the same when a caller sends it again.
 
     Attributes
@@ -30,15 +30,17 @@
     model: str
 
 
-def case_of(organisation: str, model: str, prompt_digest: bytes) -> Case:
+def identify_prompt(
+    organisation: str, model: str, prompt_digest: bytes
+) -> PromptIdentity:
     """Return the case of a prompt."""
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (organisation.encode(), model.encode(), prompt_digest):
         digest.update(len(part).to_bytes(4, "big") + part)
-    return Case(digest.hexdigest(), organisation, model)
+    return PromptIdentity(digest.hexdigest(), organisation, model)
 
 
-class Lost(msgspec.Struct, frozen=True, tag="lost", array_like=True):
+class EndpointLost(msgspec.Struct, frozen=True, tag="lost", array_like=True):
     """An endpoint died while it ran a prompt.
 
     Attributes
@@ -68,7 +70,7 @@
     Attributes
     ----------
     fingerprint, organisation, model, endpoint, group, time_ms
-        As in :class:`Lost`.
+        As in :class:`EndpointLost`.
     boot_id
         The endpoint's start at that time, as far as it is known.
     """
@@ -118,4 +120,4 @@
     time_ms: int
 
 
-Item = Lost | Trial | TrialPassed | TrialEnded | Cleared
+Item = EndpointLost | Trial | TrialPassed | TrialEnded | Cleared
--- a/src/briarseam/admission/guarded_placement.py
+++ b/src/briarseam/admission/guarded_placement.py
@@ -61,7 +61,9 @@
     verdict.RefusalError
         With the final verdict.
     """
-    case = evidence.case_of(organisation, request.model, request.prompt_digest)
+    case = evidence.identify_prompt(
+        organisation, request.model, request.prompt_digest
+    )
     return guard.place(
         crash_guard.Asked(case, request, release.version if release else ""),
         PromptPlacing(placer, organisation, request, release),
--- a/src/briarseam/admission/trial_coordinator.py
+++ b/src/briarseam/admission/trial_coordinator.py
@@ -117,7 +117,7 @@
             if trial.fingerprint != fingerprint:
                 continue
             if self.endpoints.has_died(trial.endpoint, trial.boot_id):
-                lost = evidence.Lost(
+                lost = evidence.EndpointLost(
                     trial.fingerprint,
                     trial.organisation,
                     trial.model,
--- a/tests/admission/crashes.py
+++ b/tests/admission/crashes.py
@@ -9,8 +9,8 @@
 from briarseam.admission import evidence
 from briarseam.admission import messages
 
-CASE = evidence.case_of("north", "draft", b"prompt")
-OTHER = evidence.case_of("north", "draft", b"another prompt")
+CASE = evidence.identify_prompt("north", "draft", b"prompt")
+OTHER = evidence.identify_prompt("north", "draft", b"another prompt")
 names = itertools.count()
 
 
@@ -25,9 +25,9 @@
 
 
 def lost(
-    endpoint: str, group: str = "", case: evidence.Case = CASE
-) -> evidence.Lost:
-    return evidence.Lost(
+    endpoint: str, group: str = "", case: evidence.PromptIdentity = CASE
+) -> evidence.EndpointLost:
+    return evidence.EndpointLost(
         case.fingerprint,
         case.organisation,
         case.model,
@@ -72,7 +72,7 @@
 
 
 def ask_trial(
-    case: evidence.Case, run: str, *names: str
+    case: evidence.PromptIdentity, run: str, *names: str
 ) -> crash_messages.AskTrial:
     return crash_messages.AskTrial(
         case.fingerprint, case.organisation, case.model, run, names, 0.0
--- a/tests/admission/test_condemnation.py
+++ b/tests/admission/test_condemnation.py
@@ -29,9 +29,9 @@
 @pytest.mark.parametrize(
     "prompt",
     [
-        evidence.case_of("south", "draft", b"prompt"),
-        evidence.case_of("north", "other", b"prompt"),
-        evidence.case_of("northd", "raft", b"prompt"),
+        evidence.identify_prompt("south", "draft", b"prompt"),
+        evidence.identify_prompt("north", "other", b"prompt"),
+        evidence.identify_prompt("northd", "raft", b"prompt"),
         crashes.OTHER,
     ],
     ids=["organisation", "model", "parts run together", "prompt"],
--- a/tests/command/test_condemned.py
+++ b/tests/command/test_condemned.py
@@ -13,7 +13,7 @@
 from briarseam.testing import log_service
 
 KEY = b"0123456789abcdef"
-CASE = evidence.case_of("kitchen", "draft", b"prompt")
+CASE = evidence.identify_prompt("kitchen", "draft", b"prompt")
 
 
 @pytest.fixture
@@ -42,7 +42,7 @@
     def append(case=CASE, key=KEY):
         now_ms = condemnation_log.LogClock().now_ms()
         items = [
-            evidence.Lost(
+            evidence.EndpointLost(
                 case.fingerprint,
                 case.organisation,
                 case.model,
@@ -87,7 +87,7 @@
     condemned, condemn
 ):
     """An operator lifts what another team answers for."""
-    other = evidence.case_of("harbour", "draft", b"prompt")
+    other = evidence.identify_prompt("harbour", "draft", b"prompt")
     condemn(other)
     status, _, error = condemned("lift", other.fingerprint)
     assert status == 1
--- a/tests/matrix/test_crashing_requests.py
+++ b/tests/matrix/test_crashing_requests.py
@@ -184,7 +184,7 @@
 def recorded(cluster: engines.EngineCluster, prompt: str) -> int:
     """Return how many losses of a prompt the log holds."""
     digest = requests.digest_prompt(prompt.split())
-    case = evidence.case_of(
+    case = evidence.identify_prompt(
         deployment.ORGANISATIONS[0], deployment.MODEL, digest
     )
     batch = logs.LogClient(cluster.log.address).read(records.STREAM, 0)
@@ -193,7 +193,7 @@
         item.group
         for record in batch.records
         for item in records.decode(record.data, key, teams.Teams())
-        if isinstance(item, evidence.Lost)
+        if isinstance(item, evidence.EndpointLost)
         and item.fingerprint == case.fingerprint
     }
     return len(found)
