--- a/src/briarseam/admission/condemnation.py
+++ b/src/briarseam/admission/condemnation.py
@@ -48,18 +48,18 @@
     ----------
     losses
         What died.
-    until_ms
+    expires_at_ms
         When it ends by itself.
     """
 
     losses: tuple[evidence.EndpointLost, ...]
-    until_ms: int
+    expires_at_ms: int
 
 
 Standing = Clear | Suspect | Condemned
 
 
-class Book:
+class EvidenceSet:
     """All that is known; thread-safe.
 
     Parameters
@@ -111,7 +111,7 @@
         with self.lock:
             losses = self.counting(fingerprint)
         if len(losses) >= ENDPOINTS_LOST:
-            return Condemned(tuple(losses), self.until_ms(losses))
+            return Condemned(tuple(losses), self.expires_at_ms(losses))
         if losses:
             return Suspect(tuple(loss.group for loss in losses))
         return Clear()
@@ -132,7 +132,7 @@
             for group, loss in self.losses.get(fingerprint, {}).items()
             if group not in self.cleared and not self.is_excused(loss)
         ]
-        if losses and self.now_ms() >= self.until_ms(losses):
+        if losses and self.now_ms() >= self.expires_at_ms(losses):
             return []
         return losses
 
@@ -165,7 +165,9 @@
         lost = self.losses.get(trial.fingerprint, {})
         return trial.group in lost or trial.group not in self.ended
 
-    def until_ms(self, losses: typing.Sequence[evidence.EndpointLost]) -> int:
+    def expires_at_ms(
+        self, losses: typing.Sequence[evidence.EndpointLost]
+    ) -> int:
         """Return when losses cease to count: a term after the last."""
         return max(loss.time_ms for loss in losses) + LASTS_MS
 
--- a/src/briarseam/admission/condemnation_log.py
+++ b/src/briarseam/admission/condemnation_log.py
@@ -52,7 +52,7 @@
 
 
 class CondemnationLog:
-    """Follows the stream into the book, and appends what is found here.
+    """Follows the stream into the evidence set, and appends what is found here.
 
     Parameters
     ----------
@@ -62,7 +62,7 @@
         The system's shared key.
     teams
         Whose lifts count.
-    book
+    evidence_set
         What is known.
     clock
         The log's clock.
@@ -73,13 +73,13 @@
         client: platform_log.LogClient,
         key: bytes,
         teams: teams_module.Teams,
-        book: condemnation.Book,
+        evidence_set: condemnation.EvidenceSet,
         clock: LogClock,
     ) -> None:
         self.client = client
         self.key = key
         self.teams = teams
-        self.book = book
+        self.evidence_set = evidence_set
         self.clock = clock
         self.pending: list[evidence.Item] = []
         self.changed = threading.Condition()
@@ -136,7 +136,7 @@
                 continue
             for index, item in enumerate(items):
                 self.merge(item)
-                self.book.note_order(item, (record.offset, index))
+                self.evidence_set.note_order(item, (record.offset, index))
         with self.changed:
             self.changed.notify_all()
         if not batch.records or batch.records[-1].offset >= batch.next - 1:
@@ -144,11 +144,13 @@
 
     def merge(self, item: evidence.Item) -> None:
         """Take an item in; a line for what changes a prompt's standing."""
-        if not self.book.merge(item):
+        if not self.evidence_set.merge(item):
             return
         match item:
             case evidence.EndpointLost(fingerprint=fingerprint):
-                standing = type(self.book.standing(fingerprint)).__name__
+                standing = type(
+                    self.evidence_set.standing(fingerprint)
+                ).__name__
                 log.warning(
                     "endpoint_lost_with_prompt",
                     prompt=fingerprint,
@@ -185,12 +187,15 @@
         with self.changed:
             self.changed.wait_for(
                 lambda: (
-                    self.book.is_ordered(trial.group)
+                    self.evidence_set.is_ordered(trial.group)
                     or not self.follower.available
                 ),
                 timeout_s,
             )
-        return self.book.is_ordered(trial.group) or not self.follower.available
+        return (
+            self.evidence_set.is_ordered(trial.group)
+            or not self.follower.available
+        )
 
     def append_on(self) -> None:
         """Append what is pending until stopped."""
@@ -224,12 +229,14 @@
     def forget_on(self) -> None:
         """Drop what is old, until stopped."""
         while not self.stopping.wait(FORGET_EVERY_S):
-            self.book.forget_old()
+            self.evidence_set.forget_old()
 
     def provide(self) -> bytes:
         """Return this agent's section of a heartbeat."""
         since_ms = self.clock.now_ms() - GOSSIP_MS
-        return records.encode_items(self.book.recent(since_ms, GOSSIP_ITEMS))
+        return records.encode_items(
+            self.evidence_set.recent(since_ms, GOSSIP_ITEMS)
+        )
 
     def consume(self, member: str, data: bytes) -> None:
         """Take in another agent's section."""
--- a/src/briarseam/admission/crash_guard.py
+++ b/src/briarseam/admission/crash_guard.py
@@ -121,7 +121,7 @@
 
     Attributes
     ----------
-    book
+    evidence_set
         What is known.
     note
         Takes in items and has them appended to the log.
@@ -133,7 +133,7 @@
         Monotonic seconds.
     """
 
-    book: condemnation.Book
+    evidence_set: condemnation.EvidenceSet
     note: typing.Callable[[evidence.Item], None]
     wait_ready: typing.Callable[[], None]
     others: Others
@@ -173,9 +173,9 @@
 
     def is_suspect(self, asked: Asked) -> bool:
         """Tell whether a prompt is suspect; raise if it is condemned."""
-        standing = self.parts.book.standing(asked.case.fingerprint)
+        standing = self.parts.evidence_set.standing(asked.case.fingerprint)
         if isinstance(standing, condemnation.Condemned):
-            left_ms = standing.until_ms - self.parts.book.now_ms()
+            left_ms = standing.expires_at_ms - self.parts.evidence_set.now_ms()
             names = ", ".join(loss.endpoint for loss in standing.losses)
             raise verdict.RefusalError(
                 refusals.condemned(names, max(left_ms / MS, MIN_RETRY_S))
@@ -237,7 +237,7 @@
         match answer.word:
             case messages.TrialWord.CONDEMNED:
                 for item in records.decode_items(answer.items):
-                    self.parts.book.merge(item)
+                    self.parts.evidence_set.merge(item)
                 self.is_suspect(asked)
                 raise verdict.RefusalError(refusals.suspect_waits(MIN_RETRY_S))
             case messages.TrialWord.BUSY:
@@ -274,7 +274,9 @@
                     tuple(endpoints),
                     min(left_s, TRIAL_WAIT_S),
                     records.encode_items(
-                        self.parts.book.of_prompt(asked.case.fingerprint)
+                        self.parts.evidence_set.of_prompt(
+                            asked.case.fingerprint
+                        )
                     ),
                 )
             )
@@ -314,7 +316,9 @@
         watched = self.watched.get(run_id)
         if watched is not None and watched.trial:
             self.tell(
-                evidence.TrialPassed(watched.group, self.parts.book.now_ms())
+                evidence.TrialPassed(
+                    watched.group, self.parts.evidence_set.now_ms()
+                )
             )
 
     def ended(self, run_id: str, result: admission.RunResult) -> None:
@@ -346,7 +350,7 @@
             case.model,
             watched.endpoint,
             watched.group,
-            self.parts.book.now_ms(),
+            self.parts.evidence_set.now_ms(),
         )
         self.tell(lost)
 
@@ -357,13 +361,13 @@
             watched.case.organisation,
             watched.clears,
             "",
-            self.parts.book.now_ms(),
+            self.parts.evidence_set.now_ms(),
         )
         self.tell(cleared)
 
     def end_trial(self, group: str) -> None:
         """Tell that a trial is over."""
-        self.tell(evidence.TrialEnded(group, self.parts.book.now_ms()))
+        self.tell(evidence.TrialEnded(group, self.parts.evidence_set.now_ms()))
 
     def tell(self, item: evidence.Item) -> None:
         """Have an item appended, and tell the keeper of trials at once."""
--- a/src/briarseam/admission/trial_coordinator.py
+++ b/src/briarseam/admission/trial_coordinator.py
@@ -51,7 +51,7 @@
 
     Parameters
     ----------
-    book
+    evidence_set
         What is known.
     log
         Takes in items and has them appended to the log.
@@ -61,11 +61,11 @@
 
     def __init__(
         self,
-        book: condemnation.Book,
+        evidence_set: condemnation.EvidenceSet,
         log: Log,
         endpoints: Endpoints,
     ) -> None:
-        self.book = book
+        self.evidence_set = evidence_set
         self.log = log
         self.endpoints = endpoints
         self.changed = threading.Condition()
@@ -82,15 +82,15 @@
         if ask.items:
             self.take(records.decode_items(ask.items))
         answer = self.await_place(ask)
-        trial = self.book.trials.get(ask.run)
+        trial = self.evidence_set.trials.get(ask.run)
         if answer.word is not messages.TrialWord.GRANTED or trial is None:
             return answer
         written = self.log.wait_ordered(trial, WRITE_S)
-        if written and self.book.comes_first(trial):
+        if written and self.evidence_set.comes_first(trial):
             return answer
         # It comes first for another agent that keeps trials too: this
         # agent, or that one, was taken for dead by a part of the others.
-        now_ms = self.book.now_ms()
+        now_ms = self.evidence_set.now_ms()
         self.log.note(evidence.TrialEnded(trial.group, now_ms))
         return messages.TrialAnswered(messages.TrialWord.BUSY)
 
@@ -113,7 +113,7 @@
         endpoint down; their trial stands in the log without an end, and
         would run out into one more.
         """
-        for trial in self.book.running_trials():
+        for trial in self.evidence_set.running_trials():
             if trial.fingerprint != fingerprint:
                 continue
             if self.endpoints.has_died(trial.endpoint, trial.boot_id):
@@ -123,13 +123,13 @@
                     trial.model,
                     trial.endpoint,
                     trial.group,
-                    self.book.now_ms(),
+                    self.evidence_set.now_ms(),
                 )
                 self.log.note(lost)
 
     def answer(self, ask: messages.AskTrial) -> messages.TrialAnswered:
         """Answer as things are now; call it under ``changed``."""
-        match self.book.standing(ask.fingerprint):
+        match self.evidence_set.standing(ask.fingerprint):
             case condemnation.Clear():
                 return messages.TrialAnswered(messages.TrialWord.CLEAR)
             case condemnation.Condemned(losses):
@@ -144,7 +144,7 @@
         self, ask: messages.AskTrial, groups: tuple[str, ...]
     ) -> messages.TrialAnswered:
         """Grant a trial at the best endpoint that has none."""
-        running = self.book.running_trials()
+        running = self.evidence_set.running_trials()
         for trial in running:
             # The answer that granted it was lost.
             if trial.group == ask.run:
@@ -161,11 +161,11 @@
             ask.model,
             free[0],
             ask.run,
-            self.book.now_ms(),
+            self.evidence_set.now_ms(),
             self.endpoints.boot_id(free[0]),
         )
         # Whoever saw the loss may be gone before it has written it.
-        for item in self.book.of_prompt(ask.fingerprint):
+        for item in self.evidence_set.of_prompt(ask.fingerprint):
             self.log.note(item)
         self.log.note(trial)
         return messages.TrialAnswered(
@@ -178,8 +178,8 @@
         A suspect whose trial has passed still runs, and would lose its
         second endpoint with a guilty prompt that is tried beside it.
         """
-        guarded = self.book.guarded_endpoints()
-        tried = self.book.tried_endpoints()
+        guarded = self.evidence_set.guarded_endpoints()
+        tried = self.evidence_set.tried_endpoints()
         free = [name for name in ask.endpoints if name not in guarded]
         return sorted(free, key=lambda name: name in tried)
 
@@ -187,5 +187,5 @@
         """Take in what another agent found."""
         with self.changed:
             for item in items:
-                self.book.merge(item)
+                self.evidence_set.merge(item)
             self.changed.notify_all()
--- a/src/briarseam/command/condemned.py
+++ b/src/briarseam/command/condemned.py
@@ -62,7 +62,7 @@
         shared = settings.agent.shared_key
         self.key = shared.value if shared else b""
         clock = condemnation_log.LogClock()
-        self.book = condemnation.Book(clock.now_ms)
+        self.evidence_set = condemnation.EvidenceSet(clock.now_ms)
 
     def load(self) -> None:
         """Read the stream to its end.
@@ -88,20 +88,20 @@
         except records.RecordError:
             return
         for item in items:
-            self.book.merge(item)
+            self.evidence_set.merge(item)
 
     def rows(self) -> list[Row]:
         """Return the condemned prompts."""
-        now_ms = self.book.now_ms()
+        now_ms = self.evidence_set.now_ms()
         return [
             Row(
                 prompt,
                 standing.losses[0].organisation,
                 standing.losses[0].model,
                 tuple(loss.endpoint for loss in standing.losses),
-                (standing.until_ms - now_ms) // MS,
+                (standing.expires_at_ms - now_ms) // MS,
             )
-            for prompt, standing in self.book.condemned().items()
+            for prompt, standing in self.evidence_set.condemned().items()
         ]
 
     def lift(self, prompt: str, standing: condemnation.Condemned) -> str:
@@ -122,7 +122,7 @@
             organisation,
             tuple(loss.group for loss in standing.losses),
             f"{team}/{getpass.getuser()}",
-            self.book.now_ms(),
+            self.evidence_set.now_ms(),
         )
         data = records.encode_lift(cleared, team, self.teams)
         match self.client.append(records.STREAM, data):
@@ -199,7 +199,7 @@
     """Lift the one condemnation whose prompt begins so."""
     found = {
         name: standing
-        for name, standing in session.book.condemned().items()
+        for name, standing in session.evidence_set.condemned().items()
         if name.startswith(prompt)
     }
     if len(found) != 1:
--- a/src/briarseam/compose/crashes.py
+++ b/src/briarseam/compose/crashes.py
@@ -105,9 +105,9 @@
 ) -> Crashes:
     """Return the crash guard, wired to log and heartbeats."""
     clock = condemnation_log.LogClock()
-    book = condemnation.Book(clock.now_ms)
+    evidence_set = condemnation.EvidenceSet(clock.now_ms)
     noted = condemnation_log.CondemnationLog(
-        log, key, teams.from_settings(settings.teams), book, clock
+        log, key, teams.from_settings(settings.teams), evidence_set, clock
     )
     members.add_section(SECTION, noted.provide, noted.consume)
     me = owners.Agent(
@@ -117,11 +117,11 @@
         agents.Agents(me, members),
         clients,
         prompt_holds.PromptHolds(),
-        trial_coordinator.TrialCoordinator(book, noted, engines),
+        trial_coordinator.TrialCoordinator(evidence_set, noted, engines),
     )
     guard = crash_guard.CrashGuard(
         crash_guard.GuardParts(
-            book, noted.note, noted.wait_ready, calls, engines
+            evidence_set, noted.note, noted.wait_ready, calls, engines
         )
     )
     return Crashes(guard, noted, calls)
--- a/tests/admission/conftest.py
+++ b/tests/admission/conftest.py
@@ -13,8 +13,8 @@
 
 
 @pytest.fixture
-def book(clock) -> condemnation.Book:
-    return condemnation.Book(clock)
+def evidence_set(clock) -> condemnation.EvidenceSet:
+    return condemnation.EvidenceSet(clock)
 
 
 @pytest.fixture
@@ -23,10 +23,14 @@
 
 
 @pytest.fixture
-def fake_log(book) -> crashes.FakeLog:
-    return crashes.FakeLog(book)
+def fake_log(evidence_set) -> crashes.FakeLog:
+    return crashes.FakeLog(evidence_set)
 
 
 @pytest.fixture
-def tried(book, fake_log, endpoints) -> trial_coordinator.TrialCoordinator:
-    return trial_coordinator.TrialCoordinator(book, fake_log, endpoints)
+def tried(
+    evidence_set, fake_log, endpoints
+) -> trial_coordinator.TrialCoordinator:
+    return trial_coordinator.TrialCoordinator(
+        evidence_set, fake_log, endpoints
+    )
--- a/tests/admission/crashes.py
+++ b/tests/admission/crashes.py
@@ -38,21 +38,21 @@
 
 
 class FakeLog:
-    def __init__(self, book: condemnation.Book) -> None:
-        self.book = book
+    def __init__(self, evidence_set: condemnation.EvidenceSet) -> None:
+        self.evidence_set = evidence_set
         self.noted: list[evidence.Item] = []
         self.written = 0
         self.late = False
 
     def note(self, item: evidence.Item) -> None:
-        self.book.merge(item)
+        self.evidence_set.merge(item)
         self.noted.append(item)
 
     def wait_ordered(self, trial, timeout_s: float) -> bool:
         self.written = len(self.noted)
         if self.late:
             return False
-        self.book.note_order(trial, (self.written, 0))
+        self.evidence_set.note_order(trial, (self.written, 0))
         return True
 
 
--- a/tests/admission/test_condemnation.py
+++ b/tests/admission/test_condemnation.py
@@ -41,25 +41,27 @@
     assert prompt.fingerprint != crashes.CASE.fingerprint
 
 
-def test_two_lost_endpoints_condemn_for_a_term(book, clock):
+def test_two_lost_endpoints_condemn_for_a_term(evidence_set, clock):
     """A prompt takes down a third engine, or is refused for ever."""
-    book.merge(crashes.lost("engine-0"))
+    evidence_set.merge(crashes.lost("engine-0"))
     assert isinstance(
-        book.standing(crashes.CASE.fingerprint), condemnation.Suspect
+        evidence_set.standing(crashes.CASE.fingerprint), condemnation.Suspect
     )
-    book.merge(crashes.lost("engine-1"))
-    standing = book.standing(crashes.CASE.fingerprint)
+    evidence_set.merge(crashes.lost("engine-1"))
+    standing = evidence_set.standing(crashes.CASE.fingerprint)
     assert isinstance(standing, condemnation.Condemned)
-    clock.ms = standing.until_ms
-    assert book.standing(crashes.CASE.fingerprint) == condemnation.Clear()
+    clock.ms = standing.expires_at_ms
+    assert (
+        evidence_set.standing(crashes.CASE.fingerprint) == condemnation.Clear()
+    )
 
 
-def test_runs_lost_with_one_endpoint_count_once(book):
+def test_runs_lost_with_one_endpoint_count_once(evidence_set):
     """A popular prompt is condemned for one engine's death."""
     for _ in range(3):
-        book.merge(crashes.lost("engine-0", "first-run"))
+        evidence_set.merge(crashes.lost("engine-0", "first-run"))
     assert isinstance(
-        book.standing(crashes.CASE.fingerprint), condemnation.Suspect
+        evidence_set.standing(crashes.CASE.fingerprint), condemnation.Suspect
     )
 
 
@@ -69,22 +71,22 @@
     second = crashes.lost("engine-1", "b")
     items = (first, cleared("a"), second, second)
     for order in itertools.permutations(items):
-        book = condemnation.Book(clock)
+        evidence_set = condemnation.EvidenceSet(clock)
         for item in order:
-            book.merge(item)
-        assert book.standing(crashes.CASE.fingerprint) == condemnation.Suspect(
-            ("b",)
-        )
+            evidence_set.merge(item)
+        assert evidence_set.standing(
+            crashes.CASE.fingerprint
+        ) == condemnation.Suspect(("b",))
 
 
-def test_what_is_old_is_forgotten(book, clock):
-    book.merge(crashes.lost("engine-0"))
+def test_what_is_old_is_forgotten(evidence_set, clock):
+    evidence_set.merge(crashes.lost("engine-0"))
     clock.ms += condemnation.FORGET_MS + 1
-    book.forget_old()
-    assert book.losses == {}
+    evidence_set.forget_old()
+    assert evidence_set.losses == {}
 
 
-def test_record_is_read_back(book):
+def test_record_is_read_back(evidence_set):
     item = crashes.lost("engine-0")
     assert records.decode(records.encode([item], KEY), KEY, TEAMS) == [item]
 
--- a/tests/admission/test_condemnation_log.py
+++ b/tests/admission/test_condemnation_log.py
@@ -42,9 +42,9 @@
 @pytest.fixture
 def noted(slow) -> typing.Iterator[condemnation_log.CondemnationLog]:
     clock = condemnation_log.LogClock()
-    book = condemnation.Book(clock.now_ms)
+    evidence_set = condemnation.EvidenceSet(clock.now_ms)
     following = condemnation_log.CondemnationLog(
-        slow, b"key", teams.Teams(), book, clock
+        slow, b"key", teams.Teams(), evidence_set, clock
     )
     yield following
     following.stop()
@@ -82,22 +82,22 @@
     assert not waiting.is_alive()
 
 
-def trial(book: condemnation.Book) -> evidence.Trial:
+def trial(evidence_set: condemnation.EvidenceSet) -> evidence.Trial:
     return evidence.Trial(
-        "prompt", "north", "draft", "engine-1", "t1", book.now_ms()
+        "prompt", "north", "draft", "engine-1", "t1", evidence_set.now_ms()
     )
 
 
 def test_trial_that_the_log_lacks_is_not_ordered(noted):
-    assert not noted.wait_ordered(trial(noted.book), 0.0)
+    assert not noted.wait_ordered(trial(noted.evidence_set), 0.0)
 
 
 def test_trial_goes_on_while_the_log_is_away(noted):
     noted.follower.available = False
-    assert noted.wait_ordered(trial(noted.book), 0.0)
+    assert noted.wait_ordered(trial(noted.evidence_set), 0.0)
 
 
 def test_trial_that_was_read_back_is_ordered(noted):
-    item = trial(noted.book)
-    noted.book.note_order(item, (1, 0))
+    item = trial(noted.evidence_set)
+    noted.evidence_set.note_order(item, (1, 0))
     assert noted.wait_ordered(item, 0.0)
--- a/tests/admission/test_crash_guard.py
+++ b/tests/admission/test_crash_guard.py
@@ -86,10 +86,10 @@
 
 
 @pytest.fixture
-def site(book, fake_log, tried, endpoints) -> Site:
+def site(evidence_set, fake_log, tried, endpoints) -> Site:
     others = FakeOthers(tried)
     parts = crash_guard.GuardParts(
-        book, fake_log.note, lambda: None, others, endpoints
+        evidence_set, fake_log.note, lambda: None, others, endpoints
     )
     return Site(crash_guard.CrashGuard(parts), endpoints, others)
 
@@ -108,16 +108,20 @@
     assert len({one.endpoint for one in granted}) == 1
 
 
-def test_suspect_that_finishes_elsewhere_is_cleared(site, book):
+def test_suspect_that_finishes_elsewhere_is_cleared(site, evidence_set):
     site.crash(site.place())
     site.end(site.place(), messages.RunResult.DONE)
-    assert book.standing(crashes.CASE.fingerprint) == condemnation.Clear()
+    assert (
+        evidence_set.standing(crashes.CASE.fingerprint) == condemnation.Clear()
+    )
 
 
-def test_cut_link_to_a_living_endpoint_accuses_nobody(site, book):
+def test_cut_link_to_a_living_endpoint_accuses_nobody(site, evidence_set):
     granted = site.place()
     site.end(granted, messages.RunResult.LOST_AFTER_FIRST)
-    assert book.standing(crashes.CASE.fingerprint) == condemnation.Clear()
+    assert (
+        evidence_set.standing(crashes.CASE.fingerprint) == condemnation.Clear()
+    )
 
 
 def test_suspect_waits_while_the_keeper_is_away(site):
@@ -129,7 +133,7 @@
     assert refused.retry_after_s
 
 
-def test_endpoint_that_died_with_its_agent_counts(site, book):
+def test_endpoint_that_died_with_its_agent_counts(site, evidence_set):
     """The agent that granted the prompt dies along with the engine.
 
     The caller's resend is granted the same engine, cannot reach it, and
@@ -141,5 +145,5 @@
     again = site.place((granted.endpoint,))
     assert isinstance(again, messages.Granted)
     assert isinstance(
-        book.standing(crashes.CASE.fingerprint), condemnation.Suspect
+        evidence_set.standing(crashes.CASE.fingerprint), condemnation.Suspect
     )
--- a/tests/admission/test_trial_coordinator.py
+++ b/tests/admission/test_trial_coordinator.py
@@ -11,10 +11,12 @@
 from tests.admission import crashes
 
 
-def test_suspects_are_never_tried_at_one_endpoint_together(tried, book):
+def test_suspects_are_never_tried_at_one_endpoint_together(
+    tried, evidence_set
+):
     """An innocent prompt is condemned with the one that it ran beside."""
-    book.merge(crashes.lost("engine-0"))
-    book.merge(crashes.lost("engine-0", case=crashes.OTHER))
+    evidence_set.merge(crashes.lost("engine-0"))
+    evidence_set.merge(crashes.lost("engine-0", case=crashes.OTHER))
     first = tried.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
     second = tried.ask(crashes.ask_trial(crashes.OTHER, "t2", "engine-1"))
     third = tried.ask(
@@ -25,12 +27,12 @@
     assert (third.word, third.endpoint) == ("granted", "engine-2")
 
 
-def test_suspect_is_tried_once_at_a_time(tried, book, fake_log):
+def test_suspect_is_tried_once_at_a_time(tried, evidence_set, fake_log):
     """Two callers' resends of a suspect each take down an engine.
 
     The trial is in the log before it begins, for those who come after.
     """
-    book.merge(crashes.lost("engine-0"))
+    evidence_set.merge(crashes.lost("engine-0"))
     tried.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1", "engine-2"))
     assert "t1" in [item.group for item in fake_log.noted]
     assert fake_log.written == len(fake_log.noted)
@@ -40,15 +42,17 @@
     assert again.word == "busy"
 
 
-def test_endpoint_is_free_for_another_trial_at_the_first_token(tried, book):
+def test_endpoint_is_free_for_another_trial_at_the_first_token(
+    tried, evidence_set
+):
     """Answers that an engine's death cut wait for each other for minutes.
 
     The prompt itself is still tried once at a time.
     """
-    book.merge(crashes.lost("engine-0"))
-    book.merge(crashes.lost("engine-0", case=crashes.OTHER))
+    evidence_set.merge(crashes.lost("engine-0"))
+    evidence_set.merge(crashes.lost("engine-0", case=crashes.OTHER))
     tried.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
-    book.merge(evidence.TrialPassed("t1", book.now_ms()))
+    evidence_set.merge(evidence.TrialPassed("t1", evidence_set.now_ms()))
     assert (
         tried.ask(crashes.ask_trial(crashes.OTHER, "t2", "engine-1")).word
         == "granted"
@@ -60,22 +64,23 @@
 
 
 def pass_first_trial(
-    tried: trial_coordinator.TrialCoordinator, book: condemnation.Book
+    tried: trial_coordinator.TrialCoordinator,
+    evidence_set: condemnation.EvidenceSet,
 ) -> None:
     """Let a suspect get past where it was cut, at ``engine-1``."""
-    book.merge(crashes.lost("engine-0"))
-    book.merge(crashes.lost("engine-0", case=crashes.OTHER))
+    evidence_set.merge(crashes.lost("engine-0"))
+    evidence_set.merge(crashes.lost("engine-0", case=crashes.OTHER))
     tried.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
-    book.merge(evidence.TrialPassed("t1", book.now_ms()))
+    evidence_set.merge(evidence.TrialPassed("t1", evidence_set.now_ms()))
 
 
-def test_trial_begins_where_no_suspect_runs(tried, book):
+def test_trial_begins_where_no_suspect_runs(tried, evidence_set):
     """An innocent prompt is condemned with the one it runs beside.
 
     Its trial passed, so its endpoint takes another trial while it runs on;
     the other prompt crashes that endpoint too.
     """
-    pass_first_trial(tried, book)
+    pass_first_trial(tried, evidence_set)
     answer = tried.ask(
         crashes.ask_trial(crashes.OTHER, "t2", "engine-1", "engine-2")
     )
@@ -84,7 +89,7 @@
 
 @pytest.mark.parametrize("told_first", ["t1", "t2"])
 def test_passed_trial_is_not_condemned_with_the_one_beside_it(
-    tried, book, told_first
+    tried, evidence_set, told_first
 ):
     """An innocent prompt loses its second endpoint to another's trial.
 
@@ -92,7 +97,7 @@
     order the losses are told, only the prompt whose trial had not passed
     is refused.
     """
-    pass_first_trial(tried, book)
+    pass_first_trial(tried, evidence_set)
     tried.ask(crashes.ask_trial(crashes.OTHER, "t2", "engine-1"))
     losses = [
         crashes.lost("engine-1", "t1"),
@@ -100,67 +105,71 @@
     ]
     losses.sort(key=lambda loss: loss.group != told_first)
     for loss in losses:
-        book.merge(loss)
+        evidence_set.merge(loss)
         assert isinstance(
-            book.standing(crashes.CASE.fingerprint), condemnation.Suspect
+            evidence_set.standing(crashes.CASE.fingerprint),
+            condemnation.Suspect,
         )
     assert isinstance(
-        book.standing(crashes.OTHER.fingerprint), condemnation.Condemned
+        evidence_set.standing(crashes.OTHER.fingerprint),
+        condemnation.Condemned,
     )
 
 
-def test_trial_lost_alone_counts_though_it_had_passed(tried, book):
+def test_trial_lost_alone_counts_though_it_had_passed(tried, evidence_set):
     """A prompt that crashes endpoints late is never refused."""
-    pass_first_trial(tried, book)
-    book.merge(crashes.lost("engine-1", "t1"))
+    pass_first_trial(tried, evidence_set)
+    evidence_set.merge(crashes.lost("engine-1", "t1"))
     assert isinstance(
-        book.standing(crashes.CASE.fingerprint), condemnation.Condemned
+        evidence_set.standing(crashes.CASE.fingerprint), condemnation.Condemned
     )
 
 
-def test_trial_whose_answer_was_lost_is_granted_again(tried, book):
-    book.merge(crashes.lost("engine-0"))
+def test_trial_whose_answer_was_lost_is_granted_again(tried, evidence_set):
+    evidence_set.merge(crashes.lost("engine-0"))
     ask = crashes.ask_trial(crashes.CASE, "t1", "engine-1")
     assert tried.ask(ask) == tried.ask(ask)
 
 
-def test_trial_that_ended_unnoticed_counts(tried, book, endpoints):
+def test_trial_that_ended_unnoticed_counts(tried, evidence_set, endpoints):
     """All agents are replaced as a trial takes down its engine."""
-    book.merge(crashes.lost("engine-0"))
+    evidence_set.merge(crashes.lost("engine-0"))
     tried.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
     endpoints.dead.add("engine-1")
     answer = tried.ask(crashes.ask_trial(crashes.CASE, "t2", "engine-2"))
     assert answer.word == "condemned"
 
 
-def test_trial_that_is_not_in_the_log_does_not_begin(tried, book, fake_log):
+def test_trial_that_is_not_in_the_log_does_not_begin(
+    tried, evidence_set, fake_log
+):
     """A third engine is crashes.lost as all agents are replaced.
 
     The log answers late on a busy machine.  The trial takes down its
     engine before it is written, and the agents that knew of it are gone.
     """
-    book.merge(crashes.lost("engine-0"))
+    evidence_set.merge(crashes.lost("engine-0"))
     fake_log.late = True
     assert (
         tried.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1")).word
         == "busy"
     )
-    assert book.running_trials() == []
+    assert evidence_set.running_trials() == []
 
 
-def test_loss_is_in_the_log_before_the_trial(tried, book, fake_log):
+def test_loss_is_in_the_log_before_the_trial(tried, evidence_set, fake_log):
     """A third engine is crashes.lost as all agents are replaced.
 
     The agent that saw the first loss told the keeper of trials, and is
     gone before its own record was written.
     """
-    book.merge(crashes.lost("engine-0", "first"))
+    evidence_set.merge(crashes.lost("engine-0", "first"))
     tried.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
     noted = [item.group for item in fake_log.noted[: fake_log.written]]
     assert noted == ["first", "t1"]
 
 
-def test_keeper_learns_the_loss_from_who_asks(tried, book):
+def test_keeper_learns_the_loss_from_who_asks(tried, evidence_set):
     """The agent that kept the trials dies; the next one knows of nothing."""
     item = crashes.lost("engine-0")
     ask = dataclasses.replace(
@@ -168,7 +177,7 @@
         items=records.encode_items([item]),
     )
     assert tried.ask(ask).word == "granted"
-    assert book.of_prompt(crashes.CASE.fingerprint) == [item]
+    assert evidence_set.of_prompt(crashes.CASE.fingerprint) == [item]
 
 
 @pytest.mark.parametrize(
@@ -178,7 +187,9 @@
         pytest.param((crashes.OTHER, "engine-1"), id="same endpoint"),
     ],
 )
-def test_second_keepers_later_trial_is_withdrawn(tried, book, fake_log, other):
+def test_second_keepers_later_trial_is_withdrawn(
+    tried, evidence_set, fake_log, other
+):
     """A suspect takes down two engines at once, or an innocent with it.
 
     The keeper of trials was restarted; some agents ask it, some the one
@@ -187,17 +198,22 @@
     """
     case, endpoint = other
     rival = evidence.Trial(
-        case.fingerprint, "north", "draft", endpoint, "rival", book.now_ms()
+        case.fingerprint,
+        "north",
+        "draft",
+        endpoint,
+        "rival",
+        evidence_set.now_ms(),
     )
 
     def read_back(trial, timeout_s: float) -> bool:
-        book.merge(rival)
-        book.note_order(rival, (1, 0))
-        book.note_order(trial, (2, 0))
+        evidence_set.merge(rival)
+        evidence_set.note_order(rival, (1, 0))
+        evidence_set.note_order(trial, (2, 0))
         return True
 
     fake_log.wait_ordered = read_back
-    book.merge(crashes.lost("engine-0"))
+    evidence_set.merge(crashes.lost("engine-0"))
     answer = tried.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
     assert answer.word == "busy"
-    assert [one.group for one in book.running_trials()] == ["rival"]
+    assert [one.group for one in evidence_set.running_trials()] == ["rival"]
