--- a/src/briarseam/admission/condemnation_log.py
+++ b/src/briarseam/admission/condemnation_log.py
@@ -52,7 +52,7 @@
 
 
 class CondemnationLog:
-    """Follows the stream into the evidence set, and appends what is found here.
+    """Reads the stream into the evidence set and appends local evidence.
 
     Parameters
     ----------
@@ -165,7 +165,7 @@
                     operator=operator,
                 )
 
-    def note(self, item: evidence.Item) -> None:
+    def record(self, item: evidence.Item) -> None:
         """Take in what was found here, and have it appended."""
         self.merge(item)
         with self.changed:
@@ -173,7 +173,7 @@
                 self.pending.append(item)
             self.changed.notify_all()
 
-    def wait_ordered(self, trial: evidence.Trial, timeout_s: float) -> bool:
+    def wait_in_log(self, trial: evidence.Trial, timeout_s: float) -> bool:
         """Wait until a trial that was noted is read back from the log.
 
         Not while the log is known to be away: what it lacks is in the
--- a/src/briarseam/admission/crash_guard.py
+++ b/src/briarseam/admission/crash_guard.py
@@ -56,7 +56,9 @@
     def has_died(self, endpoint: str, boot_id: str) -> bool:
         """Ask an endpoint whether it is still the same start."""
 
-    def idlest(self, request: admission.Admit, version: str) -> list[str]:
+    def least_loaded(
+        self, request: admission.Admit, version: str
+    ) -> list[str]:
         """Return the engines that may run a prompt, the idlest first."""
 
 
@@ -134,7 +136,7 @@
     """
 
     evidence_set: condemnation.EvidenceSet
-    note: typing.Callable[[evidence.Item], None]
+    record: typing.Callable[[evidence.Item], None]
     wait_ready: typing.Callable[[], None]
     others: Others
     endpoints: Endpoints
@@ -262,7 +264,7 @@
         trial = secrets.token_hex(TRIAL_BYTES)
         while True:
             left_s = max(deadline - self.parts.clock(), 0.0)
-            endpoints = self.parts.endpoints.idlest(
+            endpoints = self.parts.endpoints.least_loaded(
                 asked.request, asked.version
             )
             answer = self.parts.others.ask_trial(
@@ -371,5 +373,5 @@
 
     def tell(self, item: evidence.Item) -> None:
         """Have an item appended, and tell the keeper of trials at once."""
-        self.parts.note(item)
+        self.parts.record(item)
         self.parts.others.accuse((item,))
--- a/src/briarseam/admission/trial_coordinator.py
+++ b/src/briarseam/admission/trial_coordinator.py
@@ -36,10 +36,10 @@
 class Log(typing.Protocol):
     """What the keeper needs of the log."""
 
-    def note(self, item: evidence.Item) -> None:
+    def record(self, item: evidence.Item) -> None:
         """Take in what was found here, and have it appended."""
 
-    def wait_ordered(self, trial: evidence.Trial, timeout_s: float) -> bool:
+    def wait_in_log(self, trial: evidence.Trial, timeout_s: float) -> bool:
         """Wait until a trial that was noted is read back from the log.
 
         ``False`` when it is not, though the log is there.
@@ -85,13 +85,13 @@
         trial = self.evidence_set.trials.get(ask.run)
         if answer.word is not messages.TrialWord.GRANTED or trial is None:
             return answer
-        written = self.log.wait_ordered(trial, WRITE_S)
+        written = self.log.wait_in_log(trial, WRITE_S)
         if written and self.evidence_set.comes_first(trial):
             return answer
         # It comes first for another agent that keeps trials too: this
         # agent, or that one, was taken for dead by a part of the others.
         now_ms = self.evidence_set.now_ms()
-        self.log.note(evidence.TrialEnded(trial.group, now_ms))
+        self.log.record(evidence.TrialEnded(trial.group, now_ms))
         return messages.TrialAnswered(messages.TrialWord.BUSY)
 
     def await_place(self, ask: messages.AskTrial) -> messages.TrialAnswered:
@@ -125,7 +125,7 @@
                     trial.group,
                     self.evidence_set.now_ms(),
                 )
-                self.log.note(lost)
+                self.log.record(lost)
 
     def answer(self, ask: messages.AskTrial) -> messages.TrialAnswered:
         """Answer as things are now; call it under ``changed``."""
@@ -166,8 +166,8 @@
         )
         # Whoever saw the loss may be gone before it has written it.
         for item in self.evidence_set.of_prompt(ask.fingerprint):
-            self.log.note(item)
-        self.log.note(trial)
+            self.log.record(item)
+        self.log.record(trial)
         return messages.TrialAnswered(
             messages.TrialWord.GRANTED, ask.run, trial.endpoint, groups
         )
--- a/src/briarseam/compose/crashes.py
+++ b/src/briarseam/compose/crashes.py
@@ -57,7 +57,9 @@
             return False
         return engine_start.has_died(found.address, boot_id)
 
-    def idlest(self, request: admission.Admit, version: str) -> list[str]:
+    def least_loaded(
+        self, request: admission.Admit, version: str
+    ) -> list[str]:
         """Return the engines that may run a prompt, the idlest first."""
         return self.parts.chooser.idlest(
             routing.PromptAsk(
@@ -121,7 +123,7 @@
     )
     guard = crash_guard.CrashGuard(
         crash_guard.GuardParts(
-            evidence_set, noted.note, noted.wait_ready, calls, engines
+            evidence_set, noted.record, noted.wait_ready, calls, engines
         )
     )
     return Crashes(guard, noted, calls)
--- a/tests/admission/conftest.py
+++ b/tests/admission/conftest.py
@@ -28,7 +28,7 @@
 
 
 @pytest.fixture
-def tried(
+def coordinator(
     evidence_set, fake_log, endpoints
 ) -> trial_coordinator.TrialCoordinator:
     return trial_coordinator.TrialCoordinator(
--- a/tests/admission/crashes.py
+++ b/tests/admission/crashes.py
@@ -40,16 +40,16 @@
 class FakeLog:
     def __init__(self, evidence_set: condemnation.EvidenceSet) -> None:
         self.evidence_set = evidence_set
-        self.noted: list[evidence.Item] = []
+        self.recorded: list[evidence.Item] = []
         self.written = 0
         self.late = False
 
-    def note(self, item: evidence.Item) -> None:
+    def record(self, item: evidence.Item) -> None:
         self.evidence_set.merge(item)
-        self.noted.append(item)
+        self.recorded.append(item)
 
-    def wait_ordered(self, trial, timeout_s: float) -> bool:
-        self.written = len(self.noted)
+    def wait_in_log(self, trial, timeout_s: float) -> bool:
+        self.written = len(self.recorded)
         if self.late:
             return False
         self.evidence_set.note_order(trial, (self.written, 0))
@@ -66,7 +66,7 @@
     def has_died(self, endpoint: str, boot_id: str) -> bool:
         return endpoint in self.dead
 
-    def idlest(self, request: messages.Admit, version: str) -> list[str]:
+    def least_loaded(self, request: messages.Admit, version: str) -> list[str]:
         engines = ("engine-0", "engine-1", "engine-2")
         return [name for name in engines if name not in request.lost]
 
--- a/tests/admission/test_condemnation_log.py
+++ b/tests/admission/test_condemnation_log.py
@@ -89,15 +89,15 @@
 
 
 def test_trial_that_the_log_lacks_is_not_ordered(noted):
-    assert not noted.wait_ordered(trial(noted.evidence_set), 0.0)
+    assert not noted.wait_in_log(trial(noted.evidence_set), 0.0)
 
 
 def test_trial_goes_on_while_the_log_is_away(noted):
     noted.follower.available = False
-    assert noted.wait_ordered(trial(noted.evidence_set), 0.0)
+    assert noted.wait_in_log(trial(noted.evidence_set), 0.0)
 
 
 def test_trial_that_was_read_back_is_ordered(noted):
     item = trial(noted.evidence_set)
     noted.evidence_set.note_order(item, (1, 0))
-    assert noted.wait_ordered(item, 0.0)
+    assert noted.wait_in_log(item, 0.0)
--- a/tests/admission/test_crash_guard.py
+++ b/tests/admission/test_crash_guard.py
@@ -17,9 +17,11 @@
 class FakeOthers:
     """This agent as the only one."""
 
-    def __init__(self, tried: trial_coordinator.TrialCoordinator) -> None:
+    def __init__(
+        self, coordinator: trial_coordinator.TrialCoordinator
+    ) -> None:
         self.held = prompt_holds.PromptHolds()
-        self.tried = tried
+        self.coordinator = coordinator
         self.away = False
 
     def hold(self, ask):
@@ -29,10 +31,10 @@
         self.held.release(told)
 
     def ask_trial(self, ask):
-        return None if self.away else self.tried.ask(ask)
+        return None if self.away else self.coordinator.ask(ask)
 
     def accuse(self, items):
-        self.tried.take(items)
+        self.coordinator.take(items)
 
 
 class FakePlacing:
@@ -86,10 +88,10 @@
 
 
 @pytest.fixture
-def site(evidence_set, fake_log, tried, endpoints) -> Site:
-    others = FakeOthers(tried)
+def site(evidence_set, fake_log, coordinator, endpoints) -> Site:
+    others = FakeOthers(coordinator)
     parts = crash_guard.GuardParts(
-        evidence_set, fake_log.note, lambda: None, others, endpoints
+        evidence_set, fake_log.record, lambda: None, others, endpoints
     )
     return Site(crash_guard.CrashGuard(parts), endpoints, others)
 
--- a/tests/admission/test_trial_coordinator.py
+++ b/tests/admission/test_trial_coordinator.py
@@ -12,14 +12,16 @@
 
 
 def test_suspects_are_never_tried_at_one_endpoint_together(
-    tried, evidence_set
+    coordinator, evidence_set
 ):
     """An innocent prompt is condemned with the one that it ran beside."""
     evidence_set.merge(crashes.lost("engine-0"))
     evidence_set.merge(crashes.lost("engine-0", case=crashes.OTHER))
-    first = tried.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
-    second = tried.ask(crashes.ask_trial(crashes.OTHER, "t2", "engine-1"))
-    third = tried.ask(
+    first = coordinator.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
+    second = coordinator.ask(
+        crashes.ask_trial(crashes.OTHER, "t2", "engine-1")
+    )
+    third = coordinator.ask(
         crashes.ask_trial(crashes.OTHER, "t3", "engine-1", "engine-2")
     )
     assert (first.word, first.endpoint) == ("granted", "engine-1")
@@ -27,23 +29,25 @@
     assert (third.word, third.endpoint) == ("granted", "engine-2")
 
 
-def test_suspect_is_tried_once_at_a_time(tried, evidence_set, fake_log):
+def test_suspect_is_tried_once_at_a_time(coordinator, evidence_set, fake_log):
     """Two callers' resends of a suspect each take down an engine.
 
     The trial is in the log before it begins, for those who come after.
     """
     evidence_set.merge(crashes.lost("engine-0"))
-    tried.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1", "engine-2"))
-    assert "t1" in [item.group for item in fake_log.noted]
-    assert fake_log.written == len(fake_log.noted)
-    again = tried.ask(
+    coordinator.ask(
+        crashes.ask_trial(crashes.CASE, "t1", "engine-1", "engine-2")
+    )
+    assert "t1" in [item.group for item in fake_log.recorded]
+    assert fake_log.written == len(fake_log.recorded)
+    again = coordinator.ask(
         crashes.ask_trial(crashes.CASE, "t2", "engine-1", "engine-2")
     )
     assert again.word == "busy"
 
 
 def test_endpoint_is_free_for_another_trial_at_the_first_token(
-    tried, evidence_set
+    coordinator, evidence_set
 ):
     """Answers that an engine's death cut wait for each other for minutes.
 
@@ -51,37 +55,39 @@
     """
     evidence_set.merge(crashes.lost("engine-0"))
     evidence_set.merge(crashes.lost("engine-0", case=crashes.OTHER))
-    tried.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
+    coordinator.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
     evidence_set.merge(evidence.TrialPassed("t1", evidence_set.now_ms()))
     assert (
-        tried.ask(crashes.ask_trial(crashes.OTHER, "t2", "engine-1")).word
+        coordinator.ask(
+            crashes.ask_trial(crashes.OTHER, "t2", "engine-1")
+        ).word
         == "granted"
     )
     assert (
-        tried.ask(crashes.ask_trial(crashes.CASE, "t3", "engine-2")).word
+        coordinator.ask(crashes.ask_trial(crashes.CASE, "t3", "engine-2")).word
         == "busy"
     )
 
 
 def pass_first_trial(
-    tried: trial_coordinator.TrialCoordinator,
+    coordinator: trial_coordinator.TrialCoordinator,
     evidence_set: condemnation.EvidenceSet,
 ) -> None:
     """Let a suspect get past where it was cut, at ``engine-1``."""
     evidence_set.merge(crashes.lost("engine-0"))
     evidence_set.merge(crashes.lost("engine-0", case=crashes.OTHER))
-    tried.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
+    coordinator.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
     evidence_set.merge(evidence.TrialPassed("t1", evidence_set.now_ms()))
 
 
-def test_trial_begins_where_no_suspect_runs(tried, evidence_set):
+def test_trial_begins_where_no_suspect_runs(coordinator, evidence_set):
     """An innocent prompt is condemned with the one it runs beside.
 
     Its trial passed, so its endpoint takes another trial while it runs on;
     the other prompt crashes that endpoint too.
     """
-    pass_first_trial(tried, evidence_set)
-    answer = tried.ask(
+    pass_first_trial(coordinator, evidence_set)
+    answer = coordinator.ask(
         crashes.ask_trial(crashes.OTHER, "t2", "engine-1", "engine-2")
     )
     assert answer.endpoint == "engine-2"
@@ -89,7 +95,7 @@
 
 @pytest.mark.parametrize("told_first", ["t1", "t2"])
 def test_passed_trial_is_not_condemned_with_the_one_beside_it(
-    tried, evidence_set, told_first
+    coordinator, evidence_set, told_first
 ):
     """An innocent prompt loses its second endpoint to another's trial.
 
@@ -97,8 +103,8 @@
     order the losses are told, only the prompt whose trial had not passed
     is refused.
     """
-    pass_first_trial(tried, evidence_set)
-    tried.ask(crashes.ask_trial(crashes.OTHER, "t2", "engine-1"))
+    pass_first_trial(coordinator, evidence_set)
+    coordinator.ask(crashes.ask_trial(crashes.OTHER, "t2", "engine-1"))
     losses = [
         crashes.lost("engine-1", "t1"),
         crashes.lost("engine-1", "t2", crashes.OTHER),
@@ -116,32 +122,38 @@
     )
 
 
-def test_trial_lost_alone_counts_though_it_had_passed(tried, evidence_set):
+def test_trial_lost_alone_counts_though_it_had_passed(
+    coordinator, evidence_set
+):
     """A prompt that crashes endpoints late is never refused."""
-    pass_first_trial(tried, evidence_set)
+    pass_first_trial(coordinator, evidence_set)
     evidence_set.merge(crashes.lost("engine-1", "t1"))
     assert isinstance(
         evidence_set.standing(crashes.CASE.fingerprint), condemnation.Condemned
     )
 
 
-def test_trial_whose_answer_was_lost_is_granted_again(tried, evidence_set):
+def test_trial_whose_answer_was_lost_is_granted_again(
+    coordinator, evidence_set
+):
     evidence_set.merge(crashes.lost("engine-0"))
     ask = crashes.ask_trial(crashes.CASE, "t1", "engine-1")
-    assert tried.ask(ask) == tried.ask(ask)
+    assert coordinator.ask(ask) == coordinator.ask(ask)
 
 
-def test_trial_that_ended_unnoticed_counts(tried, evidence_set, endpoints):
+def test_trial_that_ended_unnoticed_counts(
+    coordinator, evidence_set, endpoints
+):
     """All agents are replaced as a trial takes down its engine."""
     evidence_set.merge(crashes.lost("engine-0"))
-    tried.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
+    coordinator.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
     endpoints.dead.add("engine-1")
-    answer = tried.ask(crashes.ask_trial(crashes.CASE, "t2", "engine-2"))
+    answer = coordinator.ask(crashes.ask_trial(crashes.CASE, "t2", "engine-2"))
     assert answer.word == "condemned"
 
 
 def test_trial_that_is_not_in_the_log_does_not_begin(
-    tried, evidence_set, fake_log
+    coordinator, evidence_set, fake_log
 ):
     """A third engine is crashes.lost as all agents are replaced.
 
@@ -151,32 +163,34 @@
     evidence_set.merge(crashes.lost("engine-0"))
     fake_log.late = True
     assert (
-        tried.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1")).word
+        coordinator.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1")).word
         == "busy"
     )
     assert evidence_set.running_trials() == []
 
 
-def test_loss_is_in_the_log_before_the_trial(tried, evidence_set, fake_log):
+def test_loss_is_in_the_log_before_the_trial(
+    coordinator, evidence_set, fake_log
+):
     """A third engine is crashes.lost as all agents are replaced.
 
     The agent that saw the first loss told the keeper of trials, and is
     gone before its own record was written.
     """
     evidence_set.merge(crashes.lost("engine-0", "first"))
-    tried.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
-    noted = [item.group for item in fake_log.noted[: fake_log.written]]
+    coordinator.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
+    noted = [item.group for item in fake_log.recorded[: fake_log.written]]
     assert noted == ["first", "t1"]
 
 
-def test_keeper_learns_the_loss_from_who_asks(tried, evidence_set):
+def test_keeper_learns_the_loss_from_who_asks(coordinator, evidence_set):
     """The agent that kept the trials dies; the next one knows of nothing."""
     item = crashes.lost("engine-0")
     ask = dataclasses.replace(
         crashes.ask_trial(crashes.CASE, "t1", "engine-1"),
         items=records.encode_items([item]),
     )
-    assert tried.ask(ask).word == "granted"
+    assert coordinator.ask(ask).word == "granted"
     assert evidence_set.of_prompt(crashes.CASE.fingerprint) == [item]
 
 
@@ -188,7 +202,7 @@
     ],
 )
 def test_second_keepers_later_trial_is_withdrawn(
-    tried, evidence_set, fake_log, other
+    coordinator, evidence_set, fake_log, other
 ):
     """A suspect takes down two engines at once, or an innocent with it.
 
@@ -212,8 +226,8 @@
         evidence_set.note_order(trial, (2, 0))
         return True
 
-    fake_log.wait_ordered = read_back
+    fake_log.wait_in_log = read_back
     evidence_set.merge(crashes.lost("engine-0"))
-    answer = tried.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
+    answer = coordinator.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
     assert answer.word == "busy"
     assert [one.group for one in evidence_set.running_trials()] == ["rival"]
