--- a/src/briarseam/admission/dispatch.py
+++ b/src/briarseam/admission/dispatch.py
@@ -20,7 +20,7 @@
 from briarseam.routing import state as routing
 
 if typing.TYPE_CHECKING:
-    from briarseam.admission import returns
+    from briarseam.admission import retry_schedule
     from briarseam.configuration import schema
 
 TICK_S = 0.02
@@ -125,7 +125,7 @@
         self,
         engines: Engines,
         view: typing.Callable[[], schema.View],
-        schedule: returns.ReturnSchedule,
+        schedule: retry_schedule.RetrySchedule,
         bounds: Bounds,
         clock: typing.Callable[[], float] = time.monotonic,
     ) -> None:
--- a/src/briarseam/admission/placing.py
+++ b/src/briarseam/admission/placing.py
@@ -15,7 +15,7 @@
 from briarseam.admission import messages
 from briarseam.admission import refusals
 from briarseam.admission import retries
-from briarseam.admission import returns
+from briarseam.admission import retry_schedule
 from briarseam.admission import state
 from briarseam.routing import state as routing
 
@@ -89,7 +89,7 @@
     kept: kept_cache.KeptCache
     limits: limit_module.Limits
     budgets: retries.RetryBudgets
-    schedule: returns.ReturnSchedule
+    schedule: retry_schedule.RetrySchedule
     max_in_flight: int
     key: bytes
     home: str = ""
--- a/src/briarseam/admission/returns.py
+++ b/src/briarseam/admission/retry_schedule.py
@@ -22,7 +22,7 @@
 FIXED_S = 1.0
 
 
-class ReturnSchedule:
+class RetrySchedule:
     """Gives each refused request a time to return; thread-safe.
 
     Parameters
--- a/src/briarseam/compose/serving.py
+++ b/src/briarseam/compose/serving.py
@@ -10,7 +10,7 @@
 from briarseam.admission import limits
 from briarseam.admission import placing
 from briarseam.admission import retries
-from briarseam.admission import returns
+from briarseam.admission import retry_schedule
 from briarseam.cache import residents
 from briarseam.cache import service as kept_cache
 from briarseam.routing import ledger as ledgers
@@ -121,7 +121,7 @@
     cache_events = residents.Residents(
         view, chooser.prefixes, sources.kept.metrics, members.me.zone
     )
-    schedule = returns.ReturnSchedule(
+    schedule = retry_schedule.RetrySchedule(
         time.monotonic, lambda: view().routing.returning == "fixed"
     )
     dispatcher = dispatch.Dispatcher(
--- a/tests/admission/test_dispatch.py
+++ b/tests/admission/test_dispatch.py
@@ -8,7 +8,7 @@
 from briarseam import verdict
 from briarseam.admission import dispatch
 from briarseam.admission import fair_queue
-from briarseam.admission import returns
+from briarseam.admission import retry_schedule
 from briarseam.configuration import schema
 from briarseam.configuration import values
 from briarseam.routing import state as routing
@@ -42,7 +42,7 @@
 
 
 def build(engines, max_queued=100, per_organisation=50):
-    schedule = returns.ReturnSchedule(time.monotonic)
+    schedule = retry_schedule.RetrySchedule(time.monotonic)
     bounds = dispatch.Bounds(max_queued, per_organisation)
     return dispatch.Dispatcher(engines, schema.View, schedule, bounds)
 
--- a/tests/admission/test_limits.py
+++ b/tests/admission/test_limits.py
@@ -6,7 +6,7 @@
 
 from briarseam.admission import limits
 from briarseam.admission import retries
-from briarseam.admission import returns
+from briarseam.admission import retry_schedule
 from briarseam.configuration import schema
 from briarseam.configuration import values
 from tests import clocks
@@ -128,7 +128,7 @@
     no more than the rate at which requests had been finishing.
     """
     clock = clocks.ManualClock()
-    schedule = returns.ReturnSchedule(clock)
+    schedule = retry_schedule.RetrySchedule(clock)
     for _ in range(300):
         clock.now_s += 0.05
         schedule.note_end()
@@ -145,9 +145,9 @@
     """Thousands are refused in a row.  Nobody is sent away for longer
     than a minute.
     """
-    schedule = returns.ReturnSchedule(clocks.ManualClock())
+    schedule = retry_schedule.RetrySchedule(clocks.ManualClock())
     waits = [schedule.assign() for _ in range(5000)]
-    assert max(waits) <= returns.MAX_RETRY_S
+    assert max(waits) <= retry_schedule.MAX_RETRY_S
 
 
 @pytest.mark.parametrize(
--- a/tests/admission/test_returns.py
+++ b/tests/admission/test_retry_schedule.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from briarseam.admission import returns
+from briarseam.admission import retry_schedule
 from tests import clocks
 
 
@@ -9,7 +9,7 @@
     one moment; they must come back over seconds, at half that rate.
     """
     clock = clocks.ManualClock()
-    schedule = returns.ReturnSchedule(clock)
+    schedule = retry_schedule.RetrySchedule(clock)
     for _ in range(300):
         clock.now_s += 0.1
         schedule.note_end()
@@ -22,5 +22,5 @@
     """The bench compares the schedule with one fixed second.  Were the
     baseline spread as well, the second peak could not be seen.
     """
-    schedule = returns.ReturnSchedule(clocks.ManualClock(), lambda: True)
-    assert {schedule.assign() for _ in range(5)} == {returns.FIXED_S}
+    schedule = retry_schedule.RetrySchedule(clocks.ManualClock(), lambda: True)
+    assert {schedule.assign() for _ in range(5)} == {retry_schedule.FIXED_S}
