--- a/src/briarseam/admission/placing.py
+++ b/src/briarseam/admission/placing.py
@@ -14,7 +14,7 @@
 from briarseam.admission import limits as limit_module
 from briarseam.admission import messages
 from briarseam.admission import refusals
-from briarseam.admission import retries
+from briarseam.admission import retry_budgets
 from briarseam.admission import retry_schedule
 from briarseam.admission import state
 from briarseam.routing import state as routing
@@ -88,7 +88,7 @@
     dispatcher: dispatch.Dispatcher
     kept: kept_cache.KeptCache
     limits: limit_module.Limits
-    budgets: retries.RetryBudgets
+    budgets: retry_budgets.RetryBudgets
     schedule: retry_schedule.RetrySchedule
     max_in_flight: int
     key: bytes
--- a/src/briarseam/compose/serving.py
+++ b/src/briarseam/compose/serving.py
@@ -9,7 +9,7 @@
 from briarseam.admission import dispatch
 from briarseam.admission import limits
 from briarseam.admission import placing
-from briarseam.admission import retries
+from briarseam.admission import retry_budgets
 from briarseam.admission import retry_schedule
 from briarseam.cache import residents
 from briarseam.cache import service as kept_cache
@@ -149,7 +149,9 @@
             dispatcher=dispatcher,
             kept=sources.kept,
             limits=demand,
-            budgets=retries.RetryBudgets(lambda: view().routing.retry_budget),
+            budgets=retry_budgets.RetryBudgets(
+                lambda: view().routing.retry_budget
+            ),
             schedule=schedule,
             max_in_flight=settings.limits.max_in_flight,
             key=sources.key,
--- a/tests/admission/test_limits.py
+++ b/tests/admission/test_limits.py
@@ -5,7 +5,7 @@
 import pytest
 
 from briarseam.admission import limits
-from briarseam.admission import retries
+from briarseam.admission import retry_budgets
 from briarseam.admission import retry_schedule
 from briarseam.configuration import schema
 from briarseam.configuration import values
@@ -161,7 +161,7 @@
     """An endpoint fails each request.  Its organisation's retries stop at
     the budget; without one, each request would be run several times.
     """
-    budgets = retries.RetryBudgets(lambda: 0.1)
+    budgets = retry_budgets.RetryBudgets(lambda: 0.1)
     for _ in range(first_tries):
         budgets.earn("north")
     spent = [budgets.spend("north") for _ in range(50)]
