--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -242,8 +242,10 @@
     def end(self, granted: messages.Granted) -> None:
         """Take in a run's first token and its end."""
         placer = self.serving.placer
-        placer.started(messages.RunStarted(granted.run_id, 1000, 50))
-        placer.ended(
+        placer.record_first_token(
+            messages.RunStarted(granted.run_id, 1000, 50)
+        )
+        placer.end_run(
             messages.RunEnded(
                 granted.run_id,
                 granted.attempt,
--- a/src/briarseam/admission/placing.py
+++ b/src/briarseam/admission/placing.py
@@ -290,13 +290,13 @@
         )
         self.parts.chooser.note_start(run.run_id, choice)
 
-    def started(self, message: messages.RunStarted) -> None:
+    def record_first_token(self, message: messages.RunStarted) -> None:
         """Take in that a run's first token has come."""
         self.parts.chooser.note_first_token(
             message.run_id, message.cached_tokens
         )
 
-    def ended(self, message: messages.RunEnded) -> state.Running | None:
+    def end_run(self, message: messages.RunEnded) -> state.Running | None:
         """Take in how a run ended; ``None`` when it had ended before."""
         run = self.runs.pop(message.run_id)
         if run is None:
@@ -312,7 +312,7 @@
 
     def withdraw(self, granted: messages.Granted) -> None:
         """Take a grant back that no entry was told of."""
-        self.ended(
+        self.end_run(
             messages.RunEnded(
                 granted.run_id,
                 "",
--- a/src/briarseam/admission/service.py
+++ b/src/briarseam/admission/service.py
@@ -254,14 +254,14 @@
 
     def run_started(self, message: messages.RunStarted) -> messages.Noted:
         """Take in that a run's first token has come."""
-        self.placer.started(message)
+        self.placer.record_first_token(message)
         self.parts.guard.started(message.run_id)
         return messages.Noted()
 
     def run_ended(self, message: messages.RunEnded) -> messages.Noted:
         """Take in how a run ended; a doubled report changes nothing."""
         self.orphans.forget(message.run_id)
-        self.placer.ended(message)
+        self.placer.end_run(message)
         self.parts.guard.ended(message.run_id, message.result)
         self.parts.idempotency.ended(message)
         return messages.Noted()
