--- a/src/briarseam/admission/dispatch.py
+++ b/src/briarseam/admission/dispatch.py
@@ -151,7 +151,7 @@
         self.stopping.set()
         self.wake.set()
 
-    def waiting(self) -> int:
+    def queued_count(self) -> int:
         """Return how many requests wait."""
         with self.lock:
             return sum(len(queue) for queue in self.queues.values())
--- a/src/briarseam/compose/agent.py
+++ b/src/briarseam/compose/agent.py
@@ -121,7 +121,7 @@
         "unknown" for good.
         """
         return (
-            self.serving.dispatcher.waiting()
+            self.serving.dispatcher.queued_count()
             + len(self.serving.placer.runs)
             + self.entries.leaving()
             + self.claims.count_pending()
