--- a/src/briarseam/admission/refusals.py
+++ b/src/briarseam/admission/refusals.py
@@ -120,7 +120,7 @@
     )
 
 
-def true_of_key(key: str, given: verdict.Verdict) -> verdict.Verdict:
+def for_keyed_request(key: str, given: verdict.Verdict) -> verdict.Verdict:
     """Return a refusal that is true of a key's request.
 
     A resend under a key is the same request as the first one.  Whoever
--- a/src/briarseam/admission/service.py
+++ b/src/briarseam/admission/service.py
@@ -228,7 +228,9 @@
         """Return the organisation of a token, if requests may run now."""
         refusal = self.parts.gate()
         if refusal is not None:
-            raise verdict.RefusalError(refusals.true_of_key(key, refusal))
+            raise verdict.RefusalError(
+                refusals.for_keyed_request(key, refusal)
+            )
         organisation = self.parts.view().organisation_of(token_digest)
         if organisation is None:
             raise verdict.RefusalError(refusals.unknown_token())
--- a/src/briarseam/entry/agent_link.py
+++ b/src/briarseam/entry/agent_link.py
@@ -155,5 +155,5 @@
         RETRY_AFTER_S,
     )
     if isinstance(request, messages.Admit | messages.AdmitCall):
-        given = refusals.true_of_key(request.key, given)
+        given = refusals.for_keyed_request(request.key, given)
     return verdict.RefusalError(given)
--- a/tests/entry/test_refusals.py
+++ b/tests/entry/test_refusals.py
@@ -68,7 +68,7 @@
 
 def test_true_refusal_of_a_key_stays_as_it_is():
     given = verdict.Ran(verdict.Reason.ANSWER_GONE)
-    assert refusals.true_of_key("key", given) is given
+    assert refusals.for_keyed_request("key", given) is given
 
 
 def test_agent_that_may_be_out_of_date_does_not_deny_a_key(tmp_path):
