--- a/src/briarseam/admission/agents.py
+++ b/src/briarseam/admission/agents.py
@@ -32,18 +32,18 @@
         self.me = me
         self.members = members
         self.seen: tuple[object, object] = (None, None)
-        self.ring = owners.Ring({me.name: me})
+        self.ring = owners.HashRing({me.name: me})
 
-    def first(self, key: str, count: int) -> list[owners.Agent]:
+    def owners_of(self, key: str, count: int) -> list[owners.Agent]:
         """Return the first agents of a key."""
         rows = self.members.list_reader.rows
         members = self.members.members()
         if rows is not self.seen[0] or members is not self.seen[1]:
             found = self.find()
             if found != self.ring.agents:
-                self.ring = owners.Ring(found)
+                self.ring = owners.HashRing(found)
             self.seen = (rows, members)
-        return self.ring.first(key, count)
+        return self.ring.owners_of(key, count)
 
     def find(self) -> dict[str, owners.Agent]:
         """Return the agents by name."""
--- a/src/briarseam/admission/crash_calls.py
+++ b/src/briarseam/admission/crash_calls.py
@@ -95,7 +95,7 @@
         self, key: str, message: codec.Message, timeout_s: float = ASK_S
     ) -> codec.Message | None:
         """Ask the first in rank that answers; ``None`` when none does."""
-        for agent in self.agents.first(key, ASKED):
+        for agent in self.agents.owners_of(key, ASKED):
             if self.silent.get(agent.name, 0.0) > time.monotonic():
                 continue
             if agent.name == self.agents.me.name:
@@ -127,7 +127,7 @@
         dies; with the endpoint dead as well, nobody would have seen the
         loss, and the prompt's resends took down three.
         """
-        agents = self.agents.first(OWNER_KEY.format(copy.fingerprint), 2)
+        agents = self.agents.owners_of(OWNER_KEY.format(copy.fingerprint), 2)
         if agents[0].name == self.agents.me.name and len(agents) > 1:
             self.tell(agents[1], copy)
 
@@ -144,7 +144,7 @@
         """Tell the prompt's owner, and who has a copy if this is it."""
         key = OWNER_KEY.format(told.fingerprint)
         self.ask(key, told)
-        agents = self.agents.first(key, 2)
+        agents = self.agents.owners_of(key, 2)
         if agents[0].name == self.agents.me.name and len(agents) > 1:
             self.tell(agents[1], told)
 
--- a/src/briarseam/admission/owners.py
+++ b/src/briarseam/admission/owners.py
@@ -19,7 +19,7 @@
     address: str
 
 
-class Ring:
+class HashRing:
     """Agents around a ring of hashes; a key belongs to the next ones.
 
     Ranking hundreds of agents for each prompt would take milliseconds; here
@@ -41,7 +41,7 @@
         self.hashes = [hashed for hashed, _ in pairs]
         self.names = [name for _, name in pairs]
 
-    def first(self, key: str, count: int) -> list[Agent]:
+    def owners_of(self, key: str, count: int) -> list[Agent]:
         """Return the first agents of a key, at most ``count``."""
         start = bisect.bisect(
             self.hashes, xxhash.xxh3_64_intdigest(key.encode())
