--- a/src/briarseam/compose/node_calls.py
+++ b/src/briarseam/compose/node_calls.py
@@ -139,7 +139,7 @@
         found = self.topic_readers()
         return found[0] if found else ""
 
-    def tells(self) -> bool:
+    def is_speaker(self) -> bool:
         """Tell whether this instance speaks for its cell."""
         return self.speaker() == self.instances.me
 
@@ -161,7 +161,7 @@
                 self.far.pop(address).close()
         return found
 
-    def tell_load(self, address: str, message: cell_loads.CellLoad) -> None:
+    def publish_load(self, address: str, message: cell_loads.CellLoad) -> None:
         """Tell the work of this cell.
 
         Raises
@@ -183,7 +183,7 @@
         """
         self.tell(address, message, loss_sharing.RequestsLostNoted)
 
-    def tell_weights(
+    def publish_weights(
         self, address: str, message: cell_weights.WeightsTold
     ) -> None:
         """Tell which engines are being given new weights.
--- a/src/briarseam/compose/node_meeting.py
+++ b/src/briarseam/compose/node_meeting.py
@@ -14,7 +14,7 @@
 from briarseam.membership import sections
 from briarseam.placement import cell_loads
 from briarseam.placement import cell_weights
-from briarseam.placement import load_telling
+from briarseam.placement import load_exchange
 from briarseam.placement import store_messages
 from briarseam.routes import peer_configuration
 
@@ -148,7 +148,7 @@
         self.stopping = stopping
         self.tally = tally
         self.loop = loop
-        self.load_telling: load_telling.LoadTelling | None = None
+        self.load_exchange: load_exchange.LoadExchange | None = None
 
     def start(self) -> None:
         """Begin, in a thread of its own."""
@@ -158,8 +158,8 @@
 
     def stop(self) -> None:
         """Tell peers nothing more between heartbeats."""
-        if self.load_telling is not None:
-            self.load_telling.stop()
+        if self.load_exchange is not None:
+            self.load_exchange.stop()
 
     def run(self) -> None:
         """Join, and begin to tell."""
@@ -180,7 +180,7 @@
 
     def tell_loads(self, service: membership.Membership) -> None:
         """Begin to tell the cell this instance's work as it changes."""
-        self.load_telling = load_telling.LoadTelling(
+        self.load_exchange = load_exchange.LoadExchange(
             self.told.loads,
             self.settings.instance.name,
             str(self.settings.listen.peers),
@@ -188,4 +188,4 @@
             service.key,
             self.tally,
         )
-        self.load_telling.start()
+        self.load_exchange.start()
--- a/src/briarseam/placement/cell_loads.py
+++ b/src/briarseam/placement/cell_loads.py
@@ -69,13 +69,13 @@
     def size(self) -> int:
         """Return how many instances this cell has."""
 
-    def tells(self) -> bool:
+    def is_speaker(self) -> bool:
         """Tell whether this instance is the one that tells."""
 
     def addresses(self) -> collections.abc.Sequence[str]:
         """Return where to reach one instance of each other cell."""
 
-    def tell_load(self, address: str, message: CellLoad) -> None:
+    def publish_load(self, address: str, message: CellLoad) -> None:
         """Tell an instance.
 
         Raises
@@ -122,7 +122,7 @@
     def review(self) -> None:
         """Forget what is old; tell if that falls to this instance."""
         self.forget_old()
-        if self.cells.tells():
+        if self.cells.is_speaker():
             self.tell_all()
 
     def tell_all(self) -> None:
@@ -138,7 +138,7 @@
         untold = set()
         for address in addresses:
             try:
-                self.cells.tell_load(address, message)
+                self.cells.publish_load(address, message)
             except replies.NoReplyError as error:
                 untold.add(address)
                 if address not in self.untold:
--- a/src/briarseam/placement/cell_weights.py
+++ b/src/briarseam/placement/cell_weights.py
@@ -81,7 +81,7 @@
     def addresses(self) -> collections.abc.Sequence[str]:
         """Return where to reach one instance of each other cell."""
 
-    def tell_weights(self, address: str, message: WeightsTold) -> None:
+    def publish_weights(self, address: str, message: WeightsTold) -> None:
         """Tell an instance.
 
         Raises
@@ -164,7 +164,7 @@
         untold = set()
         for address in addresses:
             try:
-                self.cells.tell_weights(address, message)
+                self.cells.publish_weights(address, message)
             except replies.NoReplyError as error:
                 untold.add(address)
                 if address not in self.untold:
--- a/src/briarseam/placement/load_telling.py
+++ b/src/briarseam/placement/load_exchange.py
@@ -44,7 +44,7 @@
     work: bytes
 
 
-class LoadTelling:
+class LoadExchange:
     """Tells peers this instance's work, and takes in theirs.
 
     Parameters
--- a/tests/compose/test_node_calls.py
+++ b/tests/compose/test_node_calls.py
@@ -62,8 +62,8 @@
 
 
 def test_strongest_of_a_cell_speaks_for_it():
-    assert calls("a1").tells()
-    assert not calls("a2").tells()
+    assert calls("a1").is_speaker()
+    assert not calls("a2").is_speaker()
 
 
 def test_one_live_instance_of_each_other_cell_is_told():
@@ -76,7 +76,7 @@
     with pytest.raises(replies.NoReplyError):
         made.tell_losses("b2:1", loss_sharing.RequestsLost(()))
     with pytest.raises(replies.NoReplyError):
-        made.tell_load("b2:1", cell_loads.CellLoad("a", 2, ()))
+        made.publish_load("b2:1", cell_loads.CellLoad("a", 2, ()))
     with pytest.raises(shared_watch.ReaderUnavailableError):
         made.read_stores("a2", ASKED, 1.0)
     assert made.name() == ""
--- a/tests/placement/test_cell_loads.py
+++ b/tests/placement/test_cell_loads.py
@@ -26,13 +26,13 @@
     def size(self):
         return 2
 
-    def tells(self):
+    def is_speaker(self):
         return True
 
     def addresses(self):
         return list(self.others)
 
-    def tell_load(self, address, message):
+    def publish_load(self, address, message):
         if self.away:
             raise replies.NoReplyError("away")
         self.others[address].answer(message)
--- a/tests/placement/test_cell_weights.py
+++ b/tests/placement/test_cell_weights.py
@@ -28,7 +28,7 @@
     def addresses(self):
         return list(self.others)
 
-    def tell_weights(self, address, message):
+    def publish_weights(self, address, message):
         if self.away:
             raise replies.NoReplyError("away")
         self.told += 1
--- a/tests/placement/test_load_telling.py
+++ b/tests/placement/test_load_exchange.py
@@ -8,7 +8,7 @@
 import pytest
 
 from briarseam import malformed
-from briarseam.placement import load_telling
+from briarseam.placement import load_exchange
 from briarseam.placement import loads
 from briarseam.testing import ports
 from briarseam.testing import waiting
@@ -37,7 +37,7 @@
         )
         self.loads = {name: loads.Loads() for name in names}
         self.telling = {
-            name: load_telling.LoadTelling(
+            name: load_exchange.LoadExchange(
                 self.loads[name],
                 name,
                 address,
@@ -108,7 +108,7 @@
 
 
 def test_forged_and_unreadable_datagrams_are_noted_and_change_nothing(cell):
-    content = msgspec.msgpack.encode(load_telling.Told("a", b"\xc1"))
+    content = msgspec.msgpack.encode(load_exchange.Told("a", b"\xc1"))
     cell.send("b", b"anything")
     cell.send("b", datagrams.seal(b"another key", content))
     cell.send("b", datagrams.seal(KEY, content))
