--- a/src/briarseam/compose/node.py
+++ b/src/briarseam/compose/node.py
@@ -125,18 +125,18 @@
         self.store_watches = store_watches.StoreWatches(
             cache_stores,
             self.calls,
-            self.chooser.kept,
+            self.chooser.kept_index,
             settings.instance.name,
             self.instances.cell,
             self.instances.sharers,
             self.instances.weight_of,
         )
         self.store_sharing = store_sharing.StoreSharing(
-            self.chooser.kept, self.store_watches.reads
+            self.chooser.kept_index, self.store_watches.reads
         )
         self.sweeper = sweeping.Sweeper(
             cache_stores,
-            self.chooser.kept,
+            self.chooser.kept_index,
             self.weights.oldest,
             settings.instance.name,
             self.instances.all_names,
@@ -357,7 +357,7 @@
         server.max_request_header_size = limits.header_bytes
         server.max_request_body_size = limits.body_bytes
         keeping = [store for store in configuration.stores() if store.explicit]
-        self.chooser.kept.set_stores(keeping)
+        self.chooser.kept_index.set_stores(keeping)
         self.store_watches.follow([store.address for store in keeping])
 
     def endpoints_gone(self, ids: frozenset[str]) -> None:
--- a/src/briarseam/forwarding/service.py
+++ b/src/briarseam/forwarding/service.py
@@ -136,7 +136,7 @@
     def run(self, work: works.Work) -> None:
         """Answer one request that the configuration allows."""
         self.parts.budget.earn(work.service.name)
-        self.parts.chooser.arrived(work.request())
+        self.parts.chooser.record_arrival(work.request())
         with self.under_way.holding(work):
             self.parts.supervisor.watch(work.watch)
             try:
@@ -186,13 +186,13 @@
                 # be told that it has not.
                 raise supervision.EndedError(supervision.Ending.TIMED_OUT)
             placed = chooser.choose(work.request())
-            if not isinstance(placed, placements.Full):
+            if not isinstance(placed, placements.NoCapacity):
                 return placed
             left_s = until_s - clocks.boot_clock()
             if left_s <= 0:
                 work.steps.append(f"no-room {placed}")
                 return refusing.BUSY
-            chooser.loads.wait_for_ease(min(left_s, ROOM_POLL_S))
+            chooser.loads.wait_for_decrease(min(left_s, ROOM_POLL_S))
 
     def take_failure(
         self, work: works.Work, endpoint: str, outcome: outcomes.Outcome
@@ -224,20 +224,20 @@
         request = work.request()
         sent_s = clocks.boot_clock()
         first_ms = -1
-        added = chooser.started(placed, work.call)
+        added = chooser.record_start(placed, work.call)
         log.info(
             "request_sent",
             request=work.call.id,
             endpoint=placed.endpoint.id,
             time_left_ms=round(work.watch.left_s() * 1000),
-            **placed.reasons(),
+            **placed.log_fields(),
         )
 
         def on_first_event() -> None:
             nonlocal added, first_ms
             now_s = clocks.boot_clock()
             took_s = now_s - sent_s
-            added = chooser.first_event(placed, request, added, took_s)
+            added = chooser.record_first_event(placed, request, added, took_s)
             first_ms = round(took_s * 1000)
             if not work.progress.events_sent:
                 waited_s = now_s - work.arrived_s
@@ -266,7 +266,7 @@
             work.may_have_run = work.may_have_run or work.progress.asked
             raise
         finally:
-            chooser.ended(placed, work.call, added)
+            chooser.record_end(placed, work.call, added)
             self.note_send(work, placed, outcome, first_ms)
         return outcome
 
--- a/src/briarseam/placement/chooser.py
+++ b/src/briarseam/placement/chooser.py
@@ -71,12 +71,12 @@
         self.residency = residencies.Residency()
         self.board = board
         self.endpoints_age_s = endpoints_age_s
-        self.kept = kept_module.KeptIndex(clock)
+        self.kept_index = kept_module.KeptIndex(clock)
         self.avoided: dict[str, float] = {}
         self.usual_sizes = usual_sizes.UsualSizes()
         self.readings: dict[str, reading.ReadingTime] = {}
 
-    def arrived(self, request: requests.Request) -> None:
+    def record_arrival(self, request: requests.Request) -> None:
         """Take in what a request that has just arrived tells of its kind."""
         prompt = request.call.prompt
         if prompt is not None:
@@ -85,7 +85,7 @@
 
     def choose(
         self, request: requests.Request
-    ) -> requests.Placement | requests.Full | verdict.NotRun:
+    ) -> requests.Placement | requests.NoCapacity | verdict.NotRun:
         """Return where a request goes, or why nowhere."""
         candidates = [
             endpoint
@@ -139,7 +139,7 @@
         request: requests.Request,
         prompt: calls.Prompt,
         candidates: list[discovery.Endpoint],
-    ) -> requests.Placement | requests.Full:
+    ) -> requests.Placement | requests.NoCapacity:
         """Place a prompt where it will be read soonest.
 
         Of many engines only a few are compared, the session's own, and the
@@ -199,7 +199,9 @@
         salt = requests.salt_of(request, version)
         if not version:
             return cost.VersionPlan(salt, kept_module.NOTHING)
-        return cost.VersionPlan(salt, self.kept.plan(salt, prompt.shared))
+        return cost.VersionPlan(
+            salt, self.kept_index.plan(salt, prompt.shared)
+        )
 
     def candidate(
         self, ask: cost.PromptAsk, endpoint: discovery.Endpoint
@@ -207,7 +209,7 @@
         """Return what it would mean to run a prompt on an engine."""
         load = self.loads.of(endpoint.id)
         salt = ask.plans[ask.versions[endpoint.id]].salt
-        held = self.residency.known(endpoint.id, salt, ask.parts)
+        held = self.residency.held_tokens(endpoint.id, salt, ask.parts)
         return cost.candidate(ask, endpoint, load, held)
 
     def reading_time(self, request: requests.Request) -> reading.ReadingTime:
@@ -273,7 +275,7 @@
             last_event_id=request.call.last_event_id,
         )
 
-    def started(
+    def record_start(
         self, placement: requests.Placement, call: calls.Call
     ) -> load_module.Load:
         """Count a request that is about to be sent; return what it adds."""
@@ -281,12 +283,12 @@
         if prompt is None:
             added = load_module.Load(requests=1)
         else:
-            self.kept.note_saving(
+            self.kept_index.record_saves(
                 placement.instructions.salt,
                 prompt.shared,
                 placement.instructions.save_to,
             )
-            self.kept.health.note_begun(
+            self.kept_index.health.note_begun(
                 placement.sources(), call.id, placement.fetch_late_s
             )
             added = load_module.Load(
@@ -297,7 +299,7 @@
         self.loads.add(placement.endpoint.id, added)
         return added
 
-    def first_event(
+    def record_first_event(
         self,
         placement: requests.Placement,
         request: requests.Request,
@@ -310,7 +312,7 @@
         self.learn(placement, request, took_s)
         prompt = request.call.prompt
         if prompt is not None and request.service.engine is not None:
-            self.residency.note(
+            self.residency.record(
                 placement.endpoint.id,
                 placement.instructions.salt,
                 [(part.id, part.tokens) for part in prompt.parts],
@@ -333,17 +335,17 @@
             return
         # What it had to read comes after the fetch.
         in_time = took_s <= placement.fetch_late_s + times.of(tokens)
-        self.kept.health.note_over(sources, request.call.id)
-        self.kept.health.note_first_event(sources, in_time)
+        self.kept_index.health.note_over(sources, request.call.id)
+        self.kept_index.health.note_first_event(sources, in_time)
 
-    def ended(
+    def record_end(
         self,
         placement: requests.Placement,
         call: calls.Call,
         added: load_module.Load,
     ) -> None:
         """Take back what a request added that has left its endpoint."""
-        self.kept.health.note_over(placement.sources(), call.id)
+        self.kept_index.health.note_over(placement.sources(), call.id)
         self.loads.take(placement.endpoint.id, added)
 
     def avoid(self, endpoint: str) -> None:
@@ -354,7 +356,7 @@
         """Forget all endpoints but these, and what counts no longer."""
         now_s = self.clock()
         self.residency.keep_only(endpoints)
-        self.kept.forget_old()
+        self.kept_index.forget_old()
         for endpoint, until_s in list(self.avoided.items()):
             if until_s <= now_s:
                 self.avoided.pop(endpoint, None)
--- a/src/briarseam/placement/cost.py
+++ b/src/briarseam/placement/cost.py
@@ -194,9 +194,9 @@
     )
 
 
-def full(ask: PromptAsk, engines: list[Candidate]) -> requests.Full:
+def full(ask: PromptAsk, engines: list[Candidate]) -> requests.NoCapacity:
     """Return why none of the engines that were looked at may take a prompt."""
-    return requests.Full(
+    return requests.NoCapacity(
         least_fill=min(engine.usual_fill for engine in engines),
         most_fill=ask.most_fill,
         engines=len(engines),
--- a/src/briarseam/placement/kept.py
+++ b/src/briarseam/placement/kept.py
@@ -254,7 +254,7 @@
             return ""
         return order[0].traits.address
 
-    def note_saving(
+    def record_saves(
         self,
         salt: str,
         parts: collections.abc.Sequence[calls.PromptPart],
--- a/src/briarseam/placement/loads.py
+++ b/src/briarseam/placement/loads.py
@@ -173,7 +173,7 @@
         self.sequence += 1
         self.changed.set()
 
-    def wait_for_ease(self, timeout_s: float) -> None:
+    def wait_for_decrease(self, timeout_s: float) -> None:
         """Wait until some work has ended, here or as a peer told."""
         with self.lock:
             self.eased.wait(timeout_s)
--- a/src/briarseam/placement/requests.py
+++ b/src/briarseam/placement/requests.py
@@ -84,7 +84,7 @@
         """Return the stores that it fetches from."""
         return frozenset(filter(None, self.instructions.fetch_from))
 
-    def reasons(self) -> dict[str, int | str]:
+    def log_fields(self) -> dict[str, int | str]:
         """Return what decided, for the log."""
         found: dict[str, int | str] = {
             "requests_there": self.load.requests,
@@ -105,7 +105,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Full:
+class NoCapacity:
     """No endpoint has room for the request just now.
 
     Attributes
--- a/src/briarseam/placement/residency.py
+++ b/src/briarseam/placement/residency.py
@@ -25,7 +25,7 @@
         self.totals: dict[str, int] = {}
         self.lock = threading.Lock()
 
-    def known(
+    def held_tokens(
         self,
         endpoint: str,
         salt: str,
@@ -43,7 +43,7 @@
                 tokens += length
         return tokens
 
-    def note(
+    def record(
         self,
         endpoint: str,
         salt: str,
--- a/src/briarseam/placement/shared_watch.py
+++ b/src/briarseam/placement/shared_watch.py
@@ -106,7 +106,7 @@
                 self.take(store)
         return PAUSE_S
 
-    def take(self, store: messages.StoreTold) -> None:
+    def take(self, store: messages.StoreUpdate) -> None:
         """Take in what is new of one store."""
         events = tuple(store_index.PartEvent(*part) for part in store.parts)
         self.cursors[store.address] = (store.generation, store.sequence)
--- a/src/briarseam/placement/store_messages.py
+++ b/src/briarseam/placement/store_messages.py
@@ -24,7 +24,7 @@
     wait_s: float
 
 
-class StoreTold(msgspec.Struct, frozen=True):
+class StoreUpdate(msgspec.Struct, frozen=True):
     """What is new of one store.
 
     Attributes
@@ -72,4 +72,4 @@
     """
 
     reads: bool
-    stores: tuple[StoreTold, ...]
+    stores: tuple[StoreUpdate, ...]
--- a/src/briarseam/placement/store_sharing.py
+++ b/src/briarseam/placement/store_sharing.py
@@ -73,9 +73,9 @@
 
     def told(
         self, cursors: collections.abc.Iterable[tuple[str, str, int]]
-    ) -> tuple[messages.StoreTold, ...]:
+    ) -> tuple[messages.StoreUpdate, ...]:
         """Return what is new; call it under the index's lock."""
-        found: list[messages.StoreTold] = []
+        found: list[messages.StoreUpdate] = []
         parts = 0
         for address, generation, sequence in cursors:
             index = self.index.stores.get(address)
@@ -90,7 +90,7 @@
 
     def store_told(
         self, index: store_index.StoreIndex, generation: str, sequence: int
-    ) -> messages.StoreTold:
+    ) -> messages.StoreUpdate:
         """Return what is new of one store."""
         behind = index.sequence - sequence
         whole = generation != index.generation or not 0 <= behind <= len(
@@ -107,7 +107,7 @@
             parts = tuple(
                 (event.salt, event.part, event.tokens) for event in newest
             )
-        return messages.StoreTold(
+        return messages.StoreUpdate(
             address=index.traits.address,
             readable=index.readable,
             epoch=index.epoch,
--- a/src/briarseam/placement/store_watch.py
+++ b/src/briarseam/placement/store_watch.py
@@ -54,7 +54,7 @@
         self.stores = stores
         self.address = address
         self.index = index
-        self.since: int | None = None
+        self.cursor: int | None = None
         self.poller = polling.Poller(
             f"store-{address}",
             self.poll,
@@ -73,10 +73,10 @@
 
     def poll(self) -> float:
         """Read the content, or what changed since; return the pause."""
-        if self.since is None:
+        if self.cursor is None:
             self.read_content()
         else:
-            self.read_changes(self.since)
+            self.read_changes(self.cursor)
         return PAUSE_S
 
     def read_content(self) -> None:
@@ -85,7 +85,7 @@
         if self.poller.stopping.is_set():
             return
         self.index.take_content(self.address, content)
-        self.since = content.next
+        self.cursor = content.next
         log.info(
             "cache_store_read",
             address=self.address,
@@ -99,15 +99,15 @@
         if self.poller.stopping.is_set():
             return
         if self.index.take_changes(self.address, changes):
-            self.since = changes.next
+            self.cursor = changes.next
             return
         log.warning(
             "cache_store_anew", address=self.address, epoch=changes.epoch
         )
-        self.since = None
+        self.cursor = None
 
     def lose(self, error: Exception) -> None:
         """Forget the content of a store that does not answer."""
         del error
         self.index.lose(self.address)
-        self.since = None
+        self.cursor = None
--- a/tests/placement/playing.py
+++ b/tests/placement/playing.py
@@ -181,7 +181,7 @@
             loads=loads.Loads(clock=self.clock),
             clock=self.clock,
         )
-        made.kept.set_stores(
+        made.kept_index.set_stores(
             [
                 routes.StoreTraits(address, "a", 10**7, 140_000.0, 0.006, True)
                 for address in STORES
@@ -240,7 +240,7 @@
             None,
             kind.aim_s,
         )
-        chooser.arrived(request)
+        chooser.record_arrival(request)
         self.place(chooser, kind, request, self.now_s())
 
     def place(
@@ -262,19 +262,19 @@
                 return
             self.results.append(Result(kind, at_s, None, prompt.input_tokens))
             return
-        added = chooser.started(placed, request.call)
+        added = chooser.record_start(placed, request.call)
         self.changed(chooser)
         sent_s = self.now_s()
         ready_s = self.work(placed, prompt)
 
         def first_event() -> None:
             took_s = ready_s - sent_s
-            begun = chooser.first_event(placed, request, added, took_s)
+            begun = chooser.record_first_event(placed, request, added, took_s)
             self.changed(chooser)
             self.at(ready_s + kind.stream_s, lambda: ended(begun))
 
         def ended(begun: loads.Load) -> None:
-            chooser.ended(placed, request.call, begun)
+            chooser.record_end(placed, request.call, begun)
             self.changed(chooser)
 
         self.results.append(
@@ -312,8 +312,8 @@
                 if not self.now_s():
                     parts = self.parts_of(number) if self.kept else ()
                     content = store_index.Content(1, 0, parts)
-                    chooser.kept.take_content(address, content)
-                chooser.kept.take_changes(
+                    chooser.kept_index.take_content(address, content)
+                chooser.kept_index.take_changes(
                     address,
                     store_index.Changes(1, 1, False, ()),
                 )
--- a/tests/placement/test_chooser.py
+++ b/tests/placement/test_chooser.py
@@ -83,8 +83,8 @@
     def run(self, **changes):
         request = self.request(**changes)
         placed = self.chooser.choose(request)
-        added = self.chooser.started(placed, request.call)
-        begun = self.chooser.first_event(placed, request, added, 0.1)
+        added = self.chooser.record_start(placed, request.call)
+        begun = self.chooser.record_first_event(placed, request, added, 0.1)
         return placed, begun
 
 
@@ -95,7 +95,7 @@
 
 def test_session_stays_with_the_engine_that_read_it(case):
     first, added = case.run(tokens=20_000)
-    case.chooser.ended(first, case.request().call, added)
+    case.chooser.record_end(first, case.request().call, added)
     again = case.place(tokens=20_000)
     assert again.endpoint == first.endpoint
     assert again.held_tokens == 20_000
@@ -134,7 +134,7 @@
     for _ in range(engines * ENGINES.engine.slots):
         case.run(tokens=100)
     full = case.place(tokens=100)
-    assert isinstance(full, requests.Full)
+    assert isinstance(full, requests.NoCapacity)
     assert "free-slots=0" in str(full)
     assert isinstance(case.place(tokens=100, begun=True), requests.Placement)
 
@@ -176,24 +176,24 @@
         case.run(tokens=20_000)
         admitted += 1
     assert admitted == 3 * 4
-    assert isinstance(case.place(tokens=20_000), requests.Full)
+    assert isinstance(case.place(tokens=20_000), requests.NoCapacity)
     assert isinstance(case.place(tokens=2000), requests.Placement)
 
 
 def test_small_prompt_of_a_kind_does_not_take_the_room_of_a_large_one(case):
     """Guards against serving the smallest prompts of a kind first."""
     for tokens in (20_000, 20_000, 20_000, 2000):
-        case.chooser.arrived(case.request(tokens=tokens))
+        case.chooser.record_arrival(case.request(tokens=tokens))
     while isinstance(case.place(tokens=20_000), requests.Placement):
         case.run(tokens=20_000)
-    assert isinstance(case.place(tokens=2000), requests.Full)
+    assert isinstance(case.place(tokens=2000), requests.NoCapacity)
     other = dataclasses.replace(case.request().route, name="question")
     assert isinstance(case.place(tokens=2000, route=other), requests.Placement)
 
 
 def test_prompt_that_no_engine_can_hold_is_refused_at_once(case):
     """Guards against sends that every engine rejects."""
-    case.chooser.arrived(case.request(tokens=1000))
+    case.chooser.record_arrival(case.request(tokens=1000))
     refused = case.place(tokens=ENGINES.engine.cache_tokens + 1)
     assert isinstance(refused, verdict.NotRun)
     assert refused.retry_after_s is None
@@ -204,7 +204,7 @@
     while isinstance(case.place(tokens=20_000), requests.Placement):
         runs.append(case.run(tokens=20_000))
     placed, added = runs[0]
-    case.chooser.ended(placed, case.request().call, added)
+    case.chooser.record_end(placed, case.request().call, added)
     assert isinstance(case.place(tokens=20_000), requests.Placement)
 
 
@@ -213,7 +213,7 @@
     while isinstance(peer.place(tokens=20_000), requests.Placement):
         peer.run(tokens=20_000)
     case.chooser.loads.consume("peer", peer.chooser.loads.provide())
-    assert isinstance(case.place(tokens=20_000), requests.Full)
+    assert isinstance(case.place(tokens=20_000), requests.NoCapacity)
     case.chooser.loads.keep_only(frozenset())
     assert isinstance(case.place(tokens=20_000), requests.Placement)
 
@@ -278,10 +278,10 @@
 
 
 def test_own_part_of_a_prompt_is_neither_fetched_nor_saved(case):
-    case.chooser.kept.set_stores(
+    case.chooser.kept_index.set_stores(
         [routes.StoreTraits("s:1", "a", 10**6, 1.0, 0.0, True)]
     )
-    case.chooser.kept.take_content("s:1", store_index.Content(1, 0, ()))
+    case.chooser.kept_index.take_content("s:1", store_index.Content(1, 0, ()))
     placed = case.place()
     assert placed.instructions.save_to == ("s:1", "")
     assert placed.instructions.fetch_from == ("", "")
@@ -294,7 +294,7 @@
     chosen = []
     for _ in range(3):
         placed = case.chooser.choose(request)
-        case.chooser.started(placed, call)
+        case.chooser.record_start(placed, call)
         chosen.append(placed.endpoint.id)
     assert sorted(chosen) == ["e0", "e1", "e2"]
 
@@ -304,7 +304,7 @@
     begin on weights that were replaced long ago.
     """
     case.required = 2
-    assert isinstance(case.place(), requests.Full)
+    assert isinstance(case.place(), requests.NoCapacity)
     case.board.learn("e2", MODEL, 2)
     assert case.place().endpoint.id == "e2"
 
@@ -326,22 +326,24 @@
 def keeping(case):
     """A store that keeps the shared part of the session's prompts."""
     chooser = case.chooser
-    chooser.kept.set_stores(
+    chooser.kept_index.set_stores(
         [routes.StoreTraits(STORE, "a", 10**6, 140_000.0, 0.006, True)]
     )
     salt = case.place().instructions.salt
     part = store_index.PartEvent(salt, "s", 500)
-    chooser.kept.take_content(STORE, store_index.Content(1, 0, (part,)))
+    chooser.kept_index.take_content(STORE, store_index.Content(1, 0, (part,)))
     return case
 
 
 def fetch_late(case):
     placed = case.place()
     assert STORE in placed.instructions.fetch_from
-    added = case.chooser.started(placed, case.request().call)
+    added = case.chooser.record_start(placed, case.request().call)
     late_s = placed.fetch_late_s + 0.5
-    begun = case.chooser.first_event(placed, case.request(), added, late_s)
-    case.chooser.ended(placed, case.request().call, begun)
+    begun = case.chooser.record_first_event(
+        placed, case.request(), added, late_s
+    )
+    case.chooser.record_end(placed, case.request().call, begun)
     case.chooser.residency.keep_only(())
 
 
@@ -357,9 +359,9 @@
     assert placed.missing_tokens == 1000
     keeping.clock.now_s += fetching.PAUSE_S
     tried = keeping.place()
-    added = keeping.chooser.started(tried, keeping.request().call)
+    added = keeping.chooser.record_start(tried, keeping.request().call)
     assert keeping.place().sources() == frozenset()
-    keeping.chooser.first_event(tried, keeping.request(), added, 0.1)
+    keeping.chooser.record_first_event(tried, keeping.request(), added, 0.1)
     assert keeping.place().sources() == {STORE}
 
 
--- a/tests/placement/test_kept.py
+++ b/tests/placement/test_kept.py
@@ -46,7 +46,7 @@
     """
     plan = index.plan(SALT, parts("a"))
     assert plan.fetch_from == ("",)
-    index.note_saving(SALT, parts("a"), plan.save_to)
+    index.record_saves(SALT, parts("a"), plan.save_to)
     assert index.plan(SALT, parts("a")) == kept.Plan(("",), ("",), 0)
     whole(index, plan.save_to[0], "a")
     assert index.plan(SALT, parts("a")).fetch_from == plan.save_to
@@ -106,7 +106,7 @@
 
 def test_save_that_came_to_nothing_is_tried_again(index, clock):
     plan = index.plan(SALT, parts("a"))
-    index.note_saving(SALT, parts("a"), plan.save_to)
+    index.record_saves(SALT, parts("a"), plan.save_to)
     clock.now_s += kept.SAVING_S + 0.1
     for address in ("s1", "s2"):
         whole(index, address)
@@ -118,7 +118,7 @@
     off of it and takes no other.
     """
     first = index.plan(SALT, parts("a")).save_to
-    index.note_saving(SALT, parts("a"), first)
+    index.record_saves(SALT, parts("a"), first)
     clock.now_s += kept.SAVING_S + 0.1
     for address in ("s1", "s2"):
         whole(index, address)
--- a/tests/platform/restarted_engine.py
+++ b/tests/platform/restarted_engine.py
@@ -133,8 +133,12 @@
         lambda node, id: node.weights.board.is_changing(id),
     ),
     "prompts that it has read": Thing(
-        lambda node, id, case: node.chooser.residency.note(id, SALT, PARTS, 0),
-        lambda node, id: node.chooser.residency.known(id, SALT, PARTS) > 0,
+        lambda node, id, case: node.chooser.residency.record(
+            id, SALT, PARTS, 0
+        ),
+        lambda node, id: (
+            node.chooser.residency.held_tokens(id, SALT, PARTS) > 0
+        ),
     ),
     "own work": Thing(
         lambda node, id, case: node.chooser.loads.add(id, WORK), knows_work
--- a/tests/platform/test_restarted_endpoint_serving.py
+++ b/tests/platform/test_restarted_endpoint_serving.py
@@ -52,7 +52,7 @@
 def test_late_word_is_swept_while_serving(born_system):
     """An answer was on its way when its engine died."""
     residency = born_system.node.chooser.residency
-    residency.note(
+    residency.record(
         starts.Start(restarted.NAME, 1).id, restarted.SALT, restarted.PARTS, 0
     )
     waiting.until(lambda: not residency.held, restarted.PATIENCE_S)
--- a/tests/platform/test_restarted_store.py
+++ b/tests/platform/test_restarted_store.py
@@ -66,7 +66,7 @@
 
     def told(self, born, epoch, whole, readable=True):
         """Return what a peer tells that has part "a" of some start."""
-        return messages.StoreTold(
+        return messages.StoreUpdate(
             self.store.address,
             readable,
             epoch,
@@ -93,7 +93,7 @@
     made.watch.poll()
     made.reading.poll()
     assert made.fetched()
-    made.index.note_saving(SALT, SAVED, [store.address])
+    made.index.record_saves(SALT, SAVED, [store.address])
     return made
 
 
@@ -103,7 +103,7 @@
 
 def by_list(case):
     """The watch had lost the store, so it reads all anew."""
-    case.watch.since = None
+    case.watch.cursor = None
     case.watch.poll()
 
 
