--- a/src/briarseam/compose/node.py
+++ b/src/briarseam/compose/node.py
@@ -27,12 +27,12 @@
 from briarseam.forwarding import crash_guard
 from briarseam.forwarding import loss_sharing
 from briarseam.forwarding import refusing
+from briarseam.forwarding import request_context
 from briarseam.forwarding import retry_budget
 from briarseam.forwarding import server as http
 from briarseam.forwarding import service as forwarding
 from briarseam.forwarding import shutdown as shutdowns
 from briarseam.forwarding import supervision
-from briarseam.forwarding import work as works
 from briarseam.lookup import zonal
 from briarseam.membership import drain as drains
 from briarseam.metrics import registry as metrics
@@ -190,11 +190,11 @@
             topics=self.topic_reads,
         )
 
-    def build_forwarding(self) -> works.Parts:
+    def build_forwarding(self) -> request_context.Dependencies:
         """Return what forwarding needs."""
         bounds = self.settings.bounds
         registry = self.metrics
-        return works.Parts(
+        return request_context.Dependencies(
             table=self.feeds.operators.current,
             border=border.CallBorder(),
             refusals=refusing.Refusals(answers.encode_verdict),
@@ -278,7 +278,7 @@
         return node_draining.Draining(
             self.shutdown,
             self.in_flight,
-            self.forwarding.under_way,
+            self.forwarding.active_requests,
             self.instances,
             self.sign_off,
         ).run(hurry, asked_s)
@@ -326,7 +326,7 @@
         self.settings = settings
         self.weights.settings = settings
         bounds = settings.bounds
-        budget = self.forwarding.parts.budget
+        budget = self.forwarding.deps.budget
         budget.ratio = bounds.retry_ratio
         budget.slack = bounds.retry_slack
         if str(settings.store.address) != self.store.address:
--- a/src/briarseam/compose/node_draining.py
+++ b/src/briarseam/compose/node_draining.py
@@ -12,8 +12,8 @@
 
 if typing.TYPE_CHECKING:
     from briarseam.compose import node_instances
+    from briarseam.forwarding import active_requests as forwarded
     from briarseam.forwarding import shutdown as shutdowns
-    from briarseam.forwarding import under_way as forwarded
 
 # For the last answers to requests that are cut off: their threads may wait
 # for a connection to an endpoint, which takes 0.4 s at most.
@@ -33,7 +33,7 @@
         What is still taken on, and until when.
     in_flight
         Requests in flight.
-    under_way
+    active_requests
         Those that are being forwarded.
     instances
         The peers that give out lookups.
@@ -44,7 +44,7 @@
 
     shutdown: shutdowns.Shutdown
     in_flight: inflight.InFlight
-    under_way: forwarded.UnderWay
+    active_requests: forwarded.ActiveRequests
     instances: node_instances.Instances
     sign_off: typing.Callable[[], None]
 
@@ -77,7 +77,7 @@
         ).run()
         if isinstance(outcome, drain.CutOff):
             self.in_flight.move_to(inflight.Stage.REFUSING)
-            self.under_way.cut_off()
+            self.active_requests.cut_off()
             self.in_flight.close(FINAL_ANSWERS_S)
         return outcome
 
--- a/src/briarseam/compose/node_metrics.py
+++ b/src/briarseam/compose/node_metrics.py
@@ -6,7 +6,7 @@
 import typing
 
 from briarseam import malformed
-from briarseam.forwarding import work as works
+from briarseam.forwarding import request_context
 
 if typing.TYPE_CHECKING:
     from briarseam.metrics import registry as metrics
@@ -95,9 +95,9 @@
     return lambda kind: counters[kind].add()
 
 
-def forwarding_metrics(registry: metrics.Registry) -> works.Metrics:
+def forwarding_metrics(registry: metrics.Registry) -> request_context.Metrics:
     """Return what forwarding counts and times."""
-    return works.Metrics(
+    return request_context.Metrics(
         answers=registry.counters(
             "answers_total",
             "Requests of callers by how they ended",
@@ -112,7 +112,7 @@
             "first_event_us",
             "Time from a request to its stream's first event",
         ),
-        whole_us=registry.latency(
+        answer_us=registry.latency(
             "answer_us", "Time from a request to the end of it"
         ),
     )
--- a/src/briarseam/forwarding/under_way.py
+++ b/src/briarseam/forwarding/active_requests.py
@@ -12,40 +12,42 @@
 from briarseam.forwarding import supervision
 
 if typing.TYPE_CHECKING:
-    from briarseam.forwarding import work as works
+    from briarseam.forwarding import request_context
 
 log = structlog.get_logger("briarseam.forwarding")
 
 
-class UnderWay:
+class ActiveRequests:
     """Knows all requests under way, and ends them when the process ends.
 
     Attributes
     ----------
-    works
+    contexts
         The requests, by identity.
     cutting
         Whether each is ended at once.
     """
 
     def __init__(self) -> None:
-        self.works: dict[int, works.Work] = {}
+        self.contexts: dict[int, request_context.Context] = {}
         self.cutting = False
         self.lock = threading.Lock()
 
     @contextlib.contextmanager
-    def holding(self, work: works.Work) -> typing.Iterator[None]:
+    def holding(
+        self, context: request_context.Context
+    ) -> typing.Iterator[None]:
         """Hold a request until it has its answer."""
         with self.lock:
-            self.works[id(work)] = work
+            self.contexts[id(context)] = context
             cutting = self.cutting
         if cutting:
-            work.watch.end(supervision.Ending.CUT_OFF)
+            context.watch.end(supervision.Ending.CUT_OFF)
         try:
             yield
         finally:
             with self.lock:
-                del self.works[id(work)]
+                del self.contexts[id(context)]
 
     def cut_off(self) -> None:
         """End all requests, since the process ends.
@@ -57,15 +59,15 @@
         """
         with self.lock:
             self.cutting = True
-            cut_off = list(self.works.values())
-        for work in cut_off:
+            cut_off = list(self.contexts.values())
+        for context in cut_off:
             log.warning(
                 "request_cut_off",
-                request=work.call.id,
-                route=work.route.name,
-                steps=work.steps,
-                events_sent=work.progress.events_sent,
-                age_ms=round((clocks.boot_clock() - work.arrived_s) * 1000),
-                time_left_ms=round(work.watch.left_s() * 1000),
+                request=context.call.id,
+                route=context.route.name,
+                steps=context.steps,
+                events_sent=context.progress.events_sent,
+                age_ms=round((clocks.boot_clock() - context.arrived_s) * 1000),
+                time_left_ms=round(context.watch.left_s() * 1000),
             )
-            work.watch.end(supervision.Ending.CUT_OFF)
+            context.watch.end(supervision.Ending.CUT_OFF)
--- a/src/briarseam/forwarding/work.py
+++ b/src/briarseam/forwarding/request_context.py
@@ -58,11 +58,11 @@
     answers: labels.Family[instruments.Counter]
     sends: labels.Family[instruments.Counter]
     first_event_us: instruments.Latency
-    whole_us: instruments.Latency
+    answer_us: instruments.Latency
 
 
 @dataclasses.dataclass(frozen=True)
-class Parts:
+class Dependencies:
     """What forwarding needs.
 
     Attributes
@@ -105,7 +105,7 @@
 
 
 @dataclasses.dataclass
-class Work:
+class Context:
     """One request under way.
 
     Attributes
@@ -180,10 +180,10 @@
         return {"memory_tokens": placements.memory_of(self.call.prompt)}
 
 
-def may_go_on(work: Work) -> bool:
+def may_go_on(context: Context) -> bool:
     """Tell whether a request may go to another endpoint."""
-    if work.may_have_run and not work.route.idempotent:
+    if context.may_have_run and not context.route.idempotent:
         return False
-    if work.progress.events_sent and not work.route.resumable:
+    if context.progress.events_sent and not context.route.resumable:
         return False
-    return work.sends < work.route.max_endpoints
+    return context.sends < context.route.max_endpoints
--- a/src/briarseam/forwarding/service.py
+++ b/src/briarseam/forwarding/service.py
@@ -9,14 +9,14 @@
 
 from briarseam import clocks
 from briarseam import verdict
+from briarseam.forwarding import active_requests
 from briarseam.forwarding import attempts
 from briarseam.forwarding import crash_guard
 from briarseam.forwarding import outcomes
 from briarseam.forwarding import refusing
+from briarseam.forwarding import request_context
 from briarseam.forwarding import server
 from briarseam.forwarding import supervision
-from briarseam.forwarding import under_way
-from briarseam.forwarding import work as works
 from briarseam.placement import requests as placements
 from briarseam.routes import model as routes
 from briarseam.routes import table as tables
@@ -40,13 +40,13 @@
 
     Parameters
     ----------
-    parts
+    deps
         What it needs.
     """
 
-    def __init__(self, parts: works.Parts) -> None:
-        self.parts = parts
-        self.under_way = under_way.UnderWay()
+    def __init__(self, deps: request_context.Dependencies) -> None:
+        self.deps = deps
+        self.active_requests = active_requests.ActiveRequests()
 
     def handle(self, exchange: server.Exchange) -> None:
         """Answer one request; the body of its connection's thread."""
@@ -64,22 +64,22 @@
             self.refuse_unread(exchange, str(error))
             return
         try:
-            call = self.parts.border.decode_call(
+            call = self.deps.border.decode_call(
                 exchange.method, exchange.target, exchange.headers
             )
         except refusing.MalformedCallError as error:
             self.refuse(exchange, "", refusing.malformed(str(error)))
             return
-        if self.parts.shutdown.begun:
+        if self.deps.shutdown.begun:
             # Some hundred lines at most: it ends with the process.
             log.info(
                 "request_read",
                 request=call.id,
-                stopping_for_ms=self.parts.shutdown.since_ms(),
-                in_flight=self.parts.in_flight.count,
+                stopping_for_ms=self.deps.shutdown.since_ms(),
+                in_flight=self.deps.in_flight.count,
             )
         found = self.find(exchange, call, body, arrived_s)
-        if isinstance(found, works.Work):
+        if isinstance(found, request_context.Context):
             self.run(found)
         else:
             self.refuse(exchange, call.id, found)
@@ -90,9 +90,9 @@
         call: calls.Call,
         body: bytes,
         arrived_s: float,
-    ) -> works.Work | verdict.Verdict:
+    ) -> request_context.Context | verdict.Verdict:
         """Return the work that a call makes, or why there is none."""
-        table = self.parts.table()
+        table = self.deps.table()
         if table is None:
             return refusing.NO_CONFIGURATION
         route = table.find(call.host, call.path)
@@ -105,8 +105,8 @@
         if call.time_left_s is not None:
             wait_s = min(wait_s, call.time_left_s)
         deadline_s = arrived_s + wait_s
-        refusing_all = self.parts.in_flight.refusing
-        if refusing_all or not self.parts.shutdown.takes(deadline_s):
+        refusing_all = self.deps.in_flight.refusing
+        if refusing_all or not self.deps.shutdown.takes(deadline_s):
             return refusing.LEAVING
         session = call.id
         if call.prompt is not None:
@@ -117,9 +117,9 @@
             service = routes.Service(name)
         organisation = caller.name if isinstance(caller, tables.Known) else ""
         digest = crash_guard.digest_of(call.target, organisation, body)
-        if self.parts.guard.is_refused(digest):
+        if self.deps.guard.is_refused(digest):
             return refusing.CONDEMNED
-        return works.Work(
+        return request_context.Context(
             exchange=exchange,
             call=call,
             body=body,
@@ -133,21 +133,21 @@
             progress=attempts.Progress(last_event_id=call.last_event_id),
         )
 
-    def run(self, work: works.Work) -> None:
+    def run(self, context: request_context.Context) -> None:
         """Answer one request that the configuration allows."""
-        self.parts.budget.earn(work.service.name)
-        self.parts.chooser.record_arrival(work.request())
-        with self.under_way.holding(work):
-            self.parts.supervisor.watch(work.watch)
+        self.deps.budget.earn(context.service.name)
+        self.deps.chooser.record_arrival(context.request())
+        with self.active_requests.holding(context):
+            self.deps.supervisor.watch(context.watch)
             try:
-                ended = self.try_endpoints(work)
+                ended = self.try_endpoints(context)
             except supervision.EndedError as error:
-                ended = self.end(work, error.ending)
+                ended = self.end(context, error.ending)
             finally:
-                self.parts.supervisor.forget(work.watch)
-        self.note(work, ended)
+                self.deps.supervisor.forget(context.watch)
+        self.note(context, ended)
 
-    def try_endpoints(self, work: works.Work) -> str:
+    def try_endpoints(self, context: request_context.Context) -> str:
         """Send the request to endpoints until one answers.
 
         Returns
@@ -156,80 +156,87 @@
             How it ended, for the log.
         """
         while True:
-            placed = self.place(work)
+            placed = self.place(context)
             if isinstance(placed, verdict.NotRun):
-                work.refusal = work.refusal or placed
-                return self.give_up(work)
-            if work.sends and not self.parts.budget.spend(work.service.name):
-                work.steps.append("no-retry-budget")
-                return self.give_up(work)
-            outcome = self.send(work, placed)
-            work.tried.add(placed.endpoint.id)
+                context.refusal = context.refusal or placed
+                return self.give_up(context)
+            if context.sends and not self.deps.budget.spend(
+                context.service.name
+            ):
+                context.steps.append("no-retry-budget")
+                return self.give_up(context)
+            outcome = self.send(context, placed)
+            context.tried.add(placed.endpoint.id)
             if isinstance(outcome, outcomes.Answered):
-                self.parts.guard.note_answered(work.digest)
+                self.deps.guard.note_answered(context.digest)
                 return f"answered-{outcome.status}"
-            self.take_failure(work, placed.endpoint.id, outcome)
-            if not works.may_go_on(work):
-                return self.give_up(work)
+            self.take_failure(context, placed.endpoint.id, outcome)
+            if not request_context.may_go_on(context):
+                return self.give_up(context)
 
-    def place(self, work: works.Work) -> placements.Placement | verdict.NotRun:
+    def place(
+        self, context: request_context.Context
+    ) -> placements.Placement | verdict.NotRun:
         """Return where a request goes, waiting a little for room."""
-        chooser = self.parts.chooser
-        hold_s = work.route.target_latency_s * HOLD_SHARE
-        since_s = clocks.boot_clock() if work.sends else work.arrived_s
+        chooser = self.deps.chooser
+        hold_s = context.route.target_latency_s * HOLD_SHARE
+        since_s = clocks.boot_clock() if context.sends else context.arrived_s
         until_s = since_s + hold_s
         while True:
-            work.watch.check()
-            if work.watch.left_s() <= 0:
+            context.watch.check()
+            if context.watch.left_s() <= 0:
                 # The supervisor looks each 50 ms only.  Sent on meanwhile,
                 # the request would run for nobody, and its caller could not
                 # be told that it has not.
                 raise supervision.EndedError(supervision.Ending.TIMED_OUT)
-            placed = chooser.choose(work.request())
+            placed = chooser.choose(context.request())
             if not isinstance(placed, placements.NoCapacity):
                 return placed
             left_s = until_s - clocks.boot_clock()
             if left_s <= 0:
-                work.steps.append(f"no-room {placed}")
+                context.steps.append(f"no-room {placed}")
                 return refusing.BUSY
             chooser.loads.wait_for_decrease(min(left_s, ROOM_POLL_S))
 
     def take_failure(
-        self, work: works.Work, endpoint: str, outcome: outcomes.Outcome
+        self,
+        context: request_context.Context,
+        endpoint: str,
+        outcome: outcomes.Outcome,
     ) -> None:
         """Draw what follows from an endpoint that did not answer well."""
         match outcome:
             case outcomes.Unreached():
-                self.parts.chooser.avoid(endpoint)
-                work.refusal = work.refusal or refusing.UNREACHED
+                self.deps.chooser.avoid(endpoint)
+                context.refusal = context.refusal or refusing.UNREACHED
                 return
             case outcomes.Rejected():
-                work.refusal = refusing.rejected(outcome)
+                context.refusal = refusing.rejected(outcome)
                 if outcome.status == MOVED:
-                    self.parts.chooser.avoid(endpoint)
+                    self.deps.chooser.avoid(endpoint)
             case outcomes.Failed():
-                work.failed = outcome
-                work.may_have_run = True
+                context.failed = outcome
+                context.may_have_run = True
             case outcomes.Broken():
-                work.may_have_run = True
-                self.parts.chooser.avoid(endpoint)
-                self.parts.guard.note_lost(work.digest, endpoint)
-        work.sends += 1
+                context.may_have_run = True
+                self.deps.chooser.avoid(endpoint)
+                self.deps.guard.note_lost(context.digest, endpoint)
+        context.sends += 1
 
     def send(
-        self, work: works.Work, placed: placements.Placement
+        self, context: request_context.Context, placed: placements.Placement
     ) -> outcomes.Outcome:
         """Send the request to one endpoint."""
-        chooser = self.parts.chooser
-        request = work.request()
+        chooser = self.deps.chooser
+        request = context.request()
         sent_s = clocks.boot_clock()
         first_ms = -1
-        added = chooser.record_start(placed, work.call)
+        added = chooser.record_start(placed, context.call)
         log.info(
             "request_sent",
-            request=work.call.id,
+            request=context.call.id,
             endpoint=placed.endpoint.id,
-            time_left_ms=round(work.watch.left_s() * 1000),
+            time_left_ms=round(context.watch.left_s() * 1000),
             **placed.log_fields(),
         )
 
@@ -239,40 +246,44 @@
             took_s = now_s - sent_s
             added = chooser.record_first_event(placed, request, added, took_s)
             first_ms = round(took_s * 1000)
-            if not work.progress.events_sent:
-                waited_s = now_s - work.arrived_s
-                self.parts.metrics.first_event_us.record_s(waited_s)
+            if not context.progress.events_sent:
+                waited_s = now_s - context.arrived_s
+                self.deps.metrics.first_event_us.record_s(waited_s)
 
         instructions = dataclasses.replace(
             placed.instructions,
-            time_left_s=max(0.0, work.watch.left_s()),
-            last_event_id=work.progress.last_event_id,
+            time_left_s=max(0.0, context.watch.left_s()),
+            last_event_id=context.progress.last_event_id,
         )
         errand = attempts.Errand(
-            exchange=work.exchange,
-            call=work.call,
-            body=work.body,
-            route=work.route,
+            exchange=context.exchange,
+            call=context.call,
+            body=context.body,
+            route=context.route,
             endpoint=placed.endpoint,
-            headers=self.parts.border.encode_headers(work.call, instructions),
-            watch=work.watch,
-            progress=work.progress,
+            headers=self.deps.border.encode_headers(
+                context.call, instructions
+            ),
+            watch=context.watch,
+            progress=context.progress,
             on_first_event=on_first_event,
         )
         outcome: outcomes.Outcome | None = None
         try:
-            outcome = self.parts.sender.send(errand)
+            outcome = self.deps.sender.send(errand)
         except supervision.EndedError:
-            work.may_have_run = work.may_have_run or work.progress.asked
+            context.may_have_run = (
+                context.may_have_run or context.progress.asked
+            )
             raise
         finally:
-            chooser.record_end(placed, work.call, added)
-            self.note_send(work, placed, outcome, first_ms)
+            chooser.record_end(placed, context.call, added)
+            self.note_send(context, placed, outcome, first_ms)
         return outcome
 
     def note_send(
         self,
-        work: works.Work,
+        context: request_context.Context,
         placed: placements.Placement,
         outcome: outcomes.Outcome | None,
         first_ms: int,
@@ -287,36 +298,40 @@
                 step = f"{step}-{status}"
         if first_ms >= 0:
             step = f"{step} first={first_ms}ms"
-        work.steps.append(step)
-        self.parts.metrics.sends.labelled(name).add()
+        context.steps.append(step)
+        self.deps.metrics.sends.labelled(name).add()
 
-    def give_up(self, work: works.Work) -> str:
+    def give_up(self, context: request_context.Context) -> str:
         """Give the caller a final answer at once, without a good one."""
-        if work.progress.events_sent:
-            work.exchange.abort()
+        if context.progress.events_sent:
+            context.exchange.abort()
             return "broken-off"
-        failed = work.failed
+        failed = context.failed
         if failed is not None and (
             failed.head.status not in attempts.PROMISING
         ):
-            work.watch.detach()
-            attempts.deliver(work.exchange, failed.head, failed.body)
+            context.watch.detach()
+            attempts.deliver(context.exchange, failed.head, failed.body)
             return f"failed-{failed.head.status}"
-        given = work.refusal
-        if work.may_have_run or given is None:
+        given = context.refusal
+        if context.may_have_run or given is None:
             given = refusing.LOST
-        self.answer(work.exchange, given)
+        self.answer(context.exchange, given)
         return f"refused-{given.reason.value}"
 
-    def end(self, work: works.Work, ending: supervision.Ending) -> str:
+    def end(
+        self, context: request_context.Context, ending: supervision.Ending
+    ) -> str:
         """Answer, as far as one can, a request that was ended."""
         if (
             ending is supervision.Ending.CALLER_GONE
-            or work.progress.events_sent
+            or context.progress.events_sent
         ):
-            work.exchange.abort()
+            context.exchange.abort()
         else:
-            self.answer(work.exchange, verdict_of(ending, work.may_have_run))
+            self.answer(
+                context.exchange, verdict_of(ending, context.may_have_run)
+            )
         return ending.value
 
     def refuse_unread(self, exchange: server.Exchange, detail: str) -> None:
@@ -329,7 +344,7 @@
     ) -> None:
         """Refuse a request that no endpoint was asked about."""
         self.answer(exchange, given)
-        self.parts.metrics.answers.labelled(
+        self.deps.metrics.answers.labelled(
             f"refused-{given.reason.value}"
         ).add()
         log.info(
@@ -346,26 +361,26 @@
     ) -> None:
         """Send a verdict; a caller that has gone does not matter."""
         try:
-            self.parts.refusals.send(exchange, given)
+            self.deps.refusals.send(exchange, given)
         except OSError as error:
             log.info("caller_gone", detail=str(error))
             exchange.abort()
 
-    def note(self, work: works.Work, ended: str) -> None:
+    def note(self, context: request_context.Context, ended: str) -> None:
         """Count a request and log what was decided about it."""
-        took_s = clocks.boot_clock() - work.arrived_s
-        self.parts.metrics.answers.labelled(ended).add()
-        self.parts.metrics.whole_us.record_s(took_s)
+        took_s = clocks.boot_clock() - context.arrived_s
+        self.deps.metrics.answers.labelled(ended).add()
+        self.deps.metrics.answer_us.record_s(took_s)
         log.info(
             "request_ended",
-            request=work.call.id,
-            route=work.route.name,
-            service=work.service.name,
-            configuration=work.configuration,
-            steps=work.steps,
+            request=context.call.id,
+            route=context.route.name,
+            service=context.service.name,
+            configuration=context.configuration,
+            steps=context.steps,
             outcome=ended,
             took_ms=round(took_s * 1000),
-            **work.size(),
+            **context.size(),
         )
 
 
--- a/tests/platform/test_stopping.py
+++ b/tests/platform/test_stopping.py
@@ -43,7 +43,7 @@
     with futures.ThreadPoolExecutor() as pool:
         answer = pool.submit(system.call, "/submit/x")
         waiting.until(
-            lambda: system.node.forwarding.under_way.works, PATIENCE_S
+            lambda: system.node.forwarding.active_requests.contexts, PATIENCE_S
         )
         system.node.in_flight.move_to(inflight.Stage.LEAVING)
         for worker in system.workers.values():
