--- a/src/briarseam/compose/node.py
+++ b/src/briarseam/compose/node.py
@@ -255,7 +255,7 @@
         self.feeds.registry.forget_lapsed()
         self.forget_all_but(self.feeds.registry.ids())
         self.pool.close_old()
-        self.guard.forget_old()
+        self.guard.forget_expired()
         self.threads.renew()
         names = frozenset(self.instances.all_names())
         self.chooser.loads.keep_only(names)
--- a/src/briarseam/compose/node_calls.py
+++ b/src/briarseam/compose/node_calls.py
@@ -171,7 +171,7 @@
         """
         self.tell(address, message, cell_loads.CellLoadNoted)
 
-    def tell_losses(
+    def send_losses(
         self, address: str, message: loss_sharing.RequestsLost
     ) -> None:
         """Tell requests that were lost with an endpoint.
--- a/src/briarseam/compose/node_meeting.py
+++ b/src/briarseam/compose/node_meeting.py
@@ -97,7 +97,7 @@
             shared_messages.RecordsAsked: node_peers.Answer(
                 self.topics.answer, self.topics.await_answer
             ),
-            loss_sharing.RequestsLost: node_peers.Answer(self.losses.take),
+            loss_sharing.RequestsLost: node_peers.Answer(self.losses.handle),
             cell_loads.CellLoad: node_peers.Answer(self.cell_loads.answer),
             cell_weights.WeightsTold: node_peers.Answer(
                 self.cell_weights.answer
--- a/src/briarseam/forwarding/crash_guard.py
+++ b/src/briarseam/forwarding/crash_guard.py
@@ -98,12 +98,12 @@
                 lost |= told.losses.get(digest, frozenset())
         return len(lost) >= MOST_LOST
 
-    def note_lost(self, digest: bytes, endpoint: str) -> None:
+    def record_loss(self, digest: bytes, endpoint: str) -> None:
         """Note that an endpoint was lost while it had a request."""
-        self.note_told(digest, endpoint)
+        self.add_loss(digest, endpoint)
         self.on_lost(digest, endpoint)
 
-    def note_told(self, digest: bytes, endpoint: str) -> None:
+    def add_loss(self, digest: bytes, endpoint: str) -> None:
         """Note a loss, here or in a cell whose heartbeats are not heard."""
         with self.lock:
             losses = self.own.setdefault(digest, Losses())
@@ -115,12 +115,12 @@
                 "request_condemned", digest=digest.hex(), endpoints=count
             )
 
-    def note_answered(self, digest: bytes) -> None:
+    def record_answer(self, digest: bytes) -> None:
         """Note that a request was answered, so that it is none of these."""
         with self.lock:
             self.own.pop(digest, None)
 
-    def forget_old(self) -> None:
+    def forget_expired(self) -> None:
         """Forget losses that count no longer."""
         oldest_s = self.clock() - MEMORY_S
         with self.lock:
--- a/src/briarseam/forwarding/loss_sharing.py
+++ b/src/briarseam/forwarding/loss_sharing.py
@@ -54,7 +54,7 @@
     def addresses(self) -> collections.abc.Sequence[str]:
         """Return where to reach one instance of each other cell."""
 
-    def tell_losses(self, address: str, message: RequestsLost) -> None:
+    def send_losses(self, address: str, message: RequestsLost) -> None:
         """Tell an instance.
 
         Raises
@@ -105,10 +105,10 @@
         except queue.Full:
             log.warning("loss_left_untold", digest=digest.hex())
 
-    def take(self, told: RequestsLost) -> RequestsLostNoted:
+    def handle(self, told: RequestsLost) -> RequestsLostNoted:
         """Take in what another cell lost; heartbeats tell it in this one."""
         for digest, endpoint in told.losses:
-            self.guard.note_told(digest, endpoint)
+            self.guard.add_loss(digest, endpoint)
         return RequestsLostNoted()
 
     def run(self) -> None:
@@ -126,7 +126,7 @@
         """Tell one instance of each other cell."""
         for address in self.cells.addresses():
             try:
-                self.cells.tell_losses(address, message)
+                self.cells.send_losses(address, message)
             except replies.NoReplyError as error:
                 log.warning(
                     "losses_not_told",
--- a/src/briarseam/forwarding/service.py
+++ b/src/briarseam/forwarding/service.py
@@ -168,7 +168,7 @@
             outcome = self.send(context, placed)
             context.tried.add(placed.endpoint.id)
             if isinstance(outcome, outcomes.Answered):
-                self.deps.guard.note_answered(context.digest)
+                self.deps.guard.record_answer(context.digest)
                 return f"answered-{outcome.status}"
             self.take_failure(context, placed.endpoint.id, outcome)
             if not request_context.may_go_on(context):
@@ -220,7 +220,7 @@
             case outcomes.Broken():
                 context.may_have_run = True
                 self.deps.chooser.avoid(endpoint)
-                self.deps.guard.note_lost(context.digest, endpoint)
+                self.deps.guard.record_loss(context.digest, endpoint)
         context.sends += 1
 
     def send(
--- a/tests/compose/test_node_calls.py
+++ b/tests/compose/test_node_calls.py
@@ -74,7 +74,7 @@
     made = calls()
     made.instances.service = None
     with pytest.raises(replies.NoReplyError):
-        made.tell_losses("b2:1", loss_sharing.RequestsLost(()))
+        made.send_losses("b2:1", loss_sharing.RequestsLost(()))
     with pytest.raises(replies.NoReplyError):
         made.publish_load("b2:1", cell_loads.CellLoad("a", 2, ()))
     with pytest.raises(shared_watch.ReaderUnavailableError):
--- a/tests/forwarding/test_crash_guard.py
+++ b/tests/forwarding/test_crash_guard.py
@@ -21,7 +21,7 @@
 
 def lose(guard, *endpoints):
     for endpoint in endpoints:
-        guard.note_lost(DIGEST, endpoint)
+        guard.record_loss(DIGEST, endpoint)
 
 
 def test_request_lost_at_three_endpoints_is_refused(guard):
@@ -59,17 +59,17 @@
     lose(peer, "e1", "e2", "e3")
     guard.consume("peer", peer.provide())
     clock.now_s += crash_guard.MEMORY_S - 1
-    guard.forget_old()
+    guard.forget_expired()
     assert guard.is_refused(DIGEST)
     clock.now_s += 2
-    guard.forget_old()
+    guard.forget_expired()
     assert not guard.is_refused(DIGEST)
     assert guard.told == {}
 
 
 def test_answered_request_is_none_of_these(guard):
     lose(guard, "e1", "e2")
-    guard.note_answered(DIGEST)
+    guard.record_answer(DIGEST)
     lose(guard, "e3")
     assert not guard.is_refused(DIGEST)
 
@@ -78,7 +78,7 @@
     lose(guard, "e1", "e2", "e3")
     clock.now_s += crash_guard.MEMORY_S
     assert not guard.is_refused(DIGEST)
-    guard.forget_old()
+    guard.forget_expired()
     assert guard.own == {}
 
 
--- a/tests/forwarding/test_loss_sharing.py
+++ b/tests/forwarding/test_loss_sharing.py
@@ -20,10 +20,10 @@
     def addresses(self):
         return list(self.sharing)
 
-    def tell_losses(self, address, message):
+    def send_losses(self, address, message):
         if address in self.away:
             raise replies.NoReplyError("away")
-        self.sharing[address].take(message)
+        self.sharing[address].handle(message)
 
 
 @pytest.fixture
@@ -60,19 +60,19 @@
     of other cells, where it would take down three more for each cell.
     """
     for endpoint in ("e1", "e2", "e3"):
-        guard.note_lost(DIGEST, endpoint)
+        guard.record_loss(DIGEST, endpoint)
     for sharing in others.values():
         waiting.until(lambda told=sharing: is_refused(told))
 
 
 def test_loss_is_told_on_within_the_other_cell(guard, others):
-    guard.note_lost(DIGEST, "e1")
+    guard.record_loss(DIGEST, "e1")
     told = others["10.0.0.2:1"].guard
     waiting.until(lambda: DIGEST in told.own)
     peer = crash_guard.CrashGuard()
     peer.consume("instance-2", told.provide())
-    peer.note_lost(DIGEST, "e2")
-    peer.note_lost(DIGEST, "e3")
+    peer.record_loss(DIGEST, "e2")
+    peer.record_loss(DIGEST, "e3")
     assert peer.is_refused(DIGEST)
 
 
@@ -81,7 +81,7 @@
 ):
     cells.away.add("10.0.0.2:1")
     for endpoint in ("e1", "e2", "e3"):
-        guard.note_lost(DIGEST, endpoint)
+        guard.record_loss(DIGEST, endpoint)
     waiting.until(lambda: is_refused(others["10.0.0.3:1"]))
     assert not is_refused(others["10.0.0.2:1"])
 
--- a/tests/platform/test_restarted_endpoint.py
+++ b/tests/platform/test_restarted_endpoint.py
@@ -83,5 +83,5 @@
     guard = case.node.guard
     for born_ms in (1, 2, 3):
         assert not guard.is_refused(b"digest")
-        guard.note_lost(b"digest", starts.Start(restarted.NAME, born_ms).id)
+        guard.record_loss(b"digest", starts.Start(restarted.NAME, born_ms).id)
     assert guard.is_refused(b"digest")
