--- a/src/briarseam/compose/node.py
+++ b/src/briarseam/compose/node.py
@@ -254,7 +254,7 @@
         """Forget what is old, and fetch what peers have newer."""
         self.feeds.registry.forget_lapsed()
         self.forget_all_but(self.feeds.registry.ids())
-        self.pool.close_old()
+        self.pool.close_expired()
         self.guard.forget_expired()
         self.threads.renew()
         names = frozenset(self.instances.all_names())
--- a/src/briarseam/forwarding/attempts.py
+++ b/src/briarseam/forwarding/attempts.py
@@ -119,7 +119,7 @@
         """
         endpoint = errand.endpoint
         try:
-            connection = self.pool.take(endpoint.id, endpoint.address)
+            connection = self.pool.acquire(endpoint.id, endpoint.address)
         except connections.UnreachableError as error:
             return outcomes.Unreached(str(error))
         try:
@@ -210,7 +210,7 @@
         if closing or connection.sock is None:
             connection.close()
             return
-        self.pool.give_back(
+        self.pool.release(
             endpoint.id,
             endpoint.address,
             connection,
--- a/src/briarseam/forwarding/connections.py
+++ b/src/briarseam/forwarding/connections.py
@@ -58,7 +58,7 @@
         self.lock = threading.Lock()
         self.opened = 0
 
-    def take(
+    def acquire(
         self, endpoint_id: str, address: str
     ) -> urllib3.connection.HTTPConnection:
         """Return a connection to an endpoint, a kept one if there is one.
@@ -68,7 +68,7 @@
         UnreachableError
             If no connection can be made in time.
         """
-        kept = self.take_kept(endpoint_id, address)
+        kept = self.acquire_idle(endpoint_id, address)
         if kept is not None:
             return kept
         host, _, port = address.rpartition(":")
@@ -89,7 +89,7 @@
         connection.timeout = None
         return connection
 
-    def take_kept(
+    def acquire_idle(
         self, endpoint_id: str, address: str
     ) -> urllib3.connection.HTTPConnection | None:
         """Return a kept connection that is still good, if there is one."""
@@ -104,7 +104,7 @@
                 return found.connection
             found.connection.close()
 
-    def give_back(
+    def release(
         self,
         endpoint_id: str,
         address: str,
@@ -148,7 +148,7 @@
             over = {key[0] for key in self.idle if key[0] not in endpoint_ids}
         self.forget(over)
 
-    def close_old(self) -> None:
+    def close_expired(self) -> None:
         """Close the connections that are too old to be used."""
         now_s = clocks.boot_clock()
         closing = []
--- a/tests/forwarding/test_connections.py
+++ b/tests/forwarding/test_connections.py
@@ -27,9 +27,9 @@
 
 def test_kept_connection_is_used_again(pool, listener):
     address = address_of(listener)
-    first = pool.take("e1", address)
-    pool.give_back("e1", address, first, "timeout=5")
-    assert pool.take("e1", address) is first
+    first = pool.acquire("e1", address)
+    pool.release("e1", address, first, "timeout=5")
+    assert pool.acquire("e1", address) is first
 
 
 def test_connection_is_not_used_for_another_endpoint_at_its_address(
@@ -39,9 +39,9 @@
     service.  A request on the old connection would reach a stranger.
     """
     address = address_of(listener)
-    first = pool.take("e1", address)
-    pool.give_back("e1", address, first, "timeout=5")
-    assert pool.take("e2", address) is not first
+    first = pool.acquire("e1", address)
+    pool.release("e1", address, first, "timeout=5")
+    assert pool.acquire("e2", address) is not first
 
 
 @pytest.mark.parametrize("sent", [b"", b"HTTP/1.1 200 OK\r\n\r\n"])
@@ -52,33 +52,33 @@
     connection.  The next request on it would get what is not its own.
     """
     address = address_of(listener)
-    first = pool.take("e1", address)
+    first = pool.acquire("e1", address)
     accepted, _ = listener.accept()
-    pool.give_back("e1", address, first, "timeout=5")
+    pool.release("e1", address, first, "timeout=5")
     with contextlib.closing(accepted):
         accepted.sendall(sent)
         if not sent:
             accepted.shutdown(socket.SHUT_WR)
         first.sock.settimeout(5)
         first.sock.recv(1, socket.MSG_PEEK)
-        assert pool.take("e1", address) is not first
+        assert pool.acquire("e1", address) is not first
 
 
 def test_connection_is_not_used_when_the_endpoint_may_close_it(
     pool, listener, monkeypatch
 ):
     address = address_of(listener)
-    first = pool.take("e1", address)
-    pool.give_back("e1", address, first, "timeout=3")
+    first = pool.acquire("e1", address)
+    pool.release("e1", address, first, "timeout=3")
     later_s = clocks.boot_clock() + 2.1
     monkeypatch.setattr(clocks, "boot_clock", lambda: later_s)
-    assert pool.take("e1", address) is not first
+    assert pool.acquire("e1", address) is not first
 
 
 def test_endpoint_that_is_gone_keeps_no_connection(pool, listener):
     address = address_of(listener)
-    first = pool.take("e1", address)
-    pool.give_back("e1", address, first, "timeout=5")
+    first = pool.acquire("e1", address)
+    pool.release("e1", address, first, "timeout=5")
     pool.forget({"e1"})
     assert pool.idle == {}
     assert first.sock is None
@@ -88,7 +88,7 @@
     address = address_of(listener)
     listener.close()
     with pytest.raises(connections.UnreachableError):
-        pool.take("e1", address)
+        pool.acquire("e1", address)
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/restarted_engine.py
+++ b/tests/platform/restarted_engine.py
@@ -112,7 +112,7 @@
 
 
 def take_connection(node, endpoint):
-    return node.pool.take_kept(endpoint, "127.0.0.1:1") is not None
+    return node.pool.acquire_idle(endpoint, "127.0.0.1:1") is not None
 
 
 THINGS = {
@@ -160,7 +160,7 @@
         lambda node, id: id in node.chooser.avoided,
     ),
     "kept connection": Thing(
-        lambda node, id, case: node.pool.give_back(
+        lambda node, id, case: node.pool.release(
             id, "127.0.0.1:1", case.connect(), "timeout=60"
         ),
         take_connection,
