--- a/src/briarseam/lookup/rank.py
+++ b/src/briarseam/lookup/rank.py
@@ -33,7 +33,7 @@
     return weight / -math.log((hashed + 0.5) / HASH_RANGE)
 
 
-def equal(item: object) -> float:
+def equal_weight(item: object) -> float:
     """Return the same weight for every item."""
     del item
     return 1.0
@@ -43,7 +43,7 @@
     key: str,
     items: typing.Iterable[Ranked],
     name_of: typing.Callable[[Ranked], str],
-    weight_of: typing.Callable[[Ranked], float] = equal,
+    weight_of: typing.Callable[[Ranked], float] = equal_weight,
 ) -> list[Ranked]:
     """Return the items in the key's order, best first.
 
--- a/src/briarseam/lookup/zonal.py
+++ b/src/briarseam/lookup/zonal.py
@@ -43,7 +43,7 @@
         self,
         members: Members,
         zone_of: typing.Callable[[str], str],
-        weight_of: typing.Callable[[str], float] = rank.equal,
+        weight_of: typing.Callable[[str], float] = rank.equal_weight,
     ) -> None:
         self.members = members
         self.zone_of = zone_of
--- a/src/briarseam/placement/store_watches.py
+++ b/src/briarseam/placement/store_watches.py
@@ -67,7 +67,7 @@
         me: str,
         cell: typing.Callable[[], collections.abc.Collection[str]],
         count: typing.Callable[[], int],
-        weight_of: typing.Callable[[str], float] = rank.equal,
+        weight_of: typing.Callable[[str], float] = rank.equal_weight,
         clock: typing.Callable[[], float] = clocks.boot_clock,
     ) -> None:
         self.stores = stores
