--- a/src/briarseam/lookup/__init__.py
+++ b/src/briarseam/lookup/__init__.py
@@ -1,1 +1,1 @@
-"""Lookup: which entry addresses a caller should use."""
+"""Lookup of the entry addresses that a caller should use."""
--- a/src/briarseam/lookup/messages.py
+++ b/src/briarseam/lookup/messages.py
@@ -1,4 +1,4 @@
-"""Messages between an entry and its agent about addresses."""
+"""Messages with which an entry looks up addresses at its agent."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 @codec.message("where")
 @dataclasses.dataclass(frozen=True)
 class Where:
-    """Ask which entry addresses a session should use.
+    """Query for the entry addresses that a session should use.
 
     Attributes
     ----------
     token_digest
-        blake2b-16 hex of the caller's bearer token; empty without one.
+        blake2b-16 hex digest of the caller's bearer token; empty without
+        a token.
     session
-        The caller's session name, may be empty.
+        The caller's session name; may be empty.
     """
 
     token_digest: str
@@ -27,7 +28,7 @@
 @codec.message("addresses")
 @dataclasses.dataclass(frozen=True)
 class Addresses:
-    """Where a caller should connect.
+    """Addresses to which a caller should connect.
 
     Attributes
     ----------
--- a/src/briarseam/lookup/rank.py
+++ b/src/briarseam/lookup/rank.py
@@ -1,4 +1,4 @@
-"""Weighted rendezvous ranking for a session."""
+"""Weighted rendezvous hashing of sessions and duties."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 
 def session_key(organisation: str, session: str) -> str:
-    """Return the key by which a session is ranked, 16 hex digits.
+    """Return the ranking key of a session, 16 hex digits.
 
-    A hash, so that it can stand in the names of the session's kept blocks.
-    The length in front keeps two different pairs from having one key.
+    The key is a hash because it is part of the names of the session's kept
+    blocks.  The length prefix prevents two different pairs from having the
+    same key.
     """
     pair = f"{RANK_SALT}\0{len(organisation)}\0{organisation}\0{session}"
     return xxhash.xxh3_64_hexdigest(pair.encode())
@@ -25,9 +26,9 @@
 def score(key: str, name: str, weight: float) -> float:
     """Return a name's score for a key.
 
-    With ``weight / -ln(u)``, u uniform by hash, each name is the highest
-    for a part of the keys in proportion to its weight, and a change of one
-    weight moves keys only to or from that name.
+    With ``weight / -ln(u)``, where u is a uniform hash, each name scores
+    highest for a share of the keys in proportion to its weight, and a
+    change of one weight moves keys only to or from that name.
     """
     hashed = xxhash.xxh3_64_intdigest(f"{key}\0{name}".encode())
     return weight / -math.log((hashed + 0.5) / HASH_RANGE)
@@ -45,21 +46,21 @@
     name_of: typing.Callable[[Ranked], str],
     weight_of: typing.Callable[[Ranked], float] = equal_weight,
 ) -> list[Ranked]:
-    """Return the items in the key's order, best first.
+    """Return the items ranked for a key, best first.
 
-    When an item joins or leaves, the order of the others stays as it was,
-    so only the sessions of that item move.
+    When an item joins or leaves, the relative order of the others does not
+    change, so only the sessions of that item move.
 
     Parameters
     ----------
     key
         From :func:`session_key`.
     items
-        What to rank.
+        Items to rank.
     name_of
-        Unique name of an item.
+        Returns the unique name of an item.
     weight_of
-        Share of the keys that an item should get, relative to others.
+        Returns the share of the keys that an item gets, relative to others.
     """
     return sorted(
         items,
@@ -76,20 +77,20 @@
     names: typing.Iterable[str],
     weight_of: typing.Callable[[str], float],
 ) -> list[str]:
-    """Return instances by what they can take, the strongest first.
+    """Return instances by capacity, the strongest first.
 
-    For a duty that one instance does for many: drawn in proportion to
-    weights, as by :func:`ranked`, it would mostly fall to one of the many
-    weak ones, and its link and processor would hold up all of its work.
+    For a duty that one instance does for many.  Chosen in proportion to
+    weight, as by :func:`ranked`, it would mostly be one of the many weak
+    instances, whose link and processor would then delay all of its work.
 
     Parameters
     ----------
     key
-        Orders equals, the same way each time.
+        Determines the order of instances of equal capacity.
     names
         The instances.
     weight_of
-        What an instance can take, relative to others.
+        Returns the capacity of an instance, relative to others.
     """
     return sorted(
         names,
--- a/src/briarseam/lookup/zonal.py
+++ b/src/briarseam/lookup/zonal.py
@@ -1,4 +1,4 @@
-"""Entry addresses for a caller that names only its availability zone."""
+"""Lookup of entry addresses by the caller's availability zone only."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 if typing.TYPE_CHECKING:
     import collections.abc
 
-# With one address alone a caller whose instance dies has nobody to turn to
-# until its lookup has run out.
-LEAST_ADDRESSES = 2
-# Callers pick one of their addresses at random.  Each caller is told a part
-# of a large zone's instances, the stronger ones more often, so that these
-# get more of the work; the more are named, the more equal it is.
-MOST_ADDRESSES = 8
+# With a single address, a caller whose instance dies could not reach any
+# other until its lookup expires.
+MIN_ADDRESSES = 2
+# Callers choose one of their addresses at random.  In a large zone each
+# caller gets a subset of the instances that favours the stronger ones, so
+# that these get more work; a larger subset would even this out.
+MAX_ADDRESSES = 8
 
 Members = typing.Callable[[], "collections.abc.Sequence[state.Member]"]
 
 
 class ZonalLookup:
-    """Answers which addresses callers of a zone should use.
+    """Looks up the addresses that callers of a zone should use.
 
-    No other zone's instances are named unless there are too few: bytes
-    between zones are dear.  A caller is told the same ones by each instance
-    and each time, as long as they live: it gives up its connections to
-    those that are not named any more.
+    Instances of other zones are returned only if the zone has too few,
+    since traffic between zones is expensive.  Each instance returns the
+    same addresses to a caller each time, as long as they are alive, because
+    a caller drops its connections to addresses that are no longer returned.
 
     Parameters
     ----------
     members
-        All known instances.
+        Returns all known instances.
     zone_of
         Returns an instance's availability zone.
     weight_of
-        Returns the work an instance can take, relative to others.
+        Returns the capacity of an instance, relative to others.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         zone
             Availability zone of the caller.
         caller
-            What tells it from others.
+            Identifies the caller.
         """
         alive = [
             member
@@ -65,26 +65,26 @@
             if member.state is state.MemberState.ALIVE
             and member.entry_addresses
         ]
-        near = [
+        local = [
             member for member in alive if self.zone_of(member.name) == zone
         ]
-        chosen = self.choose(near, caller)
-        if len(chosen) < LEAST_ADDRESSES:
-            far = [member for member in alive if member not in near]
-            chosen += self.choose(far, caller)
+        chosen = self.choose(local, caller)
+        if len(chosen) < MIN_ADDRESSES:
+            remote = [member for member in alive if member not in local]
+            chosen += self.choose(remote, caller)
         return [
             address for member in chosen for address in member.entry_addresses
-        ][:MOST_ADDRESSES]
+        ][:MAX_ADDRESSES]
 
     def choose(
-        self, among: list[state.Member], caller: str
+        self, candidates: list[state.Member], caller: str
     ) -> list[state.Member]:
-        """Return some of the instances, the same for a caller each time."""
-        if len(among) <= MOST_ADDRESSES:
-            return among
+        """Return a subset of the instances, always the same for a caller."""
+        if len(candidates) <= MAX_ADDRESSES:
+            return candidates
         return rank.ranked(
             caller,
-            among,
+            candidates,
             lambda member: member.name,
             lambda member: self.weight_of(member.name),
-        )[:MOST_ADDRESSES]
+        )[:MAX_ADDRESSES]
--- a/tests/lookup/test_service.py
+++ b/tests/lookup/test_service.py
@@ -16,7 +16,7 @@
 def member(
     name: str,
     cell: str = "rumoi/0",
-    now: state.MemberState = ALIVE,
+    member_state: state.MemberState = ALIVE,
     entries: tuple[str, ...] | None = None,
 ) -> state.Member:
     return state.Member(
@@ -25,17 +25,19 @@
         cell=cell,
         agent_address="127.0.0.1:1",
         entry_addresses=(f"{name}:80",) if entries is None else entries,
-        state=now,
+        state=member_state,
     )
 
 
-def lookup_of(*members: state.Member, candidates: int = 4) -> service.Lookup:
+def lookup_of(
+    *members: state.Member, max_addresses: int = 4
+) -> service.Lookup:
     return service.Lookup(
-        lambda: members, {"digest": "org"}.get, 5.0, candidates
+        lambda: members, {"digest": "org"}.get, 5.0, max_addresses
     )
 
 
-def firsts(lookup: service.Lookup) -> list[str]:
+def first_addresses(lookup: service.Lookup) -> list[str]:
     return [
         lookup.where("org", f"s{number}").addresses[0]
         for number in range(SESSIONS)
@@ -43,75 +45,81 @@
 
 
 def test_every_agent_gives_the_same_order() -> None:
-    """A caller asks two entries one after the other and must be sent to
-    the same place, where its cache index is.
+    """A caller that queries different entries must get the same address,
+    that of the instance with its cache index.
     """
     members = [member(name) for name in "abcdef"]
     one = lookup_of(*members)
     other = lookup_of(*reversed(members))
-    assert firsts(one) == firsts(other)
+    assert first_addresses(one) == first_addresses(other)
 
 
 def test_sessions_spread_over_entries() -> None:
-    """Many sessions come: no instance gets far more than its share."""
-    counts = collections.Counter(firsts(lookup_of(*map(member, "abcdef"))))
+    """No instance gets far more than its share of many sessions."""
+    counts = collections.Counter(
+        first_addresses(lookup_of(*map(member, "abcdef")))
+    )
     assert max(counts.values()) < 1.15 * SESSIONS / 6
 
 
-def test_only_the_leaving_ones_sessions_move() -> None:
-    """An instance leaves: the callers of all others keep their address, so
-    no other kept cache is lost.
+def test_only_sessions_of_a_leaving_instance_move() -> None:
+    """When an instance leaves, the callers of all others keep their address,
+    so that no other kept cache is lost.
     """
-    before = firsts(lookup_of(*map(member, "abcdef")))
-    after = firsts(lookup_of(*map(member, "abcde")))
+    before = first_addresses(lookup_of(*map(member, "abcdef")))
+    after = first_addresses(lookup_of(*map(member, "abcde")))
     for old, new in zip(before, after, strict=True):
         assert new == old or old == "f:80"
 
 
-def test_join_of_one_zones_member_moves_few_sessions() -> None:
-    """An instance joins one of three zones of unequal size: no session
-    moves but those that now belong to it, also none between the others.
+def test_join_moves_sessions_only_to_the_new_member() -> None:
+    """When an instance joins one of three zones of unequal size, the only
+    sessions that move are those that it owns now.
     """
     members = [member(name) for name in "abc"]
     members += [member(name, "ishikari/0") for name in "de"]
     members += [member(name, "wakkanai/0") for name in "fg"]
-    before = firsts(lookup_of(*members))
-    after = firsts(lookup_of(*members, member("h", "ishikari/0")))
+    before = first_addresses(lookup_of(*members))
+    after = first_addresses(lookup_of(*members, member("h", "ishikari/0")))
     for old, new in zip(before, after, strict=True):
         assert new in (old, "h:80")
 
 
 @pytest.mark.parametrize(
-    "now",
+    "member_state",
     [
         pytest.param(LEAVING, id="leaving"),
         pytest.param(state.MemberState.GONE, id="gone"),
     ],
 )
-def test_leaving_or_gone_instance_is_absent(now: state.MemberState) -> None:
-    """An instance is being stopped: no caller gets its address any more."""
-    lookup = lookup_of(member("a"), member("b", now=now))
+def test_leaving_or_gone_instance_is_absent(
+    member_state: state.MemberState,
+) -> None:
+    """No caller gets the address of an instance that is being stopped."""
+    lookup = lookup_of(member("a"), member("b", member_state=member_state))
     for number in range(50):
         assert lookup.where("org", f"s{number}").addresses == ("a:80",)
 
 
 def test_suspect_instance_comes_last() -> None:
-    """An instance is silent, maybe dead: callers try it after the others,
-    and still have it when nothing else answers.
+    """A silent instance may be dead: callers try it after the others, but
+    still have its address in case no other answers.
     """
-    lookup = lookup_of(member("a"), member("b", now=SUSPECT))
+    lookup = lookup_of(member("a"), member("b", member_state=SUSPECT))
     for number in range(50):
         addresses = lookup.where("org", f"s{number}").addresses
         assert addresses == ("a:80", "b:80")
     assert lookup.owner("org", "s") == member("a")
 
 
-def test_suspect_comes_after_other_zones_too() -> None:
-    """The session's own zone has one silent instance besides a live one:
-    an instance of another zone is the better second try.
+def test_suspect_comes_after_members_of_other_zones() -> None:
+    """If a session's own zone has one live and one silent instance, an
+    instance of another zone is the better second choice.
     """
     lookup = lookup_of(
-        member("a"), member("b", now=SUSPECT), member("c", "wakkanai/0")
+        member("a"),
+        member("b", member_state=SUSPECT),
+        member("c", "wakkanai/0"),
     )
     for number in range(50):
         addresses = lookup.where("org", f"s{number}").addresses
@@ -119,33 +127,34 @@
         assert addresses[2] == "b:80"
 
 
-def test_other_cells_follow_the_sessions_own() -> None:
-    """Zones are cut in parts.  A session's own cell is down for the
-    caller: the same answer holds addresses of another zone to go on with.
+def test_members_of_other_cells_follow_those_of_the_own_cell() -> None:
+    """Zones are divided into cells.  If a session's own cell is unreachable,
+    the caller's answer also has addresses of another zone.
     """
     members = [member(name, "rumoi/1") for name in "ab"]
     members += [member(name, "wakkanai/0") for name in "cd"]
     zones = set()
     for number in range(50):
-        given = lookup_of(*members).where("org", f"s{number}").addresses
-        cells = ["ab" if address[0] in "ab" else "cd" for address in given]
+        addresses = lookup_of(*members).where("org", f"s{number}").addresses
+        cells = ["ab" if address[0] in "ab" else "cd" for address in addresses]
         assert cells in (["ab", "ab", "cd", "cd"], ["cd", "cd", "ab", "ab"])
         zones.add(cells[0])
     assert zones == {"ab", "cd"}
 
 
 def test_entries_of_one_instance_share_its_sessions() -> None:
-    """An instance runs two entry processes: both get callers, and one
-    session always the same.
+    """If an instance runs two entry processes, both get callers, and a
+    session always gets the same one.
     """
     lookup = lookup_of(member("a", entries=("a:80", "a:81")))
-    assert set(firsts(lookup)) == {"a:80", "a:81"}
-    assert firsts(lookup) == firsts(lookup)
+    assert set(first_addresses(lookup)) == {"a:80", "a:81"}
+    assert first_addresses(lookup) == first_addresses(lookup)
 
 
 def test_sessions_spread_by_entry_processes() -> None:
-    """Cells differ in size and instances in entry processes: each process
-    gets the same part of the sessions, not each cell or instance.
+    """Cells differ in size and instances in their number of entry
+    processes: each process gets the same share of the sessions, rather than
+    each cell or instance.
     """
     members = [
         member("a", entries=("a:80", "a:81", "a:82")),
@@ -153,15 +162,15 @@
         member("c"),
         member("d", "wakkanai/0"),
     ]
-    counts = collections.Counter(firsts(lookup_of(*members)))
+    counts = collections.Counter(first_addresses(lookup_of(*members)))
     assert len(counts) == 6
     assert max(counts.values()) < 1.15 * SESSIONS / 6
     assert min(counts.values()) > 0.85 * SESSIONS / 6
 
 
-def test_answer_reaches_into_other_zones() -> None:
-    """A whole zone goes down with all that its cell offered.  The answer
-    that a caller keeps has addresses of other zones too.
+def test_answer_has_addresses_of_other_zones() -> None:
+    """If a whole zone fails, callers that keep an answer still have the
+    addresses in other zones.
     """
     members = [
         member(f"{zone}{number}", f"{zone}/0")
@@ -170,15 +179,15 @@
     ]
     lookup = lookup_of(*members)
     for number in range(50):
-        given = lookup.where("org", f"s{number}").addresses
-        zones = [address.rstrip("0123456789:") for address in given]
-        assert len(given) == 4
+        addresses = lookup.where("org", f"s{number}").addresses
+        zones = [address.rstrip("0123456789:") for address in addresses]
+        assert len(addresses) == 4
         assert len(set(zones)) == 3
 
 
-def test_organisations_have_orders_of_their_own() -> None:
-    """Two organisations use the same session names: one's sessions do not
-    all land where the other's do.
+def test_organisations_are_ranked_independently() -> None:
+    """Sessions of the same name in two organisations do not all get the
+    same instances.
     """
     lookup = lookup_of(*map(member, "abcdef"))
     names = [f"s{number}" for number in range(50)]
--- a/tests/lookup/test_zonal.py
+++ b/tests/lookup/test_zonal.py
@@ -9,13 +9,15 @@
 ZONES = {"a1": "a", "a2": "a", "b1": "b", "c1": "c"}
 
 
-def member(name, how=ALIVE):
-    return state.Member(name, "region", "region/0", "", (f"{name}:1",), how)
+def member(name, member_state=ALIVE):
+    return state.Member(
+        name, "region", "region/0", "", (f"{name}:1",), member_state
+    )
 
 
 def addresses(zone, *members):
-    found = zonal.ZonalLookup(lambda: members, lambda name: ZONES[name])
-    return found.addresses(zone, "10.9.0.1")
+    lookup = zonal.ZonalLookup(lambda: members, lambda name: ZONES[name])
+    return lookup.addresses(zone, "10.9.0.1")
 
 
 def test_callers_get_all_instances_of_their_zone():
@@ -23,16 +25,23 @@
     assert found == ["a1:1", "a2:1"]
 
 
-def test_callers_of_a_zone_with_too_few_get_others_too():
+def test_callers_of_a_zone_with_too_few_get_instances_of_other_zones():
     found = addresses("b", member("a1"), member("a2"), member("b1"))
     assert found == ["b1:1", "a1:1", "a2:1"]
 
 
 @pytest.mark.parametrize(
-    "how", [how for how in state.MemberState if how is not ALIVE]
+    "member_state",
+    [
+        member_state
+        for member_state in state.MemberState
+        if member_state is not ALIVE
+    ],
 )
-def test_only_live_instances_are_named(how):
-    found = addresses("a", member("a1", how), member("a2"), member("c1"))
+def test_only_live_instances_are_returned(member_state):
+    found = addresses(
+        "a", member("a1", member_state), member("a2"), member("c1")
+    )
     assert found == ["a2:1", "c1:1"]
 
 
@@ -41,21 +50,21 @@
     return zonal.ZonalLookup(lambda: members, lambda name: "a", weight_of)
 
 
-def test_caller_of_a_large_zone_is_told_the_same_part_each_time():
+def test_caller_of_a_large_zone_gets_the_same_subset_each_time():
     lookup = large_zone()
     found = lookup.addresses("a", "10.9.0.1")
-    assert len(set(found)) == zonal.MOST_ADDRESSES
+    assert len(set(found)) == zonal.MAX_ADDRESSES
     assert lookup.addresses("a", "10.9.0.1") == found
     assert lookup.addresses("a", "10.9.0.2") != found
 
 
-def test_stronger_instances_are_told_to_more_callers():
-    """Machines with half a core get as many callers as those with two,
-    and answer late while those idle.
+def test_stronger_instances_are_returned_to_more_callers():
+    """If instances with half a core get as many callers as those with two
+    cores, they answer late while the others idle.
     """
     lookup = large_zone(lambda name: 8.0 if name in ("a0", "a1") else 1.0)
     callers = [f"10.9.0.{number}" for number in range(200)]
-    told = [lookup.addresses("a", caller) for caller in callers]
-    strong = sum("a0:1" in one for one in told)
-    weak = sum("a9:1" in one for one in told)
+    answers = [lookup.addresses("a", caller) for caller in callers]
+    strong = sum("a0:1" in answer for answer in answers)
+    weak = sum("a9:1" in answer for answer in answers)
     assert strong > 2.5 * weak > 0
