--- a/src/briarseam/admission/dispatch.py
+++ b/src/briarseam/admission/dispatch.py
@@ -36,7 +36,7 @@
     """What the dispatcher needs from routing."""
 
     def choose_engine(
-        self, ask: routing.PromptAsk
+        self, query: routing.PromptQuery
     ) -> routing.Choice | routing.NoChoice:
         """Return the engine for a prompt."""
 
@@ -70,7 +70,7 @@
         The engine, or why there is none.
     """
 
-    ask: routing.PromptAsk
+    ask: routing.PromptQuery
     rank: fair_queue.Rank
     start: typing.Callable[[routing.Choice], None]
     least_s: float = 0.0
@@ -184,7 +184,7 @@
             self.queues[model] = Queue(self.weight)
         return self.queues[model]
 
-    def lane(self, ask: routing.PromptAsk) -> str:
+    def lane(self, ask: routing.PromptQuery) -> str:
         """Return the lane in which a prompt waits.
 
         Its organisation's; by ``arrival`` there is one without a name.
--- a/src/briarseam/admission/placing.py
+++ b/src/briarseam/admission/placing.py
@@ -40,7 +40,7 @@
     """What placing needs from routing."""
 
     def choose_service(
-        self, ask: routing.CallAsk
+        self, query: routing.CallQuery
     ) -> routing.Choice | routing.NoChoice:
         """Return the endpoint for a call."""
 
@@ -139,7 +139,7 @@
         priority = self.priority(organisation, request.priority)
         deadline_at = accepted_at + request.deadline_ms / MS
         waiter = dispatch.Waiter(
-            ask=routing.PromptAsk(
+            ask=routing.PromptQuery(
                 organisation=organisation,
                 session=request.session,
                 model=request.model,
@@ -200,7 +200,7 @@
         """
         self.enter(organisation, request)
         choice = self.parts.chooser.choose_service(
-            routing.CallAsk(
+            routing.CallQuery(
                 organisation, request.service, frozenset(request.lost)
             )
         )
--- a/src/briarseam/compose/crashes.py
+++ b/src/briarseam/compose/crashes.py
@@ -62,7 +62,7 @@
     ) -> list[str]:
         """Return the engines that may run a prompt, the idlest first."""
         return self.parts.chooser.idlest(
-            routing.PromptAsk(
+            routing.PromptQuery(
                 organisation="",
                 session=request.session,
                 model=request.model,
--- a/src/briarseam/routing/candidates.py
+++ b/src/briarseam/routing/candidates.py
@@ -61,7 +61,7 @@
 
 def pick(
     names: list[str],
-    ask: state.PromptAsk,
+    query: state.PromptQuery,
     first_key: bytes,
     known: prefix_module.Prefixes,
     limit: int,
@@ -75,7 +75,7 @@
     ----------
     names
         Engines that may run it.
-    ask
+    query
         The prompt.
     first_key
         Name of its first piece, empty without one.
@@ -87,18 +87,18 @@
     if len(names) <= limit:
         return names
     holders = known.holding(names, first_key, limit) if first_key else []
-    session = session_of(ask)
+    session = session_of(query)
     number = number_of(session)
     ranked = heapq.nsmallest(limit, names, lambda name: mixed(number, name))
     return list(dict.fromkeys([*holders, *ranked]))
 
 
-def affinity(ask: state.PromptAsk, endpoint: str) -> int:
+def affinity(query: state.PromptQuery, endpoint: str) -> int:
     """Return a session's rank of an endpoint; lowest first.
 
     A session without a name is ranked by the start of its prompt.
     """
-    return mixed(number_of(session_of(ask)), endpoint)
+    return mixed(number_of(session_of(query)), endpoint)
 
 
 @functools.lru_cache(maxsize=4096)
@@ -116,10 +116,10 @@
     return ((session ^ number_of(endpoint)) * ODD) & MASK
 
 
-def session_of(ask: state.PromptAsk) -> str:
+def session_of(query: state.PromptQuery) -> str:
     """Return the key by which a prompt's session is ranked."""
-    session = ask.session or (ask.chain[0].hex() if ask.chain else "")
-    return f"{ask.organisation}\0{session}"
+    session = query.session or (query.chain[0].hex() if query.chain else "")
+    return f"{query.organisation}\0{session}"
 
 
 def tie_break(name: str) -> int:
--- a/src/briarseam/routing/service.py
+++ b/src/briarseam/routing/service.py
@@ -110,29 +110,29 @@
         self.lock = threading.Lock()
 
     def choose_engine(
-        self, ask: state.PromptAsk
+        self, query: state.PromptQuery
     ) -> state.Choice | state.NoChoice:
         """Return the engine for a prompt."""
         view = self.parts.view()
-        model = view.models.get(ask.model)
+        model = view.models.get(query.model)
         if model is None:
             # It was configured when the request came, and waited since.
-            return no_choice(f"{ask.model} is not configured any more")
-        found = self.eligible(view, ask) or self.eligible(
-            view, ask.with_refused()
+            return no_choice(f"{query.model} is not configured any more")
+        found = self.eligible(view, query) or self.eligible(
+            view, query.with_refused()
         )
         if found is None:
-            version = ask.version or model.version
-            return no_choice(f"no endpoint serves {ask.model} {version}")
+            version = query.version or model.version
+            return no_choice(f"no endpoint serves {query.model} {version}")
         offer, names = found
-        prompt = self.prompt_of(ask, offer)
+        prompt = self.prompt_of(query, offer)
         if view.routing.strategy == "round-robin":
             names = [self.next_in_turn(names)]
         predictions = [
             self.predictor.predict(prompt, name)
             for name in candidates.pick(
                 names,
-                ask,
+                query,
                 prompt.keys[0] if prompt.keys else b"",
                 self.prefixes,
                 max(view.routing.candidates, 1),
@@ -140,12 +140,12 @@
         ]
         best = min(
             predictions,
-            key=lambda one: self.score(one, ask, view.routing),
+            key=lambda one: self.score(one, query, view.routing),
         )
         return state.Choice(
             endpoint=best.endpoint,
             address=view.endpoints[best.endpoint].address,
-            model=ask.model,
+            model=query.model,
             version=offer.version,
             adapter=offer.adapter,
             first_token_s=best.first_token_s,
@@ -158,20 +158,22 @@
         )
 
     def eligible(
-        self, view: schema.View, ask: state.PromptAsk
+        self, view: schema.View, query: state.PromptQuery
     ) -> tuple[orders.Offer, list[str]] | None:
         """Return the best offer that has engines, and these."""
-        for offer in self.offers(ask):
-            names = self.engines(view, ask, offer)
+        for offer in self.offers(query):
+            names = self.engines(view, query, offer)
             if names:
                 return offer, names
         return None
 
-    def offers(self, ask: state.PromptAsk) -> typing.Sequence[orders.Offer]:
+    def offers(
+        self, query: state.PromptQuery
+    ) -> typing.Sequence[orders.Offer]:
         """Return what a prompt may name, best first."""
-        if ask.version:
-            return (orders.Offer(ask.version, ask.adapter),)
-        return self.parts.offers(ask.model, candidates.session_of(ask))
+        if query.version:
+            return (orders.Offer(query.version, query.adapter),)
+        return self.parts.offers(query.model, candidates.session_of(query))
 
     def next_in_turn(self, names: list[str]) -> str:
         """Return the next of the engines, one after the other."""
@@ -180,55 +182,55 @@
             return sorted(names)[self.turn % len(names)]
 
     def engines(
-        self, view: schema.View, ask: state.PromptAsk, offer: orders.Offer
+        self, view: schema.View, query: state.PromptQuery, offer: orders.Offer
     ) -> list[str]:
         """Return the engines that may run a prompt."""
-        barred = self.parts.leaving() | ask.excluded
+        barred = self.parts.leaving() | query.excluded
         names = [
             name
-            for name in self.serving.names(view, ask.model)
+            for name in self.serving.names(view, query.model)
             if name not in barred
-            and ask.only in ("", name)
-            and self.parts.serves(name, ask.model, offer)
+            and query.only in ("", name)
+            and self.parts.serves(name, query.model, offer)
         ]
         return self.parts.loads.reporting(self.troubles.avoid(names))
 
-    def idlest(self, ask: state.PromptAsk) -> list[str]:
+    def idlest(self, query: state.PromptQuery) -> list[str]:
         """Return the engines that may run a prompt, the idlest first."""
         view = self.parts.view()
-        if ask.model not in view.models:
+        if query.model not in view.models:
             return []
         names: dict[str, None] = {}
-        for offer in self.offers(ask):
-            names.update(dict.fromkeys(self.engines(view, ask, offer)))
+        for offer in self.offers(query):
+            names.update(dict.fromkeys(self.engines(view, query, offer)))
         return sorted(names, key=self.predictor.busy)
 
     def prompt_of(
-        self, ask: state.PromptAsk, offer: orders.Offer
+        self, query: state.PromptQuery, offer: orders.Offer
     ) -> predict.Prompt:
         """Return what predictions need of a prompt."""
-        salt = self.parts.kept.engine_salt(ask.organisation, offer.adapter)
+        salt = self.parts.kept.engine_salt(query.organisation, offer.adapter)
         keys = tuple(
             prefix_module.key_of(
-                pieces.salted(digest, salt), ask.model, offer.version
+                pieces.salted(digest, salt), query.model, offer.version
             )
-            for digest in ask.chain
+            for digest in query.chain
         )
         kept = self.parts.kept.plan(
-            ask.organisation,
-            ask.model,
+            query.organisation,
+            query.model,
             offer.adapter,
             offer.version,
-            ask.chain,
+            query.chain,
             0,
-            ask.session,
+            query.session,
         )
-        return predict.Prompt(ask.model, keys, ask.prompt_tokens, kept)
+        return predict.Prompt(query.model, keys, query.prompt_tokens, kept)
 
     def score(
         self,
         one: predict.Prediction,
-        ask: state.PromptAsk,
+        query: state.PromptQuery,
         policy: values.RoutingPolicy,
     ) -> tuple[float, int]:
         """Return how bad a prediction is, with affinity to break ties.
@@ -239,24 +241,24 @@
         """
         weight = policy.recompute_weight
         cost = one.first_token_s + weight * one.recompute_s
-        return round(cost, 3), candidates.affinity(ask, one.endpoint)
+        return round(cost, 3), candidates.affinity(query, one.endpoint)
 
     def choose_service(
-        self, ask: state.CallAsk
+        self, query: state.CallQuery
     ) -> state.Choice | state.NoChoice:
         """Return the endpoint for a call: the one with least under way."""
         view = self.parts.view()
-        barred = self.parts.leaving() | ask.excluded
+        barred = self.parts.leaving() | query.excluded
         names = [
             name
             for name, endpoint in view.endpoints.items()
             if endpoint.kind is values.EndpointKind.SERVICE
-            and ask.service in endpoint.services
+            and query.service in endpoint.services
             and endpoint.state is values.EndpointState.SERVING
             and name not in barred
         ]
         if not names:
-            return no_choice(f"no endpoint serves {ask.service}")
+            return no_choice(f"no endpoint serves {query.service}")
         name = min(
             self.troubles.avoid(names),
             key=lambda one: (
--- a/src/briarseam/routing/state.py
+++ b/src/briarseam/routing/state.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class PromptAsk:
+class PromptQuery:
     """A prompt that needs an engine.
 
     Attributes
@@ -42,7 +42,7 @@
     refused: frozenset[str] = frozenset()
     only: str = ""
 
-    def with_refused(self) -> PromptAsk:
+    def with_refused(self) -> PromptQuery:
         """Return the same with the endpoints that refused it let in again.
 
         Guard: in a rollout a prompt is refused by each engine that is just
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class CallAsk:
+class CallQuery:
     """A call that needs a plain service.
 
     Attributes
--- a/tests/admission/test_dispatch.py
+++ b/tests/admission/test_dispatch.py
@@ -23,11 +23,11 @@
         self.total = slots
         self.first_token_s = first_token_s
 
-    def choose_engine(self, ask):
+    def choose_engine(self, query):
         return routing.Choice(
             "engine",
             "127.0.0.1:1",
-            model=ask.model,
+            model=query.model,
             first_token_s=self.first_token_s,
         )
 
@@ -61,7 +61,7 @@
 
 
 def waiter(engines, organisation="north", deadline_s=30.0):
-    ask = routing.PromptAsk(organisation, "", "draft", (), 100)
+    ask = routing.PromptQuery(organisation, "", "draft", (), 100)
 
     def start(choice):
         engines.free -= 1
--- a/tests/routing/conftest.py
+++ b/tests/routing/conftest.py
@@ -58,7 +58,7 @@
         )
 
 
-def ask(session="s", pieces=4, **changes):
+def prompt_query(session="s", pieces=4, **changes):
     digest = hashlib.blake2b(session.encode(), digest_size=16).digest()
     chain = tuple(digest[:-1] + bytes([number]) for number in range(pieces))
     fields = {
@@ -68,7 +68,7 @@
         "chain": chain,
         "prompt_tokens": pieces * 1000,
     }
-    return state.PromptAsk(**{**fields, **changes})
+    return state.PromptQuery(**{**fields, **changes})
 
 
 @pytest.fixture
--- a/tests/routing/test_failures.py
+++ b/tests/routing/test_failures.py
@@ -13,7 +13,7 @@
 
 def serve(bench, run_id, failed=False, **changes):
     choice = bench.chooser.choose_engine(
-        conftest.ask(run_id, pieces=1, **changes)
+        conftest.prompt_query(run_id, pieces=1, **changes)
     )
     bench.chooser.note_start(run_id, choice)
     bench.chooser.note_end(run_id, whole=not failed, failed=failed)
@@ -54,7 +54,7 @@
     """
     for name in bench.view.endpoints:
         bench.chooser.troubles.failed(name)
-    choice = bench.chooser.choose_engine(conftest.ask())
+    choice = bench.chooser.choose_engine(conftest.prompt_query())
     assert isinstance(choice, state.Choice)
 
 
@@ -78,9 +78,9 @@
     for name in bench.view.endpoints:
         age_s = 0.5 if name == "engine-1" else loads.SILENT_AFTER_S + 1
         bench.report(name, busy=3, age_s=age_s)
-    ask = conftest.ask()
-    offer = bench.chooser.offers(ask)[0]
-    assert len(bench.chooser.engines(bench.view, ask, offer)) == 4
+    prompt_query = conftest.prompt_query()
+    offer = bench.chooser.offers(prompt_query)[0]
+    assert len(bench.chooser.engines(bench.view, prompt_query, offer)) == 4
 
 
 def test_a_model_that_is_gone_is_refused_and_not_an_error(bench):
@@ -92,7 +92,7 @@
     bench.chooser.parts = dataclasses.replace(
         bench.chooser.parts, view=lambda: empty
     )
-    found = bench.chooser.choose_engine(conftest.ask())
+    found = bench.chooser.choose_engine(conftest.prompt_query())
     assert isinstance(found, state.NoChoice)
 
 
@@ -114,8 +114,10 @@
         bench.chooser.parts, view=lambda: view
     )
     bench.chooser.troubles.failed("one")
-    ask = state.CallAsk("north", "portal")
-    chosen = {bench.chooser.choose_service(ask).endpoint for _ in range(20)}
+    call_query = state.CallQuery("north", "portal")
+    chosen = {
+        bench.chooser.choose_service(call_query).endpoint for _ in range(20)
+    }
     assert chosen == {"two"}
 
 
--- a/tests/routing/test_service.py
+++ b/tests/routing/test_service.py
@@ -9,8 +9,8 @@
 from tests.routing import conftest
 
 
-def send(bench, ask, run_id):
-    choice = bench.chooser.choose_engine(ask)
+def send(bench, prompt_query, run_id):
+    choice = bench.chooser.choose_engine(prompt_query)
     assert isinstance(choice, state.Choice)
     bench.chooser.note_start(run_id, choice)
     return choice
@@ -24,7 +24,9 @@
     for name in bench.view.endpoints:
         bench.report(name, busy=0, slots=4)
     chosen = [
-        send(bench, conftest.ask(f"s{number}", pieces=1), str(number)).endpoint
+        send(
+            bench, conftest.prompt_query(f"s{number}", pieces=1), str(number)
+        ).endpoint
         for number in range(16)
     ]
     counts = {name: chosen.count(name) for name in bench.view.endpoints}
@@ -35,9 +37,9 @@
     """A caller sends its long prompt again a moment later.  The engine
     that has just computed it needs nothing but the last part piece.
     """
-    first = send(bench, conftest.ask(), "one")
+    first = send(bench, conftest.prompt_query(), "one")
     bench.chooser.note_end("one", whole=True)
-    again = bench.chooser.choose_engine(conftest.ask())
+    again = bench.chooser.choose_engine(conftest.prompt_query())
     assert again.endpoint == first.endpoint
     assert again.recompute_pieces == 0
 
@@ -46,12 +48,12 @@
     """The engine with the prefix has a queue many times longer than the
     prefill would take elsewhere; the caller must not wait behind it.
     """
-    first = send(bench, conftest.ask(), "one")
+    first = send(bench, conftest.prompt_query(), "one")
     bench.chooser.note_end("one", whole=True)
     bench.clock.now += 1
     for name in bench.view.endpoints:
         bench.report(name, busy=40 if name == first.endpoint else 0)
-    again = bench.chooser.choose_engine(conftest.ask())
+    again = bench.chooser.choose_engine(conftest.prompt_query())
     assert again.endpoint != first.endpoint
 
 
@@ -59,8 +61,10 @@
     """Two organisations send the same text.  Engines salt their caches,
     so the second gains nothing from the first's run.
     """
-    send(bench, conftest.ask(), "one")
-    other = bench.chooser.choose_engine(conftest.ask(organisation="south"))
+    send(bench, conftest.prompt_query(), "one")
+    other = bench.chooser.choose_engine(
+        conftest.prompt_query(organisation="south")
+    )
     assert other.have == 0
 
 
@@ -68,8 +72,8 @@
     """A prompt returns after its model's weights were swapped; what the
     engine computed under the old version is of no use.
     """
-    send(bench, conftest.ask(), "one")
-    other = bench.chooser.choose_engine(conftest.ask(version="v2"))
+    send(bench, conftest.prompt_query(), "one")
+    other = bench.chooser.choose_engine(conftest.prompt_query(version="v2"))
     assert other.have == 0
 
 
@@ -78,10 +82,10 @@
     fourth gets it, and without that one the refusal says when to return.
     """
     bench.leaving.update({"engine-0", "engine-1"})
-    ask = conftest.ask(excluded=frozenset({"engine-2"}))
-    assert bench.chooser.choose_engine(ask).endpoint == "engine-3"
+    prompt_query = conftest.prompt_query(excluded=frozenset({"engine-2"}))
+    assert bench.chooser.choose_engine(prompt_query).endpoint == "engine-3"
     bench.leaving.add("engine-3")
-    refused = bench.chooser.choose_engine(ask)
+    refused = bench.chooser.choose_engine(prompt_query)
     assert isinstance(refused, state.NoChoice)
     assert refused.retry_after_s > 0
 
@@ -90,9 +94,9 @@
     """An engine crashes and comes back under the same address with an
     empty cache; its new boot id says so.
     """
-    first = send(bench, conftest.ask(), "one")
+    first = send(bench, conftest.prompt_query(), "one")
     bench.report(first.endpoint, busy=0, boot="one")
-    send(bench, conftest.ask(), "two")
+    send(bench, conftest.prompt_query(), "two")
     bench.report(first.endpoint, busy=0, boot="other")
     bench.chooser.note_boot(first.endpoint, "other")
     have = bench.chooser.predictor.prefixes.leading(first.endpoint, first.keys)
@@ -121,7 +125,7 @@
     tenth.  Presence alone would make the caller wait for the link.
     """
     bench.kept.offered = planned(seconds)
-    choice = bench.chooser.choose_engine(conftest.ask())
+    choice = bench.chooser.choose_engine(conftest.prompt_query())
     assert len(choice.plan.blocks) == imported
     assert choice.recompute_pieces == 4 - imported
 
@@ -143,7 +147,7 @@
     bench.chooser.predictor.predict = lambda prompt, name: (
         seen.append(name) or predict(prompt, name)
     )
-    bench.chooser.choose_engine(conftest.ask())
+    bench.chooser.choose_engine(conftest.prompt_query())
     assert len(seen) <= 2 * bench.view.routing.candidates
 
 
@@ -157,13 +161,15 @@
         if name != "engine-0":
             bench.leaving.add(name)
     bench.report("engine-0", busy=0)
-    send(bench, conftest.ask("returns"), "one")
+    send(bench, conftest.prompt_query("returns"), "one")
     bench.kept.offered = planned(0.01)
-    soon = bench.chooser.choose_engine(conftest.ask("returns"))
+    soon = bench.chooser.choose_engine(conftest.prompt_query("returns"))
     assert not soon.plan.blocks
     for number in range(20):
-        send(bench, conftest.ask(f"other-{number}"), f"other-{number}")
+        send(
+            bench, conftest.prompt_query(f"other-{number}"), f"other-{number}"
+        )
         bench.chooser.note_end(f"other-{number}", whole=True)
-    later = bench.chooser.choose_engine(conftest.ask("returns"))
+    later = bench.chooser.choose_engine(conftest.prompt_query("returns"))
     assert later.have == 4
     assert len(later.plan.blocks) == 4
--- a/tests/routing/test_versions.py
+++ b/tests/routing/test_versions.py
@@ -26,7 +26,7 @@
 
 def test_request_names_what_its_engine_reports(bench):
     chooser = chooser_of(bench, {"engine-1": NEW, "engine-2": OLD})
-    choice = chooser.choose_engine(conftest.ask())
+    choice = chooser.choose_engine(conftest.prompt_query())
     assert (choice.endpoint, choice.version) == ("engine-1", "v2")
 
 
@@ -34,14 +34,14 @@
     """The only engine with new weights was lost to this request."""
     chooser = chooser_of(bench, {"engine-1": NEW, "engine-2": OLD})
     excluded = frozenset({"engine-1"})
-    choice = chooser.choose_engine(conftest.ask(excluded=excluded))
+    choice = chooser.choose_engine(conftest.prompt_query(excluded=excluded))
     assert (choice.endpoint, choice.version) == ("engine-2", "v1")
 
 
 def test_continuation_keeps_its_version_or_is_refused(bench):
     """Half an answer came from old weights, which no engine has now."""
     chooser = chooser_of(bench, {"engine-1": NEW})
-    choice = chooser.choose_engine(conftest.ask(version="v1"))
+    choice = chooser.choose_engine(conftest.prompt_query(version="v1"))
     assert isinstance(choice, state.NoChoice)
 
 
@@ -53,8 +53,8 @@
     begun = orders.Offer("v1", "kitchen")
     reported = {"engine-1": orders.Offer("v1", "office"), "engine-2": begun}
     chooser = chooser_of(bench, reported)
-    ask = conftest.ask(version="v1", adapter="kitchen")
-    choice = chooser.choose_engine(ask)
+    prompt_query = conftest.prompt_query(version="v1", adapter="kitchen")
+    choice = chooser.choose_engine(prompt_query)
     assert (choice.endpoint, choice.adapter) == ("engine-2", "kitchen")
 
 
@@ -67,19 +67,23 @@
     """
     chooser = chooser_of(bench, {"engine-0": NEW, "engine-1": NEW})
     both = frozenset({"engine-0", "engine-1"})
-    choice = chooser.choose_engine(conftest.ask(excluded=both, refused=both))
+    choice = chooser.choose_engine(
+        conftest.prompt_query(excluded=both, refused=both)
+    )
     assert choice.version == "v2"
 
 
 def test_engine_that_was_lost_stays_excluded_beside_one_that_refused(bench):
     chooser = chooser_of(bench, {"engine-0": NEW, "engine-1": NEW})
     both = frozenset({"engine-0", "engine-1"})
-    ask = conftest.ask(excluded=both, refused=frozenset({"engine-1"}))
-    assert chooser.choose_engine(ask).endpoint == "engine-1"
+    prompt_query = conftest.prompt_query(
+        excluded=both, refused=frozenset({"engine-1"})
+    )
+    assert chooser.choose_engine(prompt_query).endpoint == "engine-1"
 
 
 def test_engine_that_refused_comes_after_the_others(bench):
     chooser = chooser_of(bench, {"engine-0": NEW, "engine-1": OLD})
     refused = frozenset({"engine-0"})
-    ask = conftest.ask(excluded=refused, refused=refused)
-    assert chooser.choose_engine(ask).endpoint == "engine-1"
+    prompt_query = conftest.prompt_query(excluded=refused, refused=refused)
+    assert chooser.choose_engine(prompt_query).endpoint == "engine-1"
