--- a/bench/heartbeat_bytes.py
+++ b/bench/heartbeat_bytes.py
@@ -18,7 +18,7 @@
 
 from briarseam.configuration import schema
 from briarseam.membership import messages
-from briarseam.routing import ledger as ledgers
+from briarseam.routing import active_runs
 from briarseam.routing import loads
 from briarseam.wire import codec
 
@@ -46,15 +46,15 @@
 
 def filled(engines: int, polled: int, runs: int) -> loads.Loads:
     """Return the loads of an agent that has something to tell."""
-    ledger = ledgers.Ledger()
+    own_runs = active_runs.ActiveRuns()
     now = time.monotonic()
     for number in range(runs):
-        ledger.start(
+        own_runs.start(
             f"draftmodels-{number % engines}",
-            ledgers.Dispatch(f"run-{number}", now, 1.0),
+            active_runs.Dispatch(f"run-{number}", now, 1.0),
         )
     known = loads.Loads(
-        schema.View, "cph-hall-a-0", lambda: ("cph-hall-a-0",), ledger.counts
+        schema.View, "cph-hall-a-0", lambda: ("cph-hall-a-0",), own_runs.counts
     )
     for number in range(engines):
         known.known[f"draftmodels-{number}"] = loads.Load(
--- a/bench/state_memory.py
+++ b/bench/state_memory.py
@@ -30,7 +30,7 @@
 from briarseam.lookup import layout as layouts
 from briarseam.membership import directory as directories
 from briarseam.membership import messages as membership
-from briarseam.routing import ledger as ledgers
+from briarseam.routing import active_runs
 from briarseam.routing import prefixes
 
 SIZES: dict[str, tuple[int, ...]] = {
@@ -128,14 +128,14 @@
 
 
 def fill_runs(count: int) -> object:
-    """Return the ledger of runs under way."""
-    ledger = ledgers.Ledger()
+    """Return the runs under way."""
+    own_runs = active_runs.ActiveRuns()
     for number in range(count):
-        ledger.start(
+        own_runs.start(
             f"worker-{number % ENGINES}",
-            ledgers.Dispatch(secrets.token_hex(12), time.monotonic(), 3.0),
+            active_runs.Dispatch(secrets.token_hex(12), time.monotonic(), 3.0),
         )
-    return ledger
+    return own_runs
 
 
 def fill(kind: str, count: int) -> object:
--- a/src/briarseam/compose/serving.py
+++ b/src/briarseam/compose/serving.py
@@ -13,7 +13,7 @@
 from briarseam.admission import retry_schedule
 from briarseam.cache import residents
 from briarseam.cache import service as kept_cache
-from briarseam.routing import ledger as ledgers
+from briarseam.routing import active_runs
 from briarseam.routing import loads
 from briarseam.routing import service as routing
 
@@ -100,12 +100,12 @@
     """Return routing and admission, wired to membership's heartbeats."""
     members = sources.members
     view = sources.view
-    ledger = ledgers.Ledger()
+    own_runs = active_runs.ActiveRuns()
     engine_loads = loads.Loads(
         view,
         settings.instance.name,
         lambda: [member.name for member in members.live()],
-        ledger.counts,
+        own_runs.counts,
     )
     chooser = routing.Chooser(
         routing.ChooserParts(
@@ -115,7 +115,7 @@
             serves=sources.releases.serves,
             kept=sources.imports,
             loads=engine_loads,
-            ledger=ledger,
+            own_runs=own_runs,
         )
     )
     cache_events = residents.Residents(
--- a/src/briarseam/routing/ledger.py
+++ b/src/briarseam/routing/active_runs.py
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass
-class EndpointLedger:
+class EndpointRuns:
     """Runs of one endpoint."""
 
     running: dict[str, Dispatch] = dataclasses.field(default_factory=dict)
@@ -39,63 +39,63 @@
     )
 
 
-class Ledger:
+class ActiveRuns:
     """Runs of all endpoints; safe for several threads."""
 
     def __init__(self) -> None:
-        self.endpoints: dict[str, EndpointLedger] = {}
+        self.endpoints: dict[str, EndpointRuns] = {}
         self.lock = threading.Lock()
 
     def start(self, endpoint: str, dispatch: Dispatch) -> None:
         """Count a run in."""
         with self.lock:
-            ledger = self.endpoints.setdefault(endpoint, EndpointLedger())
-            ledger.running[dispatch.run_id] = dispatch
+            runs = self.endpoints.setdefault(endpoint, EndpointRuns())
+            runs.running[dispatch.run_id] = dispatch
 
     def end(self, endpoint: str, run_id: str, now: float) -> Dispatch | None:
         """Count a run out; ``None`` when it was counted out before."""
         with self.lock:
-            ledger = self.endpoints.get(endpoint)
-            if ledger is None:
+            runs = self.endpoints.get(endpoint)
+            if runs is None:
                 return None
-            dispatch = ledger.running.pop(run_id, None)
+            dispatch = runs.running.pop(run_id, None)
             if dispatch is not None:
-                ledger.ended_at.append(now)
+                runs.ended_at.append(now)
             return dispatch
 
     def get(self, endpoint: str, run_id: str) -> Dispatch | None:
         """Return a run that is under way."""
-        ledger = self.endpoints.get(endpoint)
-        return ledger.running.get(run_id) if ledger else None
+        runs = self.endpoints.get(endpoint)
+        return runs.running.get(run_id) if runs else None
 
     def outstanding(self, endpoint: str) -> int:
         """Return how many runs are under way at an endpoint."""
-        ledger = self.endpoints.get(endpoint)
-        return len(ledger.running) if ledger else 0
+        runs = self.endpoints.get(endpoint)
+        return len(runs.running) if runs else 0
 
     def change_since(self, endpoint: str, since: float) -> int:
         """Return starts less ends after a monotonic time."""
         with self.lock:
-            ledger = self.endpoints.get(endpoint)
-            if ledger is None:
+            runs = self.endpoints.get(endpoint)
+            if runs is None:
                 return 0
             started = sum(
-                1 for one in ledger.running.values() if one.at >= since
+                1 for one in runs.running.values() if one.at >= since
             )
             # Runs that began before and ended after the report took a
             # place there that is free by now.  Runs that did both after it
             # never showed and cancel out of both sums but for their start,
             # which is no longer in ``running``; the bound is one sided and
             # errs towards more load.
-            return started - count_since(ledger.ended_at, since)
+            return started - count_since(runs.ended_at, since)
 
     def keep(self, endpoints: typing.Container[str]) -> None:
         """Drop endpoints that are gone and have nothing under way."""
         with self.lock:
             gone = [
                 name
-                for name, ledger in self.endpoints.items()
-                if name not in endpoints and not ledger.running
+                for name, runs in self.endpoints.items()
+                if name not in endpoints and not runs.running
             ]
             for name in gone:
                 del self.endpoints[name]
@@ -104,9 +104,9 @@
         """Return runs under way by endpoint, without idle endpoints."""
         with self.lock:
             return {
-                name: len(ledger.running)
-                for name, ledger in self.endpoints.items()
-                if ledger.running
+                name: len(runs.running)
+                for name, runs in self.endpoints.items()
+                if runs.running
             }
 
 
--- a/src/briarseam/routing/predict.py
+++ b/src/briarseam/routing/predict.py
@@ -9,7 +9,7 @@
 from briarseam.cache import state as cache
 
 if typing.TYPE_CHECKING:
-    from briarseam.routing import ledger as ledgers
+    from briarseam.routing import active_runs
     from briarseam.routing import loads as load_module
     from briarseam.routing import prefixes as prefix_module
     from briarseam.routing import rates as rate_module
@@ -93,19 +93,19 @@
 
     Parameters
     ----------
-    loads, ledger, prefixes, rates
+    loads, own_runs, prefixes, rates
         What is known of the engines.
     """
 
     def __init__(
         self,
         loads: load_module.Loads,
-        ledger: ledgers.Ledger,
+        own_runs: active_runs.ActiveRuns,
         prefixes: prefix_module.Prefixes,
         rates: rate_module.Rates,
     ) -> None:
         self.loads = loads
-        self.ledger = ledger
+        self.own_runs = own_runs
         self.prefixes = prefixes
         self.rates = rates
 
@@ -144,13 +144,13 @@
         since taken off.  Without that, all requests between two reports
         would go to the engine that looked idle in the last one.
         """
-        known_runs = self.ledger.outstanding(endpoint)
+        known_runs = self.own_runs.outstanding(endpoint)
         known_runs += self.loads.others(endpoint)
         load = self.loads.get(endpoint)
         if load is None:
             return known_runs
-        changed = self.ledger.change_since(endpoint, load.as_of)
-        return max(load.busy + changed, self.ledger.outstanding(endpoint))
+        changed = self.own_runs.change_since(endpoint, load.as_of)
+        return max(load.busy + changed, self.own_runs.outstanding(endpoint))
 
     def slots(self, endpoint: str) -> int:
         """Return an engine's slots, a guess while it is not known."""
--- a/src/briarseam/routing/service.py
+++ b/src/briarseam/routing/service.py
@@ -12,8 +12,8 @@
 from briarseam.configuration import schema
 from briarseam.configuration import values
 from briarseam.orders import state as orders
+from briarseam.routing import active_runs
 from briarseam.routing import candidates
-from briarseam.routing import ledger as ledgers
 from briarseam.routing import loads as load_module
 from briarseam.routing import predict
 from briarseam.routing import prefixes as prefix_module
@@ -66,7 +66,7 @@
         Whether an endpoint reports what a request has to name.
     kept
         The kept cache.
-    loads, ledger
+    loads, own_runs
         Load of the engines and own runs under way.
     clock
         Monotonic seconds.
@@ -78,7 +78,7 @@
     serves: typing.Callable[[str, str, orders.Offer], bool]
     kept: KeptCache
     loads: load_module.Loads
-    ledger: ledgers.Ledger
+    own_runs: active_runs.ActiveRuns
     clock: Clock = time.monotonic
 
 
@@ -100,7 +100,7 @@
         self.prefixes = prefix_module.Prefixes()
         self.rates = rate_module.Rates()
         self.predictor = predict.Predictor(
-            parts.loads, parts.ledger, self.prefixes, self.rates
+            parts.loads, parts.own_runs, self.prefixes, self.rates
         )
         self.sent: dict[str, Sent] = {}
         self.boots: dict[str, str] = {}
@@ -309,9 +309,9 @@
     def note_start(self, run_id: str, choice: state.Choice) -> None:
         """Count a run in."""
         now = self.parts.clock()
-        self.parts.ledger.start(
+        self.parts.own_runs.start(
             choice.endpoint,
-            ledgers.Dispatch(run_id, now, choice.recompute_pieces),
+            active_runs.Dispatch(run_id, now, choice.recompute_pieces),
         )
         with self.lock:
             self.sent[run_id] = Sent(choice, now)
@@ -330,7 +330,7 @@
         Endpoints are replaced all day under new names; without this an
         agent that lives long would remember all of them.
         """
-        self.parts.ledger.keep(view.endpoints)
+        self.parts.own_runs.keep(view.endpoints)
         for name in [one for one in self.boots if one not in view.endpoints]:
             self.boots.pop(name, None)
             self.prefixes.forget(name)
@@ -380,7 +380,7 @@
         if sent is None:
             return
         choice = sent.choice
-        self.parts.ledger.end(choice.endpoint, run_id, now)
+        self.parts.own_runs.end(choice.endpoint, run_id, now)
         if failed:
             self.troubles.failed(choice.endpoint)
         elif whole:
--- a/tests/routing/conftest.py
+++ b/tests/routing/conftest.py
@@ -9,7 +9,7 @@
 from briarseam.configuration import schema
 from briarseam.configuration import values
 from briarseam.orders import state as orders
-from briarseam.routing import ledger as ledgers
+from briarseam.routing import active_runs
 from briarseam.routing import loads
 from briarseam.routing import service
 from briarseam.routing import state
@@ -84,9 +84,9 @@
     }
     view = schema.View(endpoints=engines, models={"draft": values.Model("v1")})
     clock = Clock()
-    ledger = ledgers.Ledger()
+    own_runs = active_runs.ActiveRuns()
     known = loads.Loads(
-        lambda: view, "me", lambda: ["me"], ledger.counts, clock
+        lambda: view, "me", lambda: ["me"], own_runs.counts, clock
     )
     kept = NothingKept()
     leaving = set()
@@ -97,7 +97,7 @@
         serves=lambda endpoint, model, offer: True,
         kept=kept,
         loads=known,
-        ledger=ledger,
+        own_runs=own_runs,
         clock=clock,
     )
     return Bench(view, clock, kept, known, service.Chooser(parts), leaving)
--- a/tests/routing/test_failures.py
+++ b/tests/routing/test_failures.py
@@ -152,7 +152,7 @@
     bench.loads.view = lambda: smaller
     bench.loads.forget_gone()
     serve(bench, "later")
-    assert set(bench.chooser.parts.ledger.endpoints) == {"engine-0"}
+    assert set(bench.chooser.parts.own_runs.endpoints) == {"engine-0"}
     assert set(bench.chooser.prefixes.engines) == {"engine-0"}
     assert set(bench.loads.known) == set(bench.chooser.boots) == {"engine-0"}
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -58,7 +58,7 @@
         "placement.residency",
         "placement.store_index",
         "routes",
-        "routing.ledger",
+        "routing.active_runs",
         "routing.loads",
         "routing.prefixes",
         "routing.state",
