--- a/src/briarseam/admission/dispatch.py
+++ b/src/briarseam/admission/dispatch.py
@@ -40,7 +40,7 @@
     ) -> routing.Choice | routing.NoChoice:
         """Return the engine for a prompt."""
 
-    def has_room(self, choice: routing.Choice, part: float) -> bool:
+    def has_room(self, choice: routing.Choice, share: float) -> bool:
         """Tell whether a choice's engine has a slot, or nearly."""
 
     def run_s(self, model: str) -> float:
@@ -211,7 +211,7 @@
             return True
         # One that may go to a single engine waits there if need be: at the
         # head of the queue here it would hold up those for other engines.
-        if not waiter.ask.only and not self.engines.has_room(
+        if not waiter.ask.required_endpoint and not self.engines.has_room(
             choice, ENGINE_QUEUE_PART
         ):
             return False
--- a/src/briarseam/admission/placing.py
+++ b/src/briarseam/admission/placing.py
@@ -49,13 +49,15 @@
     ) -> cache.Imported:
         """Import what the choice's plan says, before the run is granted."""
 
-    def note_start(self, run_id: str, choice: routing.Choice) -> None:
+    def record_start(self, run_id: str, choice: routing.Choice) -> None:
         """Count a run in."""
 
-    def note_first_token(self, run_id: str, cached_tokens: int) -> None:
+    def record_first_token(self, run_id: str, cached_tokens: int) -> None:
         """Learn from a run's first token."""
 
-    def note_end(self, run_id: str, whole: bool, failed: bool = False) -> None:
+    def record_end(
+        self, run_id: str, complete: bool, failed: bool = False
+    ) -> None:
         """Count a run out."""
 
 
@@ -149,7 +151,7 @@
                 adapter=release.adapter if release else "",
                 excluded=frozenset(request.lost),
                 refused=frozenset(request.refused),
-                only=only,
+                required_endpoint=only,
             ),
             rank=fair_queue.Rank(priority, deadline_at),
             start=lambda choice: self.start(run, choice),
@@ -288,11 +290,11 @@
                 answer_id=sealed,
             )
         )
-        self.parts.chooser.note_start(run.run_id, choice)
+        self.parts.chooser.record_start(run.run_id, choice)
 
     def record_first_token(self, message: messages.RunStarted) -> None:
         """Take in that a run's first token has come."""
-        self.parts.chooser.note_first_token(
+        self.parts.chooser.record_first_token(
             message.run_id, message.cached_tokens
         )
 
@@ -303,7 +305,7 @@
             return None
         whole = message.result is messages.RunResult.DONE
         failed = message.result in FAILED
-        self.parts.chooser.note_end(run.run_id, whole, failed)
+        self.parts.chooser.record_end(run.run_id, whole, failed)
         self.parts.limits.leave(run.organisation)
         self.parts.dispatcher.note_end(whole)
         if whole:
--- a/src/briarseam/compose/crashes.py
+++ b/src/briarseam/compose/crashes.py
@@ -61,7 +61,7 @@
         self, request: admission.Admit, version: str
     ) -> list[str]:
         """Return the engines that may run a prompt, the idlest first."""
-        return self.parts.chooser.idlest(
+        return self.parts.chooser.least_loaded(
             routing.PromptQuery(
                 organisation="",
                 session=request.session,
--- a/src/briarseam/routing/service.py
+++ b/src/briarseam/routing/service.py
@@ -190,13 +190,13 @@
             name
             for name in self.serving.names(view, query.model)
             if name not in barred
-            and query.only in ("", name)
+            and query.required_endpoint in ("", name)
             and self.parts.serves(name, query.model, offer)
         ]
         return self.parts.loads.reporting(self.troubles.avoid(names))
 
-    def idlest(self, query: state.PromptQuery) -> list[str]:
-        """Return the engines that may run a prompt, the idlest first."""
+    def least_loaded(self, query: state.PromptQuery) -> list[str]:
+        """Return the engines that may run a prompt, the least loaded first."""
         view = self.parts.view()
         if query.model not in view.models:
             return []
@@ -268,19 +268,19 @@
         )
         return state.Choice(name, view.endpoints[name].address)
 
-    def has_room(self, choice: state.Choice, part: float) -> bool:
+    def has_room(self, choice: state.Choice, share: float) -> bool:
         """Tell whether a choice's engine has a slot, or nearly.
 
         Parameters
         ----------
         choice
             The engine.
-        part
+        share
             What may wait there, as a part of its slots.
         """
         slots = self.predictor.slots(choice.endpoint)
         free = self.predictor.slots_free(choice.endpoint)
-        return free + int(slots * part) > 0
+        return free + int(slots * share) > 0
 
     def run_s(self, model: str) -> float:
         """Return how long a run takes a slot, in seconds."""
@@ -306,7 +306,7 @@
                 sent.imported = imported.pieces
         return imported
 
-    def note_start(self, run_id: str, choice: state.Choice) -> None:
+    def record_start(self, run_id: str, choice: state.Choice) -> None:
         """Count a run in."""
         now = self.parts.clock()
         self.parts.own_runs.start(
@@ -341,7 +341,7 @@
             self.prefixes.forget(endpoint)
         self.boots[endpoint] = boot_id
 
-    def note_first_token(self, run_id: str, cached_tokens: int) -> None:
+    def record_first_token(self, run_id: str, cached_tokens: int) -> None:
         """Learn from a run's first token."""
         with self.lock:
             sent = self.sent.get(run_id)
@@ -362,14 +362,16 @@
             left = left_tokens / pieces.PIECE_TOKENS
             self.rates.learn_prefill(choice.model, took_s, left)
 
-    def note_end(self, run_id: str, whole: bool, failed: bool = False) -> None:
+    def record_end(
+        self, run_id: str, complete: bool, failed: bool = False
+    ) -> None:
         """Count a run out and learn how long it took.
 
         Parameters
         ----------
         run_id
             The run.
-        whole
+        complete
             Whether it gave its whole answer.
         failed
             Whether its endpoint failed it before it gave anything.
@@ -383,9 +385,9 @@
         self.parts.own_runs.end(choice.endpoint, run_id, now)
         if failed:
             self.troubles.failed(choice.endpoint)
-        elif whole:
+        elif complete:
             self.troubles.worked(choice.endpoint)
-        if whole and choice.model:
+        if complete and choice.model:
             took_s = max(now - sent.at - choice.wait_s, 0.001)
             self.rates.learn_run(choice.model, took_s)
         elif not sent.first_seen:
--- a/src/briarseam/routing/state.py
+++ b/src/briarseam/routing/state.py
@@ -27,7 +27,7 @@
         Endpoints that must not get it.
     refused
         Those of ``excluded`` that may get it if there is no other.
-    only
+    required_endpoint
         The one endpoint that may get it; empty for any.
     """
 
@@ -40,7 +40,7 @@
     adapter: str = ""
     excluded: frozenset[str] = frozenset()
     refused: frozenset[str] = frozenset()
-    only: str = ""
+    required_endpoint: str = ""
 
     def with_refused(self) -> PromptQuery:
         """Return the same with the endpoints that refused it let in again.
--- a/tests/admission/test_dispatch.py
+++ b/tests/admission/test_dispatch.py
@@ -31,7 +31,7 @@
             first_token_s=self.first_token_s,
         )
 
-    def has_room(self, choice, part):
+    def has_room(self, choice, share):
         return self.free > 0
 
     def run_s(self, model):
--- a/tests/routing/test_failures.py
+++ b/tests/routing/test_failures.py
@@ -15,8 +15,8 @@
     choice = bench.chooser.choose_engine(
         conftest.prompt_query(run_id, pieces=1, **changes)
     )
-    bench.chooser.note_start(run_id, choice)
-    bench.chooser.note_end(run_id, whole=not failed, failed=failed)
+    bench.chooser.record_start(run_id, choice)
+    bench.chooser.record_end(run_id, complete=not failed, failed=failed)
     return choice.endpoint
 
 
--- a/tests/routing/test_service.py
+++ b/tests/routing/test_service.py
@@ -12,7 +12,7 @@
 def send(bench, prompt_query, run_id):
     choice = bench.chooser.choose_engine(prompt_query)
     assert isinstance(choice, state.Choice)
-    bench.chooser.note_start(run_id, choice)
+    bench.chooser.record_start(run_id, choice)
     return choice
 
 
@@ -38,7 +38,7 @@
     that has just computed it needs nothing but the last part piece.
     """
     first = send(bench, conftest.prompt_query(), "one")
-    bench.chooser.note_end("one", whole=True)
+    bench.chooser.record_end("one", complete=True)
     again = bench.chooser.choose_engine(conftest.prompt_query())
     assert again.endpoint == first.endpoint
     assert again.recompute_pieces == 0
@@ -49,7 +49,7 @@
     prefill would take elsewhere; the caller must not wait behind it.
     """
     first = send(bench, conftest.prompt_query(), "one")
-    bench.chooser.note_end("one", whole=True)
+    bench.chooser.record_end("one", complete=True)
     bench.clock.now += 1
     for name in bench.view.endpoints:
         bench.report(name, busy=40 if name == first.endpoint else 0)
@@ -169,7 +169,7 @@
         send(
             bench, conftest.prompt_query(f"other-{number}"), f"other-{number}"
         )
-        bench.chooser.note_end(f"other-{number}", whole=True)
+        bench.chooser.record_end(f"other-{number}", complete=True)
     later = bench.chooser.choose_engine(conftest.prompt_query("returns"))
     assert later.have == 4
     assert len(later.plan.blocks) == 4
