--- a/src/briarseam/compose/node.py
+++ b/src/briarseam/compose/node.py
@@ -117,7 +117,7 @@
         self.chooser = choosers.Chooser(
             self.feeds.registry.serving,
             self.weights.required,
-            self.weights.board,
+            self.weights.known_weights,
             self.feeds.registry.age_s,
             loads.Loads(self.calls.size, lambda: len(self.instances.all())),
         )
@@ -150,7 +150,7 @@
         self.reloading = reloading.Reloading(settings, self.apply_settings)
         self.cell_loads = cell_loads.CellLoads(self.chooser.loads, self.calls)
         self.cell_weights = cell_weights.CellWeights(
-            self.weights.board, self.calls, settings.instance.name
+            self.weights.known_weights, self.calls, settings.instance.name
         )
         self.peer_configuration = peer_configuration.PeerConfiguration(
             self.feeds.operators, self.calls
@@ -365,7 +365,7 @@
         self.pool.forget(ids)
         for endpoint_id in ids:
             self.chooser.residency.forget(endpoint_id)
-            self.weights.board.forget(endpoint_id)
+            self.weights.known_weights.forget(endpoint_id)
 
     def forget_all_but(self, ids: frozenset[str]) -> None:
         """Forget what came late of starts that are over.
@@ -376,7 +376,7 @@
         """
         self.pool.keep_only(ids)
         self.chooser.forget_old(ids)
-        self.weights.board.keep_only(ids)
+        self.weights.known_weights.keep_only(ids)
 
     def is_ready(self) -> bool:
         """Tell whether callers may be sent here.
@@ -387,5 +387,5 @@
         return (
             not self.shutdown.begun
             and self.feeds.operators.current() is not None
-            and not self.weights.times.is_needed()
+            and not self.weights.goal_times.is_needed()
         )
--- a/src/briarseam/compose/node_instances.py
+++ b/src/briarseam/compose/node_instances.py
@@ -15,8 +15,8 @@
 
 # Instances that stand for giving orders: more than may be lost at once
 # without anybody noticing, and few enough that their calls hardly count.
-DUTY_CANDIDATES = 9
-DUTY_KEY = "orders"
+LEADER_CANDIDATES = 9
+LEADER_KEY = "orders"
 # With so many times more instances registered than heard, most are not
 # lost: they have not been met yet.
 UNHEARD_FACTOR = 2
@@ -85,15 +85,15 @@
         if self.service is not None:
             self.service.tell_at_once()
 
-    def stands_for_duty(self) -> bool:
+    def is_leader_candidate(self) -> bool:
         """Tell whether this instance should take part in giving orders."""
         if self.service is None:
             return False
         names = self.candidates()
-        if len(names) <= DUTY_CANDIDATES:
+        if len(names) <= LEADER_CANDIDATES:
             return True
-        ranked = rank.ranked(DUTY_KEY, names, str, self.weight_of)
-        return self.me in ranked[:DUTY_CANDIDATES]
+        ranked = rank.ranked(LEADER_KEY, names, str, self.weight_of)
+        return self.me in ranked[:LEADER_CANDIDATES]
 
     def candidates(self) -> list[str]:
         """Return the instances that may stand for giving orders.
@@ -112,7 +112,7 @@
             return alive
         return list({*alive, *registered})
 
-    def others_for_duty(self) -> list[str] | None:
+    def other_leader_candidates(self) -> list[str] | None:
         """Return who else may give orders; ``None`` if not all are heard.
 
         Instances of other cells are not heard directly.
--- a/src/briarseam/compose/node_weights.py
+++ b/src/briarseam/compose/node_weights.py
@@ -9,12 +9,12 @@
 
 from briarseam.membership import sections
 from briarseam.platform import names
-from briarseam.weights import board as boards
-from briarseam.weights import errands
-from briarseam.weights import holders
+from briarseam.weights import engine_updates
+from briarseam.weights import engine_weights
+from briarseam.weights import goal_times
+from briarseam.weights import leader
+from briarseam.weights import leader_reports
 from briarseam.weights import rollout as rollouts
-from briarseam.weights import tenure as tenures
-from briarseam.weights import times
 
 if typing.TYPE_CHECKING:
     from briarseam import malformed
@@ -56,11 +56,11 @@
 
     Attributes
     ----------
-    board
+    known_weights
         What is known of engines' weights.
-    times
+    goal_times
         Since when weights are wanted, as it lies on the store.
-    holders
+    leader_reports
         What instances say of who gives orders.
     """
 
@@ -70,93 +70,99 @@
         store: stores.StoreClient,
         feeds: node_feeds.Feeds,
         instances: node_instances.Instances,
-        engines: errands.Engines,
+        engines: engine_updates.Engines,
         tally: malformed.Tally | None = None,
     ) -> None:
         self.settings = settings
         self.feeds = feeds
         self.instances = instances
         self.goals = feeds.operators.goals
-        self.board = boards.Board(self.goals)
-        self.times = times.GoalTimes(
+        self.known_weights = engine_weights.EngineWeights(self.goals)
+        self.goal_times = goal_times.GoalTimes(
             store,
             names.GOAL_TIMES_TOPIC,
             self.goals,
-            instances.stands_for_duty,
+            instances.is_leader_candidate,
             era=lambda: store.era,
             tally=tally,
         )
-        self.holders = holders.HolderWords(
-            instances.others_for_duty,
+        self.leader_reports = leader_reports.LeaderReports(
+            instances.other_leader_candidates,
             lambda: self.settings.bounds.engines_check_fence,
         )
         # What was logged last as excluded, by model.
         self.excluded: dict[str, int] = {}
         start = secrets.token_hex(START_BYTES)
-        self.tenure = tenures.Tenure(
+        self.leadership = leader.Leadership(
             store,
             ORDERS_GROUP,
             names.ORDERS_TOPIC,
             f"{settings.instance.name}/{start}",
             settings.bounds.lease_ms / MS + LEASE_SLACK_S,
-            self.stands_for_duty,
-            self.are_others_quiet,
+            self.is_leader_candidate,
+            self.are_others_idle,
         )
-        self.holders.holds = self.tenure.holds
+        self.leader_reports.is_leader = self.leadership.is_held
         self.rollout = rollouts.Rollout(
-            errands.Sources(
+            engine_updates.Sources(
                 goals=lambda: self.goals.newest,
                 targets=feeds.engines_of,
-                tenure=self.tenure,
+                leadership=self.leadership,
                 engines=engines,
-                board=self.board,
-                holder=settings.instance.name,
-                time_left_s=self.time_left_s,
-                ordering=self.holders.note_ordered,
-                tell_peers=instances.tell_at_once,
+                known_weights=self.known_weights,
+                own_name=settings.instance.name,
+                remaining_s=self.time_left_s,
+                before_order=self.leader_reports.record_order,
+                publish=instances.tell_at_once,
             )
         )
 
     def start(self) -> None:
         """Begin to take part in who gives orders."""
-        self.times.start()
-        self.tenure.start()
+        self.goal_times.start()
+        self.leadership.start()
         self.rollout.start()
 
     def stop(self) -> None:
         """Give no further orders, and give the duty up."""
         self.rollout.stop()
-        self.times.stop()
-        self.tenure.stop()
+        self.goal_times.stop()
+        self.leadership.stop()
 
     def told(self) -> tuple[sections.Section, ...]:
         """Return what heartbeats carry."""
         return (
             sections.Section(
-                "weights", self.board.provide, self.board.consume
+                "weights",
+                self.known_weights.provide,
+                self.known_weights.consume,
             ),
             # After the ages themselves, which the former carries.
             sections.Section(
-                "weights-known", self.times.provide, self.times.consume
+                "weights-known",
+                self.goal_times.provide,
+                self.goal_times.consume,
             ),
             sections.Section(
-                "orders", self.holders.provide, self.holders.consume
+                "orders",
+                self.leader_reports.provide,
+                self.leader_reports.consume,
             ),
         )
 
-    def stands_for_duty(self) -> bool:
+    def is_leader_candidate(self) -> bool:
         """Tell whether to take part; asked each half a second."""
-        self.holders.note_active()
-        return self.instances.stands_for_duty()
+        self.leader_reports.record_active()
+        return self.instances.is_leader_candidate()
 
-    def are_others_quiet(self, since_s: float) -> bool:
+    def are_others_idle(self, since_s: float) -> bool:
         """Tell whether no other instance can be giving orders."""
         lease_s = self.settings.bounds.lease_ms / MS + LEASE_SLACK_S
-        return self.holders.are_quiet(since_s, lease_s)
+        return self.leader_reports.are_others_idle(since_s, lease_s)
 
     def excluded_after_s(self) -> float:
         """Return the age of a goal from which it excludes older weights."""
-        if not self.times.known.is_set():
+        if not self.goal_times.known.is_set():
             # How old goals are is not known in the first moments after a
             # start; requests would begin on weights replaced long ago.
             return 0.0
@@ -164,18 +170,18 @@
 
     def time_left_s(self, model: str, version: int) -> float:
         """Return the seconds until weights are out of use."""
-        return self.goals.time_left_s(model, version, self.excluded_after_s())
+        return self.goals.remaining_s(model, version, self.excluded_after_s())
 
     def required(self, model: str) -> int:
         """Return the oldest weights that requests may still begin on."""
-        found = self.goals.required(model, self.excluded_after_s())
+        found = self.goals.oldest_allowed(model, self.excluded_after_s())
         if found != self.excluded.get(model, 0):
             self.excluded[model] = found
             log.info(
                 "older_weights_excluded",
                 model=model,
                 oldest=found,
-                times_known=self.times.known.is_set(),
+                times_known=self.goal_times.known.is_set(),
             )
         return found
 
@@ -186,7 +192,9 @@
         is just restarting comes back with what it had.
         """
         versions = [
-            self.board.version(endpoint.id, model, endpoint.versions[model])
+            self.known_weights.version(
+                endpoint.id, model, endpoint.versions[model]
+            )
             # An entry of another service may name any model, and would keep
             # parts of old weights from being freed.
             for endpoint in self.feeds.all_engines_of(model)
--- a/src/briarseam/placement/cell_weights.py
+++ b/src/briarseam/placement/cell_weights.py
@@ -54,7 +54,7 @@
     """Reply that carries nothing but that it was taken in."""
 
 
-class Board(typing.Protocol):
+class KnownWeights(typing.Protocol):
     """What an instance knows of engines' weights.
 
     Attributes
@@ -96,7 +96,7 @@
 
     Parameters
     ----------
-    board
+    known_weights
         What is known of engines' weights.
     cells
         Calls to other cells.
@@ -108,12 +108,12 @@
 
     def __init__(
         self,
-        board: Board,
+        known_weights: KnownWeights,
         cells: OtherCells,
         me: str,
         clock: typing.Callable[[], float] = clocks.boot_clock,
     ) -> None:
-        self.board = board
+        self.known_weights = known_weights
         self.cells = cells
         self.me = me
         self.clock = clock
@@ -137,8 +137,8 @@
     def review(self) -> None:
         """Tell what has changed, and again while an engine is changed."""
         # Copies of a set and a dict are atomic, other threads change both.
-        changing = frozenset(self.board.changing)
-        own = dict(self.board.own)
+        changing = frozenset(self.known_weights.changing)
+        own = dict(self.known_weights.own)
         changed = changing != self.changing or own != self.own
         pending = bool(changing or self.untold)
         repeat_s = self.told_s + REPEAT_S
@@ -160,7 +160,7 @@
         if not addresses:
             self.untold = frozenset()
             return
-        message = WeightsTold(self.me, self.board.provide())
+        message = WeightsTold(self.me, self.known_weights.provide())
         untold = set()
         for address in addresses:
             try:
@@ -185,7 +185,7 @@
     def answer(self, message: WeightsTold) -> WeightsNoted:
         """Take in what an instance of another cell told this one."""
         self.heard[message.teller] = (message.content, self.clock())
-        self.board.consume(message.teller, message.content)
+        self.known_weights.consume(message.teller, message.content)
         return WeightsNoted()
 
     def provide(self) -> bytes:
@@ -207,4 +207,4 @@
         del member
         for teller, content in msgspec.msgpack.decode(data, type=Told):
             if teller != self.me:
-                self.board.consume(teller, content)
+                self.known_weights.consume(teller, content)
--- a/src/briarseam/placement/chooser.py
+++ b/src/briarseam/placement/chooser.py
@@ -18,7 +18,7 @@
 from briarseam.placement import requests
 from briarseam.placement import residency as residencies
 from briarseam.placement import usual_sizes
-from briarseam.weights import board as boards
+from briarseam.weights import engine_weights
 
 if typing.TYPE_CHECKING:
     from briarseam.discovery import model as discovery
@@ -45,7 +45,7 @@
         Returns the endpoints of a service that take new work.
     required
         Returns the oldest weights of a model that may still be used.
-    board
+    known_weights
         Which weights engines have, and which take none just now.
     endpoints_age_s
         Returns the time since the endpoints were read, in seconds.
@@ -59,7 +59,7 @@
         self,
         endpoints: typing.Callable[[str], list[discovery.Endpoint]],
         required: typing.Callable[[str], int],
-        board: boards.Board,
+        known_weights: engine_weights.EngineWeights,
         endpoints_age_s: typing.Callable[[], float] = lambda: 0.0,
         loads: load_module.Loads | None = None,
         clock: typing.Callable[[], float] = clocks.boot_clock,
@@ -69,7 +69,7 @@
         self.clock = clock
         self.loads = loads or load_module.Loads()
         self.residency = residencies.Residency()
-        self.board = board
+        self.known_weights = known_weights
         self.endpoints_age_s = endpoints_age_s
         self.kept_index = kept_module.KeptIndex(clock)
         self.avoided: dict[str, float] = {}
@@ -112,7 +112,7 @@
         good = [
             endpoint
             for endpoint in good
-            if not self.board.is_changing(endpoint.id)
+            if not self.known_weights.is_changing(endpoint.id)
         ]
         return self.place_prompt(request, prompt, good or candidates)
 
@@ -253,7 +253,7 @@
     def version_of(self, endpoint: discovery.Endpoint, model: str) -> int:
         """Return an engine's weights, as far as known."""
         announced = endpoint.versions.get(model, 0)
-        return self.board.version(endpoint.id, model, announced)
+        return self.known_weights.version(endpoint.id, model, announced)
 
     def instruct(
         self,
--- a/src/briarseam/platform/engines.py
+++ b/src/briarseam/platform/engines.py
@@ -120,7 +120,7 @@
             "model": order.model,
             "version": order.version,
             "swapMode": MODES[order.mode],
-            "holder": order.holder,
+            "holder": order.leader,
             "fence": order.fence,
             "expected": order.orders_taken,
         }
--- a/src/briarseam/routes/following.py
+++ b/src/briarseam/routes/following.py
@@ -138,5 +138,5 @@
     def take_goal(self, data: bytes) -> None:
         """Take in wanted weights."""
         goal = self.documents.decode_weight_goal(data)
-        if self.goals.take(goal):
+        if self.goals.add(goal):
             log.info("weights_wanted", model=goal.model, version=goal.version)
--- a/src/briarseam/weights/errands.py
+++ b/src/briarseam/weights/engine_updates.py
@@ -10,14 +10,14 @@
 import structlog
 
 from briarseam import clocks
-from briarseam.weights import board as boards
+from briarseam.weights import engine_weights
 from briarseam.weights import goals
 from briarseam.weights import orders
 from briarseam.weights import plan as plans
 
 if typing.TYPE_CHECKING:
     from briarseam.discovery import model as discovery
-    from briarseam.weights import tenure as tenures
+    from briarseam.weights import leader
 
 # Between the word that an engine takes no work and the order, where its runs
 # may finish: no peer then sends to it any more.
@@ -60,36 +60,36 @@
         Returns the wanted weights by model.
     targets
         Returns the engines of a model, leaving ones left out.
-    tenure
+    leadership
         Tells whether this instance gives orders.
     engines
         Calls to engines.
-    board
+    known_weights
         What is known of their weights.
-    holder
+    own_name
         Name of this instance in orders.
-    time_left_s
+    remaining_s
         Returns the seconds until weights of a model are out of use.
-    ordering
+    before_order
         Called right before each order.
-    tell_peers
+    publish
         Lets peers know at once what the board says.
     """
 
     goals: typing.Callable[[], dict[str, goals.WeightGoal]]
     targets: typing.Callable[[str], list[discovery.Endpoint]]
-    tenure: tenures.Tenure
+    leadership: leader.Leadership
     engines: Engines
-    board: boards.Board
-    holder: str
-    time_left_s: typing.Callable[[str, int], float] = lambda model, version: (
+    known_weights: engine_weights.EngineWeights
+    own_name: str
+    remaining_s: typing.Callable[[str, int], float] = lambda model, version: (
         math.inf
     )
-    ordering: typing.Callable[[], None] = lambda: None
-    tell_peers: typing.Callable[[], None] = lambda: None
+    before_order: typing.Callable[[], None] = lambda: None
+    publish: typing.Callable[[], None] = lambda: None
 
 
-class Errand:
+class EngineUpdate:
     """One engine that is being changed.
 
     Parameters
@@ -130,10 +130,10 @@
             Whether it may be taken up again at once; not where it does not
             report or refuses the order.
         """
-        board = self.sources.board
-        board.begin(self.target.id)
+        known_weights = self.sources.known_weights
+        known_weights.begin_change(self.target.id)
         try:
-            self.sources.tell_peers()
+            self.sources.publish()
             stopping.wait(self.notice_s())
             return self.keep_at_it(stopping)
         except orders.EngineUnavailableError as error:
@@ -146,7 +146,7 @@
         except EngineRefusedError:
             return False
         finally:
-            board.end(self.target.id)
+            known_weights.end_change(self.target.id)
 
     def notice_s(self) -> float:
         """Return the time between the word to peers and the order."""
@@ -182,7 +182,9 @@
         version = report.versions.get(self.model, 0)
         if report.changing or not self.is_shown(report.orders_taken):
             return False
-        sources.board.learn(self.target.id, self.model, version)
+        sources.known_weights.record_version(
+            self.target.id, self.model, version
+        )
         if version >= goal.version:
             self.note_in_place(version)
             return True
@@ -210,18 +212,18 @@
     def order(self, goal: goals.WeightGoal, orders_taken: int) -> bool:
         """Give an order; tell if there is nothing more to do here."""
         sources = self.sources
-        if sources.tenure.fence() is None:
+        if sources.leadership.fence() is None:
             return True
         # Told first, so that no heartbeat between says that none was given.
-        sources.ordering()
-        fence = sources.tenure.fence()
+        sources.before_order()
+        fence = sources.leadership.fence()
         if fence is None:
             return True
         order = orders.VersionOrder(
             model=goal.model,
             version=goal.version,
             mode=self.mode,
-            holder=sources.holder,
+            leader=sources.own_name,
             fence=fence,
             orders_taken=orders_taken,
         )
@@ -257,7 +259,7 @@
                 self.taken = order.orders_taken
                 self.ordered_s = clocks.boot_clock()
             case orders.Superseded():
-                self.sources.tenure.note_superseded(order.fence)
+                self.sources.leadership.note_superseded(order.fence)
                 return True
             case orders.Refused(detail):
                 raise EngineRefusedError(detail)
--- a/src/briarseam/weights/board.py
+++ b/src/briarseam/weights/engine_weights.py
@@ -12,7 +12,7 @@
 
 # A peer's word that an engine is being changed counts no longer than this
 # after it was last told: the peer may be gone.
-WORD_S = 3.0
+PEER_REPORT_TTL_S = 3.0
 
 Version = typing.Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 AgeS = typing.Annotated[float, msgspec.Meta(ge=0, le=1e9)]
@@ -25,7 +25,7 @@
 Versions = dict[tuple[str, str], int]
 
 
-class Board:
+class EngineWeights:
     """What this instance and its peers know of engines' weights.
 
     Engines are known by the ids of their starts: one that starts again may
@@ -52,17 +52,17 @@
         self.told: Versions = {}
         self.lock = threading.Lock()
 
-    def begin(self, endpoint: str) -> None:
+    def begin_change(self, endpoint: str) -> None:
         """Note that an engine is about to be changed."""
         with self.lock:
             self.changing.add(endpoint)
 
-    def end(self, endpoint: str) -> None:
+    def end_change(self, endpoint: str) -> None:
         """Note that an engine is no longer being changed."""
         with self.lock:
             self.changing.discard(endpoint)
 
-    def learn(self, endpoint: str, model: str, version: int) -> None:
+    def record_version(self, endpoint: str, model: str, version: int) -> None:
         """Note which weights an engine has; older news is dropped."""
         with self.lock:
             key = (endpoint, model)
@@ -127,8 +127,8 @@
         """Take in what a peer knows; nothing of it if it is malformed."""
         changing, versions, ages = msgspec.msgpack.decode(data, type=Told)
         for model, version, age_s in ages:
-            self.history.take(goals.WeightGoal(model, version), age_s)
-        until_s = self.clock() + WORD_S
+            self.history.add(goals.WeightGoal(model, version), age_s)
+        until_s = self.clock() + PEER_REPORT_TTL_S
         with self.lock:
             self.peers_changing[member] = (frozenset(changing), until_s)
             for endpoint, model, version in versions:
--- a/src/briarseam/weights/times.py
+++ b/src/briarseam/weights/goal_times.py
@@ -141,17 +141,17 @@
             When the store does not answer properly.
         """
         if not self.looked:
-            self.look()
-            self.recall()
+            self.read_store()
+            self.restore()
             self.known.set()
         if not self.writes():
             return
         if self.era() != self.looked_era:
-            self.look()
+            self.read_store()
         if self.news():
             self.write()
         elif self.look_again:
-            self.look()
+            self.read_store()
             self.look_again = False
 
     def is_needed(self) -> bool:
@@ -164,7 +164,7 @@
             return False
         return self.clock() - self.started_s < WAITED_FOR_S
 
-    def look(self) -> None:
+    def read_store(self) -> None:
         """Look at what lies on the store."""
         self.looked_era = self.era()
         batch = self.store.newest(self.topic)
@@ -191,11 +191,11 @@
             for version, named_ms in rows
         }
 
-    def recall(self) -> None:
+    def restore(self) -> None:
         """Take in what former processes left."""
         now_s = self.clock()
         for goal, seen_s in self.stored.items():
-            self.history.recall(goal, now_s - seen_s)
+            self.history.restore(goal, now_s - seen_s)
             log.info(
                 "goal_time_found",
                 model=goal.model,
@@ -231,7 +231,7 @@
 
     def write(self) -> None:
         """Write what others have not written meanwhile."""
-        self.look()
+        self.read_store()
         for model in self.news():
             self.put(model)
             self.look_again = True
--- a/src/briarseam/weights/goals.py
+++ b/src/briarseam/weights/goals.py
@@ -51,27 +51,27 @@
         self.seen: dict[WeightGoal, float] = {}
         self.lock = threading.Lock()
 
-    def take(self, goal: WeightGoal, age_s: float = 0.0) -> bool:
+    def add(self, goal: WeightGoal, age_s: float = 0.0) -> bool:
         """Take in a goal that was seen so long ago; tell if it is newest."""
         seen_s = self.clock() - age_s
         with self.lock:
-            self.remember(goal, seen_s)
+            self.keep_earliest(goal, seen_s)
             known = self.newest.get(goal.model)
             if known is not None and known.version >= goal.version:
                 return False
             self.newest = {**self.newest, goal.model: goal}
             return True
 
-    def recall(self, goal: WeightGoal, age_s: float) -> None:
+    def restore(self, goal: WeightGoal, age_s: float) -> None:
         """Take in that a former process saw a goal.
 
         Operators' documents alone tell which goal is the newest.
         """
         seen_s = self.clock() - age_s
         with self.lock:
-            self.remember(goal, seen_s)
+            self.keep_earliest(goal, seen_s)
 
-    def remember(self, goal: WeightGoal, seen_s: float) -> None:
+    def keep_earliest(self, goal: WeightGoal, seen_s: float) -> None:
         """Keep the earliest time of a goal; the lock is held."""
         self.seen[goal] = min(seen_s, self.seen.get(goal, seen_s))
         same = [each for each in self.seen if each.model == goal.model]
@@ -92,7 +92,7 @@
                 for goal, seen_s in self.seen.items()
             ]
 
-    def required(self, model: str, after_s: float) -> int:
+    def oldest_allowed(self, model: str, after_s: float) -> int:
         """Return the oldest weights that requests may still begin on.
 
         Parameters
@@ -113,7 +113,7 @@
                 default=0,
             )
 
-    def time_left_s(self, model: str, version: int, after_s: float) -> float:
+    def remaining_s(self, model: str, version: int, after_s: float) -> float:
         """Return the time until weights are excluded; infinite for newest.
 
         Parameters
--- a/src/briarseam/weights/tenure.py
+++ b/src/briarseam/weights/leader.py
@@ -61,7 +61,7 @@
     until_s: float
 
 
-class Tenure:
+class Leadership:
     """Keeps this instance in the group and knows whether it holds the duty.
 
     A former holder may have sent an order just before it lost the duty, and
@@ -77,10 +77,10 @@
         This start of this instance.
     wait_s
         What a new holder waits before its first order, in seconds.
-    stands
+    is_candidate
         Tells whether this instance should take part; a few of a large
         deployment are enough, and each call is counted.
-    are_quiet
+    are_others_idle
         Tells whether no other instance can be giving orders, given since
         when this one has the duty.
     clock
@@ -94,8 +94,10 @@
         topic: str,
         member: str,
         wait_s: float,
-        stands: typing.Callable[[], bool] = lambda: True,
-        are_quiet: typing.Callable[[float], bool] = lambda since_s: False,
+        is_candidate: typing.Callable[[], bool] = lambda: True,
+        are_others_idle: typing.Callable[[float], bool] = lambda since_s: (
+            False
+        ),
         clock: typing.Callable[[], float] = clocks.boot_clock,
     ) -> None:
         self.store = store
@@ -103,8 +105,8 @@
         self.topic = topic
         self.member = member
         self.wait_s = wait_s
-        self.stands = stands
-        self.are_quiet = are_quiet
+        self.is_candidate = is_candidate
+        self.are_others_idle = are_others_idle
         self.clock = clock
         self.generation = 0
         self.held: Held | None = None
@@ -149,7 +151,7 @@
         """Tell whether there is nobody to wait for."""
         if self.usable_gained_s == held.gained_s:
             return True
-        if not self.are_quiet(held.gained_s):
+        if not self.are_others_idle(held.gained_s):
             return False
         self.usable_gained_s = held.gained_s
         log.info(
@@ -159,7 +161,7 @@
         )
         return True
 
-    def holds(self) -> bool:
+    def is_held(self) -> bool:
         """Tell whether this instance takes itself for the holder."""
         held = self.held
         return held is not None and self.clock() < held.until_s
@@ -180,7 +182,7 @@
 
     def take_part(self) -> None:
         """Stay in the group, or out of it."""
-        if self.stands():
+        if self.is_candidate():
             self.join_once()
         elif self.generation:
             self.held = None
--- a/src/briarseam/weights/holders.py
+++ b/src/briarseam/weights/leader_reports.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from briarseam import clocks
-from briarseam.weights import tenure as tenures
+from briarseam.weights import leader
 
 if typing.TYPE_CHECKING:
     import collections.abc
@@ -26,14 +26,14 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Word:
+class LeaderReport:
     """What one instance said of its duty.
 
     Attributes
     ----------
     heard_s
         When, by the boot clock of this instance.
-    holds
+    is_leader
         Whether it took itself for the holder.
     ordered_s
         When it sent its last order, by the same clock, its former
@@ -41,17 +41,17 @@
     """
 
     heard_s: float
-    holds: bool
+    is_leader: bool
     ordered_s: float
 
     def latest_order_s(self) -> float:
         """Return until when it may have ordered, as far as one knows."""
-        if not self.holds:
+        if not self.is_leader:
             return self.ordered_s
-        return max(self.ordered_s, self.heard_s + tenures.VALID_S)
+        return max(self.ordered_s, self.heard_s + leader.VALID_S)
 
 
-class HolderWords:
+class LeaderReports:
     """Tells a new holder whether somebody may still be giving orders.
 
     A holder that lost the duty learns of it with its next call to the
@@ -84,12 +84,12 @@
         self.clock = clock
         self.awake_since_s = clock()
         self.active_s = clock()
-        self.holds: typing.Callable[[], bool] = lambda: False
+        self.is_leader: typing.Callable[[], bool] = lambda: False
         self.ordered_s = NEVER_S
-        self.words: dict[str, Word] = {}
+        self.reports: dict[str, LeaderReport] = {}
         self.lock = threading.Lock()
 
-    def note_active(self) -> float:
+    def record_active(self) -> float:
         """Note that this instance is not suspended; return the time."""
         now_s = self.clock()
         if now_s - self.active_s > PAUSE_S:
@@ -97,32 +97,34 @@
         self.active_s = now_s
         return now_s
 
-    def note_ordered(self) -> None:
+    def record_order(self) -> None:
         """Note that this instance is sending an order."""
         self.ordered_s = self.clock()
 
     def provide(self) -> bytes:
         """Return what peers should know."""
-        now_s = self.note_active()
+        now_s = self.record_active()
         return msgspec.msgpack.encode(
             # The time makes each heartbeat's content a new one, so that
             # peers take it in.
-            (self.holds(), now_s - self.ordered_s, now_s)
+            (self.is_leader(), now_s - self.ordered_s, now_s)
         )
 
     def consume(self, member: str, data: bytes) -> None:
         """Take in what a peer says."""
-        holds, since_order_s, _said_s = msgspec.msgpack.decode(data, type=Told)
-        now_s = self.note_active()
+        is_leader, since_order_s, _said_s = msgspec.msgpack.decode(
+            data, type=Told
+        )
+        now_s = self.record_active()
         ordered_s = now_s - since_order_s
         with self.lock:
-            known = self.words.get(member)
+            known = self.reports.get(member)
             if known is not None:
                 # A process that has just started knows of no order.
                 ordered_s = max(ordered_s, known.ordered_s)
-            self.words[member] = Word(now_s, holds, ordered_s)
+            self.reports[member] = LeaderReport(now_s, is_leader, ordered_s)
 
-    def are_quiet(self, since_s: float, lease_s: float) -> bool:
+    def are_others_idle(self, since_s: float, lease_s: float) -> bool:
         """Tell whether no other instance gives orders, or just did.
 
         Parameters
@@ -132,31 +134,31 @@
         lease_s
             How long after an order of another instance none may be given.
         """
-        now_s = self.note_active()
+        now_s = self.record_active()
         others = self.others()
         if others is None:
             return False
         names = set(others)
         with self.lock:
-            words = dict(self.words)
+            reports = dict(self.reports)
         # An instance that is listed no more may have ordered just before.
-        if (names or words) and not self.engines_check_fence():
+        if (names or reports) and not self.engines_check_fence():
             return False
-        latest_s = [word.latest_order_s() for word in words.values()]
+        latest_s = [report.latest_order_s() for report in reports.values()]
         if any(at_s > now_s - lease_s for at_s in latest_s):
             return False
         return all(
-            self.is_silent(words.get(name), now_s)
-            or was_heard(words.get(name), since_s)
+            self.is_silent(reports.get(name), now_s)
+            or was_heard(reports.get(name), since_s)
             for name in names
         )
 
-    def is_silent(self, word: Word | None, now_s: float) -> bool:
+    def is_silent(self, report: LeaderReport | None, now_s: float) -> bool:
         """Tell whether an instance was not heard for some heartbeats."""
-        heard_s = NEVER_S if word is None else word.heard_s
+        heard_s = NEVER_S if report is None else report.heard_s
         return now_s - max(heard_s, self.awake_since_s) >= SILENT_S
 
 
-def was_heard(word: Word | None, since_s: float) -> bool:
+def was_heard(report: LeaderReport | None, since_s: float) -> bool:
     """Tell whether an instance said something since a time."""
-    return word is not None and word.heard_s >= since_s
+    return report is not None and report.heard_s >= since_s
--- a/src/briarseam/weights/orders.py
+++ b/src/briarseam/weights/orders.py
@@ -47,7 +47,7 @@
         Which weights.
     mode
         What happens to runs under way.
-    holder
+    leader
         Who orders.
     fence
         Fencing number under which it is ordered.
@@ -59,7 +59,7 @@
     model: str
     version: int
     mode: Mode
-    holder: str
+    leader: str
     fence: int
     orders_taken: int
 
--- a/src/briarseam/weights/rollout.py
+++ b/src/briarseam/weights/rollout.py
@@ -10,7 +10,7 @@
 
 from briarseam import clocks
 from briarseam import repeating
-from briarseam.weights import errands
+from briarseam.weights import engine_updates
 from briarseam.weights import goals
 from briarseam.weights import orders
 from briarseam.weights import plan as plans
@@ -36,7 +36,7 @@
         What it goes by.
     """
 
-    def __init__(self, sources: errands.Sources) -> None:
+    def __init__(self, sources: engine_updates.Sources) -> None:
         self.sources = sources
         self.busy: set[str] = set()
         self.silent_until: dict[str, float] = {}
@@ -56,7 +56,7 @@
 
     def review(self) -> None:
         """Look after all models if this instance gives the orders."""
-        if self.sources.tenure.fence() is None:
+        if self.sources.leadership.fence() is None:
             return
         for goal in self.sources.goals().values():
             self.advance(goal)
@@ -84,9 +84,11 @@
 
     def errand(
         self, model: str, target: discovery.Endpoint, mode: orders.Mode
-    ) -> errands.Errand:
+    ) -> engine_updates.EngineUpdate:
         """Return what changes one engine."""
-        return errands.Errand(self.sources, self.times, model, target, mode)
+        return engine_updates.EngineUpdate(
+            self.sources, self.times, model, target, mode
+        )
 
     def note_silent(self, endpoint: str) -> None:
         """Leave an engine that does not report alone for a while."""
@@ -146,7 +148,7 @@
         or are just restarting, are no reason to hurry all others.
         """
         left = sorted(
-            self.sources.time_left_s(model, self.version_of(target, model))
+            self.sources.remaining_s(model, self.version_of(target, model))
             for target in behind
         )
         in_use = [left_s for left_s in left if left_s > 0]
@@ -172,9 +174,9 @@
     def version_of(self, target: discovery.Endpoint, model: str) -> int:
         """Return the weights that an engine is known to have."""
         announced = target.versions.get(model, 0)
-        return self.sources.board.version(target.id, model, announced)
+        return self.sources.known_weights.version(target.id, model, announced)
 
-    def bring(self, errand: errands.Errand) -> None:
+    def bring(self, errand: engine_updates.EngineUpdate) -> None:
         """Change one engine; its place is free again afterwards."""
         try:
             if not errand.run(self.reviews.stopping):
--- a/tests/compose/test_node_instances.py
+++ b/tests/compose/test_node_instances.py
@@ -57,14 +57,16 @@
     ("everyone", "standing"),
     [
         pytest.param(NAMES[:7], 7, id="small"),
-        pytest.param(NAMES, node_instances.DUTY_CANDIDATES, id="large"),
+        pytest.param(NAMES, node_instances.LEADER_CANDIDATES, id="large"),
     ],
 )
 def test_few_of_a_large_deployment_stand_for_the_duty(everyone, standing):
     found = [
         name
         for name in everyone
-        if instances(name, everyone=everyone, cell=everyone).stands_for_duty()
+        if instances(
+            name, everyone=everyone, cell=everyone
+        ).is_leader_candidate()
     ]
     assert len(found) == standing
 
@@ -76,14 +78,14 @@
     """
     before = instances("instance-0")
     register(before, NAMES)
-    assert not before.stands_for_duty()
+    assert not before.is_leader_candidate()
     found = []
     for name in NAMES:
         made = instances(name, everyone=[name], cell=[name])
         register(made, NAMES)
-        if made.stands_for_duty():
+        if made.is_leader_candidate():
             found.append(name)
-    assert len(found) == node_instances.DUTY_CANDIDATES
+    assert len(found) == node_instances.LEADER_CANDIDATES
 
 
 def test_who_is_left_of_a_large_deployment_stands():
@@ -93,9 +95,9 @@
     for name in left:
         made = instances(name, everyone=left, cell=left)
         register(made, NAMES)
-        if made.stands_for_duty():
+        if made.is_leader_candidate():
             found.append(name)
-    assert len(found) == node_instances.DUTY_CANDIDATES
+    assert len(found) == node_instances.LEADER_CANDIDATES
 
 
 def test_nobody_is_heard_by_who_has_no_fresh_view():
--- a/tests/compose/test_node_weights.py
+++ b/tests/compose/test_node_weights.py
@@ -55,17 +55,17 @@
     """A process that has just started sees a goal that may be old.  Taken
     for new, requests of the first moments would begin on replaced weights.
     """
-    weights.goals.take(goals.WeightGoal("m", 2))
+    weights.goals.add(goals.WeightGoal("m", 2))
     assert weights.required("m") == 2
-    weights.times.known.set()
+    weights.goal_times.known.set()
     assert weights.required("m") == 0
 
 
 def test_older_weights_are_out_of_use_a_while_before_the_bound(weights):
-    weights.times.known.set()
-    weights.goals.take(goals.WeightGoal("m", 2), age_s=9.9)
+    weights.goal_times.known.set()
+    weights.goals.add(goals.WeightGoal("m", 2), age_s=9.9)
     assert weights.required("m") == 0
-    weights.goals.take(goals.WeightGoal("m", 2), age_s=10.1)
+    weights.goals.add(goals.WeightGoal("m", 2), age_s=10.1)
     assert weights.required("m") == 2
     assert weights.time_left_s("m", 1) <= 0
 
--- a/tests/placement/playing.py
+++ b/tests/placement/playing.py
@@ -23,7 +23,7 @@
 from briarseam.placement import salts
 from briarseam.placement import store_index
 from briarseam.routes import model as routes
-from briarseam.weights import board as boards
+from briarseam.weights import engine_weights
 from briarseam.weights import goals
 from tests import clocks
 from tests.placement import prompt_kinds
@@ -177,7 +177,7 @@
         made = choosers.Chooser(
             lambda service: endpoints,
             lambda model: 0,
-            boards.Board(goals.GoalHistory(), self.clock),
+            engine_weights.EngineWeights(goals.GoalHistory(), self.clock),
             loads=loads.Loads(clock=self.clock),
             clock=self.clock,
         )
--- a/tests/placement/test_cell_weights.py
+++ b/tests/placement/test_cell_weights.py
@@ -7,7 +7,7 @@
 import pytest
 
 from briarseam.placement import cell_weights
-from briarseam.weights import board as boards
+from briarseam.weights import engine_weights
 from briarseam.weights import goals
 from briarseam.wire import replies
 from tests import clocks
@@ -36,8 +36,10 @@
 
 
 def instance(name, clock):
-    board = boards.Board(goals.GoalHistory(clock), clock)
-    return cell_weights.CellWeights(board, Cells(), name, clock)
+    known_weights = engine_weights.EngineWeights(
+        goals.GoalHistory(clock), clock
+    )
+    return cell_weights.CellWeights(known_weights, Cells(), name, clock)
 
 
 @pytest.fixture
@@ -58,21 +60,21 @@
 
 
 def test_cell_is_told_before_the_order_and_after_the_load(cells):
-    cells.giver.board.begin(ENGINE)
+    cells.giver.known_weights.begin_change(ENGINE)
     cells.giver.review()
-    assert cells.speaker.board.is_changing(ENGINE)
-    cells.giver.board.learn(ENGINE, MODEL, 2)
-    cells.giver.board.end(ENGINE)
+    assert cells.speaker.known_weights.is_changing(ENGINE)
+    cells.giver.known_weights.record_version(ENGINE, MODEL, 2)
+    cells.giver.known_weights.end_change(ENGINE)
     cells.giver.review()
-    assert not cells.speaker.board.is_changing(ENGINE)
-    assert cells.speaker.board.version(ENGINE, MODEL, 1) == 2
+    assert not cells.speaker.known_weights.is_changing(ENGINE)
+    assert cells.speaker.known_weights.version(ENGINE, MODEL, 1) == 2
 
 
 def test_whole_cell_knows_what_one_instance_was_told(cells):
-    cells.giver.board.begin(ENGINE)
+    cells.giver.known_weights.begin_change(ENGINE)
     cells.giver.review()
     cells.peer.consume("speaker", cells.speaker.provide())
-    assert cells.peer.board.is_changing(ENGINE)
+    assert cells.peer.known_weights.is_changing(ENGINE)
 
 
 def test_teller_does_not_take_its_own_word_back(cells):
@@ -80,19 +82,19 @@
 
     Taken in, it would keep an engine without work for three seconds more.
     """
-    cells.giver.board.begin(ENGINE)
+    cells.giver.known_weights.begin_change(ENGINE)
     cells.giver.review()
-    cells.giver.board.end(ENGINE)
+    cells.giver.known_weights.end_change(ENGINE)
     cells.giver.consume("speaker", cells.speaker.provide())
-    assert not cells.giver.board.is_changing(ENGINE)
+    assert not cells.giver.known_weights.is_changing(ENGINE)
 
 
 def test_long_load_is_told_again(cells, clock):
-    cells.giver.board.begin(ENGINE)
+    cells.giver.known_weights.begin_change(ENGINE)
     for _ in range(20):
         cells.giver.review()
         clock.now_s += cell_weights.REPEAT_S / 2
-        assert cells.speaker.board.is_changing(ENGINE)
+        assert cells.speaker.known_weights.is_changing(ENGINE)
     assert cells.giver.cells.told == 10
 
 
@@ -105,18 +107,18 @@
 
 def test_cell_that_was_away_is_told_once_it_is_back(cells, clock):
     cells.giver.cells.away = True
-    cells.giver.board.learn(ENGINE, MODEL, 2)
+    cells.giver.known_weights.record_version(ENGINE, MODEL, 2)
     cells.giver.review()
     cells.giver.cells.away = False
     clock.now_s += cell_weights.REPEAT_S
     cells.giver.review()
-    assert cells.speaker.board.version(ENGINE, MODEL, 1) == 2
+    assert cells.speaker.known_weights.version(ENGINE, MODEL, 1) == 2
 
 
 def test_word_of_a_giver_that_is_gone_is_not_passed_on(cells, clock):
     """Passed on for ever, an engine would get no work any more."""
-    cells.giver.board.begin(ENGINE)
+    cells.giver.known_weights.begin_change(ENGINE)
     cells.giver.review()
     clock.now_s += cell_weights.RELAY_S + 0.1
     cells.peer.consume("speaker", cells.speaker.provide())
-    assert not cells.peer.board.is_changing(ENGINE)
+    assert not cells.peer.known_weights.is_changing(ENGINE)
--- a/tests/placement/test_chooser.py
+++ b/tests/placement/test_chooser.py
@@ -13,7 +13,7 @@
 from briarseam.placement import requests
 from briarseam.placement import store_index
 from briarseam.routes import model as routes
-from briarseam.weights import board as boards
+from briarseam.weights import engine_weights
 from briarseam.weights import goals
 from tests import clocks
 
@@ -28,7 +28,9 @@
     def __init__(self, engines=3):
         self.clock = clocks.ManualClock()
         self.required = 0
-        self.board = boards.Board(goals.GoalHistory(), self.clock)
+        self.known_weights = engine_weights.EngineWeights(
+            goals.GoalHistory(), self.clock
+        )
         self.endpoints = [
             discovery.Endpoint(
                 f"e{number}",
@@ -43,7 +45,7 @@
         self.chooser = choosers.Chooser(
             lambda service: list(self.endpoints),
             lambda model: self.required,
-            self.board,
+            self.known_weights,
             clock=self.clock,
         )
 
@@ -236,9 +238,9 @@
 
 def test_engine_that_is_being_changed_takes_no_work(case):
     home = case.place().endpoint.id
-    case.board.begin(home)
+    case.known_weights.begin_change(home)
     assert case.place().endpoint.id != home
-    case.board.end(home)
+    case.known_weights.end_change(home)
     assert case.place().endpoint.id == home
 
 
@@ -250,7 +252,7 @@
     assert placed.instructions.version == 1
     assert placed.instructions.salt == "m/1/"
     for endpoint in case.endpoints:
-        case.board.learn(endpoint.id, MODEL, 2)
+        case.known_weights.record_version(endpoint.id, MODEL, 2)
     assert case.place().instructions.salt == "m/2/"
     assert case.place().instructions.version == 2
 
@@ -305,7 +307,7 @@
     """
     case.required = 2
     assert isinstance(case.place(), requests.NoCapacity)
-    case.board.learn("e2", MODEL, 2)
+    case.known_weights.record_version("e2", MODEL, 2)
     assert case.place().endpoint.id == "e2"
 
 
--- a/tests/platform/restarted_engine.py
+++ b/tests/platform/restarted_engine.py
@@ -104,7 +104,7 @@
 
 
 def knows_weights(node, endpoint):
-    return node.weights.board.version(endpoint, systems.MODEL, 0) == 7
+    return node.weights.known_weights.version(endpoint, systems.MODEL, 0) == 7
 
 
 def knows_work(node, endpoint):
@@ -117,20 +117,22 @@
 
 THINGS = {
     "weights by a report": Thing(
-        lambda node, id, case: node.weights.board.learn(id, systems.MODEL, 7),
+        lambda node, id, case: node.weights.known_weights.record_version(
+            id, systems.MODEL, 7
+        ),
         knows_weights,
     ),
     "weights by a peer": Thing(
-        lambda node, id, case: node.weights.board.consume(
+        lambda node, id, case: node.weights.known_weights.consume(
             "peer", packed([], [(id, systems.MODEL, 7)], [])
         ),
         knows_weights,
     ),
     "change of weights by a peer": Thing(
-        lambda node, id, case: node.weights.board.consume(
+        lambda node, id, case: node.weights.known_weights.consume(
             "peer", packed([id], [], [])
         ),
-        lambda node, id: node.weights.board.is_changing(id),
+        lambda node, id: node.weights.known_weights.is_changing(id),
     ),
     "prompts that it has read": Thing(
         lambda node, id, case: node.chooser.residency.record(
--- a/tests/platform/test_restarted_endpoint_news.py
+++ b/tests/platform/test_restarted_endpoint_news.py
@@ -100,7 +100,9 @@
     has told of itself would be forgotten.
     """
     restarted.restart(case, way)
-    case.node.weights.board.learn(restarted.NEW, systems.MODEL, 7)
+    case.node.weights.known_weights.record_version(
+        restarted.NEW, systems.MODEL, 7
+    )
     case.registry.take_changes([records.KeyedRecord(restarted.NAME, None)])
     assert case.id() == restarted.NEW
     assert restarted.knows_weights(case.node, restarted.NEW)
@@ -110,7 +112,9 @@
 def test_end_of_its_own_entry_ends_the_new_start(case, way):
     restarted.restart(case, way)
     case.registry.away_until_s = 0.0
-    case.node.weights.board.learn(restarted.NEW, systems.MODEL, 7)
+    case.node.weights.known_weights.record_version(
+        restarted.NEW, systems.MODEL, 7
+    )
     case.registry.take_changes([case.entry()])
     case.registry.take_changes([records.KeyedRecord(restarted.NAME, None)])
     assert case.registry.serving("engines") == []
@@ -124,7 +128,9 @@
     The entry names no endpoint any more, so nothing is known of one.
     """
     restarted.restart(case, way)
-    case.node.weights.board.learn(restarted.NEW, systems.MODEL, 7)
+    case.node.weights.known_weights.record_version(
+        restarted.NEW, systems.MODEL, 7
+    )
     case.registry.take_changes([records.KeyedRecord(restarted.NAME, b"{")])
     assert case.registry.serving("engines") == []
     assert not restarted.knows_weights(case.node, restarted.NEW)
@@ -136,7 +142,9 @@
     What it says holds of the start that is there, and what is known of
     that stays known.
     """
-    case.node.weights.board.learn(restarted.OLD, systems.MODEL, 7)
+    case.node.weights.known_weights.record_version(
+        restarted.OLD, systems.MODEL, 7
+    )
     case.worker.born = None
     case.registry.take_changes([case.entry(zone="hall-b")])
     assert case.id() == restarted.OLD
--- a/tests/platform/test_restarted_endpoint_serving.py
+++ b/tests/platform/test_restarted_endpoint_serving.py
@@ -70,9 +70,9 @@
     goal = {"model": systems.MODEL, "version": 2}
     born_system.store.write("keyed.op", f"version/{systems.MODEL}", goal)
     waiting.until(lambda: worker.version == 2, restarted.PATIENCE_S)
-    board = born_system.node.weights.board
+    known_weights = born_system.node.weights.known_weights
     waiting.until(
-        lambda: board.version(restarted.OLD, systems.MODEL, 0) == 2,
+        lambda: known_weights.version(restarted.OLD, systems.MODEL, 0) == 2,
         restarted.PATIENCE_S,
     )
     worker.restart(restarted.NEW_BORN)
--- a/tests/platform/test_restored_store.py
+++ b/tests/platform/test_restored_store.py
@@ -22,9 +22,9 @@
 from briarseam.platform import store as stores
 from briarseam.testing import http_messages
 from briarseam.testing import waiting
+from briarseam.weights import goal_times
 from briarseam.weights import goals
-from briarseam.weights import tenure as tenures
-from briarseam.weights import times
+from briarseam.weights import leader
 from tests import clocks
 from tests.feeds import made
 from tests.platform import metadata_store
@@ -141,17 +141,19 @@
 def test_fencing_numbers_rise_though_generations_go_back(store, client):
     """Guards against orders that engines refuse after a restore."""
     clock = clocks.ManualClock()
-    tenure = tenures.Tenure(client, "group", "topic", "me", 0.0, clock=clock)
+    leadership = leader.Leadership(
+        client, "group", "topic", "me", 0.0, clock=clock
+    )
     old = store.copy()
     for member in ("one", "two"):
         client.join("group", member, "topic", LEASE_S, 0)
         client.leave("group", member)
-    tenure.join_once()
-    before = tenure.fence()
+    leadership.join_once()
+    before = leadership.fence()
     store.restore(old)
-    tenure.join_once()
-    assert tenure.generation < before + (1 << records.ERA_BITS)
-    assert tenure.fence() > before
+    leadership.join_once()
+    assert leadership.generation < before + (1 << records.ERA_BITS)
+    assert leadership.fence() > before
 
 
 def test_two_holders_in_one_era_have_different_numbers(store, client):
@@ -208,12 +210,12 @@
 def test_times_of_goals_are_written_again(store, client):
     """Guards against goals that seem new when all processes end later."""
     history = goals.GoalHistory()
-    kept = times.GoalTimes(
+    kept = goal_times.GoalTimes(
         client, TOPIC, history, lambda: True, era=lambda: client.era
     )
     kept.step()
     old = store.copy()
-    history.take(goals.WeightGoal("m", 2))
+    history.add(goals.WeightGoal("m", 2))
     kept.step()
     assert "m" in store.newest_of(TOPIC)
     store.restore(old)
--- a/tests/platform/test_rollout_in_time.py
+++ b/tests/platform/test_rollout_in_time.py
@@ -54,7 +54,7 @@
 
 
 def holds_duty(system):
-    return system.node.weights.tenure.fence() is not None
+    return system.node.weights.leadership.fence() is not None
 
 
 def test_all_engines_are_changed_within_the_bound(system):
--- a/tests/platform/test_weights_after_restart.py
+++ b/tests/platform/test_weights_after_restart.py
@@ -23,7 +23,7 @@
 
 from briarseam.feeds import records
 from briarseam.testing import waiting
-from briarseam.weights import times as goal_times
+from briarseam.weights import goal_times
 from tests.platform import system as systems
 
 # Older weights are out of use this long after newer ones were named: the
@@ -105,7 +105,7 @@
         raise records.StoreUnavailableError("the read was refused")
 
     with monkeypatch.context() as patched:
-        patched.setattr(goal_times.GoalTimes, "look", refuse)
+        patched.setattr(goal_times.GoalTimes, "read_store", refuse)
         node = system.begin()
         waiting.until(lambda: node.feeds.operators.current() is not None)
         assert not node.is_ready()
@@ -123,6 +123,6 @@
     def refuse(times):
         raise records.StoreUnavailableError("the read was refused")
 
-    monkeypatch.setattr(goal_times.GoalTimes, "look", refuse)
+    monkeypatch.setattr(goal_times.GoalTimes, "read_store", refuse)
     system = start(LONG_MS)
     assert system.stream("/draft/x", Deadline_Ms="500").status == 200
--- a/tests/platform/test_weights_between_cells.py
+++ b/tests/platform/test_weights_between_cells.py
@@ -18,13 +18,13 @@
 
 from briarseam.peers import registrations
 from briarseam.testing import waiting
-from briarseam.weights import board as boards
-from briarseam.weights import errands
+from briarseam.weights import engine_updates
+from briarseam.weights import engine_weights
 from tests.platform import system as systems
 
 PATIENCE_S = 10
 # Longer than a word of a peer counts.
-LOAD_S = boards.WORD_S + 1.0
+LOAD_S = engine_weights.PEER_REPORT_TTL_S + 1.0
 ENGINE = "engine-1"
 
 
@@ -44,31 +44,36 @@
 
 def test_other_cells_send_nothing_to_an_engine_that_takes_weights(system, far):
     """They know of it before the order is given."""
-    system.node.weights.board.begin(ENGINE)
+    system.node.weights.known_weights.begin_change(ENGINE)
     waiting.until(
-        lambda: far.weights.board.is_changing(ENGINE), errands.NOTICE_S
+        lambda: far.weights.known_weights.is_changing(ENGINE),
+        engine_updates.NOTICE_S,
     )
 
 
 def test_other_cells_know_for_as_long_as_it_takes(system, far):
     """Loads of weights last longer than a word counts that is told once."""
-    board = system.node.weights.board
-    board.begin(ENGINE)
-    waiting.until(lambda: far.weights.board.is_changing(ENGINE), PATIENCE_S)
+    known_weights = system.node.weights.known_weights
+    known_weights.begin_change(ENGINE)
+    waiting.until(
+        lambda: far.weights.known_weights.is_changing(ENGINE), PATIENCE_S
+    )
     until_s = time.monotonic() + LOAD_S
     while time.monotonic() < until_s:
-        assert far.weights.board.is_changing(ENGINE)
+        assert far.weights.known_weights.is_changing(ENGINE)
         time.sleep(waiting.POLL_INTERVAL_S)
-    board.end(ENGINE)
+    known_weights.end_change(ENGINE)
     waiting.until(
-        lambda: not far.weights.board.is_changing(ENGINE), PATIENCE_S
+        lambda: not far.weights.known_weights.is_changing(ENGINE), PATIENCE_S
     )
 
 
 def test_other_cells_know_which_weights_an_engine_has(system, far):
     """Its own entry tells it only with the next one that it writes."""
-    system.node.weights.board.learn(ENGINE, systems.MODEL, 7)
+    system.node.weights.known_weights.record_version(ENGINE, systems.MODEL, 7)
     waiting.until(
-        lambda: far.weights.board.version(ENGINE, systems.MODEL, 1) == 7,
+        lambda: (
+            far.weights.known_weights.version(ENGINE, systems.MODEL, 1) == 7
+        ),
         PATIENCE_S,
     )
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -62,7 +62,7 @@
         "routing.loads",
         "routing.prefixes",
         "routing.state",
-        "weights.board",
+        "weights.engine_weights",
         "weights.goals",
     ),
     "values": (
--- a/tests/weights/test_times.py
+++ b/tests/weights/test_goal_times.py
@@ -6,8 +6,8 @@
 import pytest
 
 from briarseam.feeds import records
+from briarseam.weights import goal_times
 from briarseam.weights import goals
-from briarseam.weights import times
 from tests import clocks
 
 TOPIC = "topic"
@@ -44,7 +44,7 @@
     def __init__(self, store, wall, writes=True):
         self.clock = clocks.ManualClock(7.0)
         self.history = goals.GoalHistory(self.clock)
-        self.times = times.GoalTimes(
+        self.times = goal_times.GoalTimes(
             store,
             TOPIC,
             self.history,
@@ -74,26 +74,26 @@
     """All processes end; nobody is left to tell how old a goal is."""
     first = Process(store, wall)
     first.times.step()
-    first.history.take(goals.WeightGoal("m", 2))
+    first.history.add(goals.WeightGoal("m", 2))
     pass_s(4, wall, first)
-    first.history.take(goals.WeightGoal("m", 3))
+    first.history.add(goals.WeightGoal("m", 3))
     first.times.step()
     wall.now_s += 7
     second = Process(store, wall)
     assert not second.times.known.is_set()
     second.times.step()
-    second.history.take(goals.WeightGoal("m", 3))
+    second.history.add(goals.WeightGoal("m", 3))
     assert second.times.known.is_set()
-    assert second.history.required("m", 10.0) == 2
-    assert second.history.required("m", 6.0) == 3
-    assert second.history.required("m", 12.0) == 0
-    assert second.history.time_left_s("m", 1, 12.0) == pytest.approx(1.0)
-    assert second.history.time_left_s("m", 2, 12.0) == pytest.approx(5.0)
+    assert second.history.oldest_allowed("m", 10.0) == 2
+    assert second.history.oldest_allowed("m", 6.0) == 3
+    assert second.history.oldest_allowed("m", 12.0) == 0
+    assert second.history.remaining_s("m", 1, 12.0) == pytest.approx(1.0)
+    assert second.history.remaining_s("m", 2, 12.0) == pytest.approx(5.0)
 
 
 def test_what_former_processes_saw_is_no_goal_by_itself(store, wall):
     first = Process(store, wall)
-    first.history.take(goals.WeightGoal("m", 2))
+    first.history.add(goals.WeightGoal("m", 2))
     first.times.step()
     second = Process(store, wall)
     second.times.step()
@@ -102,13 +102,13 @@
 
 def test_times_are_written_once(store, wall):
     first = Process(store, wall)
-    first.history.take(goals.WeightGoal("m", 2))
+    first.history.add(goals.WeightGoal("m", 2))
     for _ in range(5):
         first.times.step()
         pass_s(1, wall, first)
     second = Process(store, wall)
     second.times.step()
-    second.history.take(goals.WeightGoal("m", 2))
+    second.history.add(goals.WeightGoal("m", 2))
     second.times.step()
     assert store.writes == 1
 
@@ -118,31 +118,31 @@
     write before it has read, the goal counted as new for good.
     """
     first = Process(store, wall)
-    first.history.take(goals.WeightGoal("m", 2))
+    first.history.add(goals.WeightGoal("m", 2))
     first.times.step()
     pass_s(9, wall, first)
     second = Process(store, wall)
-    second.history.take(goals.WeightGoal("m", 2))
+    second.history.add(goals.WeightGoal("m", 2))
     second.times.step()
     pass_s(1, wall, second)
     third = Process(store, wall)
     third.times.step()
-    assert third.history.required("m", 10.0) == 2
+    assert third.history.oldest_allowed("m", 10.0) == 2
 
 
 def test_earlier_time_that_a_peer_knows_is_written(store, wall):
     process = Process(store, wall)
     process.times.step()
-    process.history.take(goals.WeightGoal("m", 2))
+    process.history.add(goals.WeightGoal("m", 2))
     process.times.step()
-    process.history.take(goals.WeightGoal("m", 2), age_s=5.0)
+    process.history.add(goals.WeightGoal("m", 2), age_s=5.0)
     process.times.step()
     assert store.writes == 2
 
 
 def test_instances_that_do_not_write_read_only(store, wall):
     process = Process(store, wall, writes=False)
-    process.history.take(goals.WeightGoal("m", 2))
+    process.history.add(goals.WeightGoal("m", 2))
     process.times.step()
     assert process.times.known.is_set()
     assert store.writes == 0
@@ -151,7 +151,7 @@
 def test_store_that_is_away_is_asked_again(store, wall):
     store.away = True
     process = Process(store, wall)
-    process.history.take(goals.WeightGoal("m", 2))
+    process.history.add(goals.WeightGoal("m", 2))
     with pytest.raises(records.StoreUnavailableError):
         process.times.step()
     assert not process.times.known.is_set()
@@ -186,30 +186,30 @@
 def test_malformed_times_are_passed_over(store, wall, value):
     store.rows["bad"] = value
     first = Process(store, wall)
-    first.history.take(goals.WeightGoal("m", 2))
+    first.history.add(goals.WeightGoal("m", 2))
     first.times.step()
     wall.now_s += 10
     second = Process(store, wall)
     second.times.step()
-    assert second.history.required("m", 10.0) == 2
-    assert second.history.required("bad", 10.0) == 0
+    assert second.history.oldest_allowed("m", 10.0) == 2
+    assert second.history.oldest_allowed("bad", 10.0) == 0
 
 
 def test_goal_from_a_clock_that_is_ahead_counts_from_now(store, wall):
     first = Process(store, wall)
     wall.now_s += 5
-    first.history.take(goals.WeightGoal("m", 2))
+    first.history.add(goals.WeightGoal("m", 2))
     first.times.step()
     wall.now_s -= 5
     second = Process(store, wall)
     second.times.step()
-    assert second.history.time_left_s("m", 1, 12.0) == pytest.approx(12.0)
+    assert second.history.remaining_s("m", 1, 12.0) == pytest.approx(12.0)
 
 
 def test_few_newest_versions_are_kept(store, wall):
     process = Process(store, wall)
     for version in range(1, 3 * goals.KEPT_VERSIONS):
-        process.history.take(goals.WeightGoal("m", version))
+        process.history.add(goals.WeightGoal("m", version))
     process.times.step()
     assert len(msgpack.unpackb(store.rows["m"])) == goals.KEPT_VERSIONS
 
@@ -224,14 +224,14 @@
     for process in (right, ahead):
         process.times.step()
     for process in (right, ahead):
-        process.history.take(goals.WeightGoal("m", 2))
+        process.history.add(goals.WeightGoal("m", 2))
         process.times.step()
         pass_s(0.1, wall, right, ahead)
     right.times.step()
     wall.now_s += 10
     after = Process(store, wall)
     after.times.step()
-    assert after.history.required("m", 10.0) == 2
+    assert after.history.oldest_allowed("m", 10.0) == 2
 
 
 def test_later_time_on_the_store_is_corrected(store, wall):
@@ -239,40 +239,40 @@
     its peers how old the goal is, before it reads; all processes end.
     """
     ahead = Process(store, lambda: wall() + 8.0)
-    ahead.history.take(goals.WeightGoal("m", 2))
+    ahead.history.add(goals.WeightGoal("m", 2))
     ahead.times.step()
     second = Process(store, wall)
-    second.history.take(goals.WeightGoal("m", 2), age_s=5.0)
+    second.history.add(goals.WeightGoal("m", 2), age_s=5.0)
     second.times.step()
     wall.now_s += 5
     third = Process(store, wall)
     third.times.step()
-    assert third.history.required("m", 10.0) == 2
+    assert third.history.oldest_allowed("m", 10.0) == 2
 
 
 def test_earlier_time_of_another_version_stays(store, wall):
     """An instance that saw weights 2 late writes when weights 3 are named."""
     first = Process(store, wall)
-    first.history.take(goals.WeightGoal("m", 2))
+    first.history.add(goals.WeightGoal("m", 2))
     first.times.step()
     late = Process(store, wall)
     late.times.stored = {}
     late.times.looked = True
     pass_s(9, wall, first, late)
-    late.history.take(goals.WeightGoal("m", 2))
-    late.history.take(goals.WeightGoal("m", 3))
+    late.history.add(goals.WeightGoal("m", 2))
+    late.history.add(goals.WeightGoal("m", 3))
     late.times.step()
     wall.now_s += 1
     third = Process(store, wall)
     third.times.step()
-    assert third.history.required("m", 9.5) == 2
+    assert third.history.oldest_allowed("m", 9.5) == 2
 
 
 def test_fault_of_ours_does_not_end_the_thread(store, wall, monkeypatch):
     """An answer that is not base64 raises another error than an outage
     does.  The thread ends, and the instance is never ready again.
     """
-    monkeypatch.setattr(times, "RETRY_S", 0.01)
+    monkeypatch.setattr(goal_times, "RETRY_S", 0.01)
     process = Process(store, wall)
     answers = [ValueError("not base64")]
     newest = store.newest
--- a/tests/weights/test_tenure.py
+++ b/tests/weights/test_leader.py
@@ -3,7 +3,7 @@
 import pytest
 
 from briarseam.feeds import records
-from briarseam.weights import tenure as tenures
+from briarseam.weights import leader
 from tests import clocks
 
 # Renewals are less than the time apart for which one is valid.
@@ -38,96 +38,102 @@
 
 
 @pytest.fixture
-def tenure(group, clock):
-    return tenures.Tenure(group, "group", "topic", "me", 3.0, clock=clock)
+def leadership(group, clock):
+    return leader.Leadership(group, "group", "topic", "me", 3.0, clock=clock)
 
 
-def hold(tenure, group, clock, generation=5):
+def hold(leadership, group, clock, generation=5):
     group.share = records.GroupShare(generation, HELD)
-    tenure.join_once()
+    leadership.join_once()
     for _ in range(4):
         clock.now_s += STEP_S
-        tenure.join_once()
+        leadership.join_once()
 
 
 def test_new_holder_waits_until_the_former_one_has_stopped(
-    tenure, group, clock
+    leadership, group, clock
 ):
     """Two holders take turns: the former one sends an order a moment before
     the new one does, since it does not know yet that it lost the duty.
     """
     group.share = records.GroupShare(5, HELD)
-    tenure.join_once()
-    assert tenure.fence() is None
+    leadership.join_once()
+    assert leadership.fence() is None
     for _ in range(2):
         clock.now_s += STEP_S
-        tenure.join_once()
-        assert tenure.fence() is None
+        leadership.join_once()
+        assert leadership.fence() is None
     clock.now_s += STEP_S
-    tenure.join_once()
-    assert tenure.fence() == 5
+    leadership.join_once()
+    assert leadership.fence() == 5
 
 
-def test_holder_that_cannot_renew_stops_in_time(tenure, group, clock):
-    hold(tenure, group, clock)
+def test_holder_that_cannot_renew_stops_in_time(leadership, group, clock):
+    hold(leadership, group, clock)
     group.away = True
     with pytest.raises(records.StoreUnavailableError):
-        tenure.join_once()
-    assert tenure.fence() == 5
-    clock.now_s += tenures.VALID_S
-    assert tenure.fence() is None
+        leadership.join_once()
+    assert leadership.fence() == 5
+    clock.now_s += leader.VALID_S
+    assert leadership.fence() is None
 
 
-def test_holder_that_was_suspended_waits_again(tenure, group, clock):
+def test_holder_that_was_suspended_waits_again(leadership, group, clock):
     """A holder is suspended for seconds.  Another one held the duty
     meanwhile and lost it again; its last order is still on the way.
     """
-    hold(tenure, group, clock)
+    hold(leadership, group, clock)
     clock.now_s += 20
     group.share = records.GroupShare(9, HELD)
-    tenure.join_once()
-    assert tenure.fence() is None
+    leadership.join_once()
+    assert leadership.fence() is None
     for _ in range(4):
         clock.now_s += STEP_S
-        tenure.join_once()
-    assert tenure.fence() == 9
+        leadership.join_once()
+    assert leadership.fence() == 9
 
 
-def test_duty_is_lost_when_the_store_gives_it_to_another(tenure, group, clock):
-    hold(tenure, group, clock)
+def test_duty_is_lost_when_the_store_gives_it_to_another(
+    leadership, group, clock
+):
+    hold(leadership, group, clock)
     group.share = records.GroupShare(6, frozenset())
-    tenure.join_once()
-    assert tenure.fence() is None
+    leadership.join_once()
+    assert leadership.fence() is None
 
 
-def test_number_that_an_engine_refused_is_not_used_again(tenure, group, clock):
-    hold(tenure, group, clock)
-    tenure.note_superseded(5)
-    assert tenure.fence() is None
+def test_number_that_an_engine_refused_is_not_used_again(
+    leadership, group, clock
+):
+    hold(leadership, group, clock)
+    leadership.note_superseded(5)
+    assert leadership.fence() is None
     group.share = records.GroupShare(8, HELD)
-    tenure.join_once()
-    assert tenure.fence() == 8
+    leadership.join_once()
+    assert leadership.fence() == 8
 
 
-def test_instance_that_need_not_stand_leaves_the_duty(tenure, group, clock):
+def test_instance_that_need_not_stand_leaves_the_duty(
+    leadership, group, clock
+):
     """85 instances each renew twice a second what one of them holds."""
     standing = [True]
-    tenure.stands = lambda: standing[0]
-    hold(tenure, group, clock)
-    assert tenure.fence() is not None
+    leadership.is_candidate = lambda: standing[0]
+    hold(leadership, group, clock)
+    assert leadership.fence() is not None
     standing[0] = False
-    tenure.take_part()
-    assert tenure.fence() is None
+    leadership.take_part()
+    assert leadership.fence() is None
     assert group.share.parts == frozenset()
     group.away = True
-    tenure.take_part()
+    leadership.take_part()
     group.away = False
     standing[0] = True
-    hold(tenure, group, clock, generation=9)
-    assert tenure.fence() == 9
+    hold(leadership, group, clock, generation=9)
+    assert leadership.fence() == 9
 
 
-def test_instance_that_stopped_meanwhile_holds_nothing(tenure, group):
+def test_instance_that_stopped_meanwhile_holds_nothing(leadership, group):
     """A call to the store is under way when the instance is stopped.  Its
     answer comes after the duty was given up, and is taken in all the same.
     """
@@ -136,9 +142,9 @@
     def stop_meanwhile(*asked):
         group.share = records.GroupShare(5, HELD)
         share = join(*asked)
-        tenure.stop()
+        leadership.stop()
         return share
 
     group.join = stop_meanwhile
-    tenure.join_once()
-    assert tenure.held is None
+    leadership.join_once()
+    assert leadership.held is None
--- a/tests/weights/test_holders.py
+++ b/tests/weights/test_leader_reports.py
@@ -3,8 +3,8 @@
 import pytest
 
 from briarseam.feeds import records
-from briarseam.weights import holders
-from briarseam.weights import tenure as tenures
+from briarseam.weights import leader
+from briarseam.weights import leader_reports
 from tests import clocks
 
 LEASE_S = 3.0
@@ -18,7 +18,7 @@
         self.name = name
         self.others = others
         self.check = True
-        self.words = holders.HolderWords(
+        self.reports = leader_reports.LeaderReports(
             lambda: self.others, lambda: self.check, clock
         )
 
@@ -42,16 +42,16 @@
     """Let time pass in which this instance is not suspended."""
     for _ in range(int(seconds / HEARTBEAT_S)):
         clock.now_s += HEARTBEAT_S
-        me.words.note_active()
+        me.reports.record_active()
 
 
 def beat(me, *peers):
     for peer in peers:
-        me.words.consume(peer.name, peer.words.provide())
+        me.reports.consume(peer.name, peer.reports.provide())
 
 
 def quiet(me, clock, gained_s):
-    return me.words.are_quiet(gained_s, LEASE_S)
+    return me.reports.are_others_idle(gained_s, LEASE_S)
 
 
 def test_nobody_is_waited_for_once_all_others_say_that_they_do_not_order(
@@ -76,7 +76,7 @@
 def test_former_holder_that_does_not_know_of_its_loss_is_waited_for(
     me, peers, clock
 ):
-    peers[0].words.holds = lambda: True
+    peers[0].reports.is_leader = lambda: True
     beat(me, *peers)
     assert not quiet(me, clock, clock.now_s)
 
@@ -84,7 +84,7 @@
 def test_former_holder_is_waited_for_since_its_last_order(me, peers, clock):
     """Two holders would take turns within a lease."""
     gained_s = clock.now_s
-    peers[0].words.note_ordered()
+    peers[0].reports.record_order()
     clock.now_s += LEASE_S - HEARTBEAT_S
     beat(me, *peers)
     assert not quiet(me, clock, gained_s)
@@ -94,9 +94,9 @@
 
 
 def test_order_of_an_instance_that_fell_silent_still_counts(me, peers, clock):
-    peers[0].words.note_ordered()
+    peers[0].reports.record_order()
     beat(me, *peers)
-    pass_s(holders.SILENT_S + HEARTBEAT_S, me, clock)
+    pass_s(leader_reports.SILENT_S + HEARTBEAT_S, me, clock)
     gained_s = clock.now_s
     beat(me, peers[1])
     assert not quiet(me, clock, gained_s)
@@ -109,7 +109,7 @@
     me, peers, clock
 ):
     """It may be suspended with an order on the way, which they would take."""
-    pass_s(10 * holders.SILENT_S, me, clock)
+    pass_s(10 * leader_reports.SILENT_S, me, clock)
     gained_s = clock.now_s
     assert quiet(me, clock, gained_s)
     me.check = False
@@ -118,7 +118,7 @@
 
 def test_instances_that_are_not_known_are_waited_for(me, clock):
     me.others = None
-    pass_s(10 * holders.SILENT_S, me, clock)
+    pass_s(10 * leader_reports.SILENT_S, me, clock)
     assert not quiet(me, clock, clock.now_s)
 
 
@@ -135,7 +135,7 @@
 
     def join(self, group, member, topic, ttl_s, generation):
         return records.GroupShare(
-            self.generation, frozenset({(topic, tenures.PARTITION)})
+            self.generation, frozenset({(topic, leader.PARTITION)})
         )
 
     def leave(self, group, member):
@@ -143,40 +143,42 @@
 
 
 @pytest.fixture
-def tenure(me, clock):
-    return tenures.Tenure(
+def leadership(me, clock):
+    return leader.Leadership(
         Group(),
         "group",
         "topic",
         "me",
         LEASE_S,
-        are_quiet=lambda since_s: me.words.are_quiet(since_s, LEASE_S),
+        are_others_idle=lambda since_s: me.reports.are_others_idle(
+            since_s, LEASE_S
+        ),
         clock=clock,
     )
 
 
 def test_holder_orders_as_soon_as_the_others_are_quiet(
-    me, peers, tenure, clock
+    me, peers, leadership, clock
 ):
-    tenure.join_once()
-    assert tenure.fence() is None
+    leadership.join_once()
+    assert leadership.fence() is None
     clock.now_s += HEARTBEAT_S
     beat(me, *peers)
-    tenure.join_once()
-    assert tenure.fence() == 5
+    leadership.join_once()
+    assert leadership.fence() == 5
 
 
 def test_holder_that_may_order_goes_on_while_others_are_not_heard(
-    me, peers, tenure, clock
+    me, peers, leadership, clock
 ):
     """Once nobody else gave orders, nobody else can: the store says so."""
-    tenure.join_once()
+    leadership.join_once()
     beat(me, *peers)
-    assert tenure.fence() == 5
+    assert leadership.fence() == 5
     clock.now_s += 1.0
-    tenure.join_once()
+    leadership.join_once()
     me.others = None
-    assert tenure.fence() == 5
+    assert leadership.fence() == 5
 
 
 def test_order_of_an_instance_that_left_still_counts(me, peers, clock):
@@ -186,7 +188,7 @@
     registration away.  The next holder no longer lists it, and orders less
     than a lease after it.
     """
-    peers[0].words.note_ordered()
+    peers[0].reports.record_order()
     beat(me, *peers)
     gained_s = clock.now_s
     me.others = ["b"]
@@ -205,7 +207,7 @@
     """
     me.check = False
     me.others = ["a"]
-    peers[0].words.note_ordered()
+    peers[0].reports.record_order()
     beat(me, peers[0])
     gained_s = clock.now_s
     me.others = []
@@ -219,7 +221,7 @@
     Its new process knows of no order and says so; what its former process
     said is lost with that, and another holder orders within a lease.
     """
-    peers[0].words.note_ordered()
+    peers[0].reports.record_order()
     beat(me, *peers)
     clock.now_s += HEARTBEAT_S
     gained_s = clock.now_s
@@ -235,12 +237,12 @@
     after the holder's last call.  It was heard as the holder, so that it
     may have ordered for as long as its tenure went on.
     """
-    peers[0].words.holds = lambda: True
+    peers[0].reports.is_leader = lambda: True
     beat(me, *peers)
     clock.now_s += HEARTBEAT_S
     ordered_s = clock.now_s
-    peers[0].words.note_ordered()
-    clock.now_s += tenures.TTL_S - HEARTBEAT_S
+    peers[0].reports.record_order()
+    clock.now_s += leader.TTL_S - HEARTBEAT_S
     gained_s = clock.now_s
     beat(me, peers[1])
     assert clock.now_s - ordered_s < LEASE_S
@@ -253,9 +255,9 @@
     """It was heard as the holder and may have ordered until its time was
     over; the last it could tell of was before that.
     """
-    peers[0].words.holds = lambda: True
+    peers[0].reports.is_leader = lambda: True
     beat(me, *peers)
-    pass_s(holders.SILENT_S + HEARTBEAT_S, me, clock)
+    pass_s(leader_reports.SILENT_S + HEARTBEAT_S, me, clock)
     gained_s = clock.now_s
     beat(me, peers[1])
     assert not quiet(me, clock, gained_s)
@@ -270,7 +272,7 @@
     silent, though one of them has just given an order.
     """
     beat(me, *peers)
-    clock.now_s += 2 * holders.SILENT_S
-    peers[0].words.note_ordered()
+    clock.now_s += 2 * leader_reports.SILENT_S
+    peers[0].reports.record_order()
     clock.now_s += HEARTBEAT_S
     assert not quiet(me, clock, clock.now_s)
--- a/tests/weights/test_rollout.py
+++ b/tests/weights/test_rollout.py
@@ -9,8 +9,8 @@
 
 from briarseam.discovery import model
 from briarseam.testing import waiting
-from briarseam.weights import board as boards
-from briarseam.weights import errands
+from briarseam.weights import engine_updates
+from briarseam.weights import engine_weights
 from briarseam.weights import goals
 from briarseam.weights import orders
 from briarseam.weights import plan as plans
@@ -66,8 +66,8 @@
 
 @pytest.fixture(autouse=True)
 def no_waiting(monkeypatch):
-    monkeypatch.setattr(errands, "NOTICE_S", 0.01)
-    monkeypatch.setattr(errands, "POLL_S", 0.01)
+    monkeypatch.setattr(engine_updates, "NOTICE_S", 0.01)
+    monkeypatch.setattr(engine_updates, "POLL_S", 0.01)
     monkeypatch.setattr(rollouts, "REVIEW_S", 0.01)
 
 
@@ -75,18 +75,18 @@
     def __init__(self, count=5):
         self.engines = Engines(count)
         self.duty = Duty()
-        self.board = boards.Board(goals.GoalHistory())
+        self.known_weights = engine_weights.EngineWeights(goals.GoalHistory())
         self.goal = goals.WeightGoal("m", 2)
         self.rollout = rollouts.Rollout(
-            errands.Sources(
+            engine_updates.Sources(
                 goals=lambda: {"m": self.goal},
                 targets=lambda model: [
                     endpoint(name, 1) for name in self.engines.versions
                 ],
-                tenure=self.duty,
+                leadership=self.duty,
                 engines=self.engines,
-                board=self.board,
-                holder="me",
+                known_weights=self.known_weights,
+                own_name="me",
             )
         )
 
@@ -109,8 +109,8 @@
     waiting.until(lambda: set(case.engines.versions.values()) == {2})
     assert len(case.engines.orders) == 5
     assert case.engines.most_loading <= plans.EASY_AT_ONCE
-    waiting.until(lambda: not case.board.changing)
-    assert case.board.version("e0", "m", 1) == 2
+    waiting.until(lambda: not case.known_weights.changing)
+    assert case.known_weights.version("e0", "m", 1) == 2
 
 
 def test_no_order_is_given_without_the_duty(case):
@@ -256,15 +256,15 @@
     """Peers heard it with the next heartbeat, half a second later, and sent
     on; a prompt that may be tried once was refused.
     """
-    monkeypatch.setattr(errands, "SHORT_NOTICE_S", 0.01)
+    monkeypatch.setattr(engine_updates, "SHORT_NOTICE_S", 0.01)
     made = Case(count=1)
     told = []
     made.rollout.sources = dataclasses.replace(
         made.rollout.sources,
-        tell_peers=lambda: told.append(
-            (made.board.is_changing("e0"), len(made.engines.orders))
+        publish=lambda: told.append(
+            (made.known_weights.is_changing("e0"), len(made.engines.orders))
         ),
-        time_left_s=lambda model, version: 0.5,
+        remaining_s=lambda model, version: 0.5,
     )
     made.rollout.start()
     waiting.until(lambda: made.engines.versions == {"e0": 2})
@@ -275,7 +275,7 @@
 def test_runs_are_not_waited_for_when_time_is_short():
     made = Case(count=6)
     made.rollout.sources = dataclasses.replace(
-        made.rollout.sources, time_left_s=lambda model, version: 8.0
+        made.rollout.sources, remaining_s=lambda model, version: 8.0
     )
     made.rollout.start()
     waiting.until(lambda: set(made.engines.versions.values()) == {2})
@@ -285,16 +285,16 @@
 
 def planned(case, versions):
     """Return the plan for engines with these weights, 60 s to go."""
-    history = case.board.history
-    history.take(goals.WeightGoal("m", 2), age_s=100.0)
-    history.take(goals.WeightGoal("m", 3))
+    history = case.known_weights.history
+    history.add(goals.WeightGoal("m", 2), age_s=100.0)
+    history.add(goals.WeightGoal("m", 3))
     targets = [
         endpoint(f"e{number}", version)
         for number, version in enumerate(versions)
     ]
     case.rollout.sources = dataclasses.replace(
         case.rollout.sources,
-        time_left_s=lambda model, version: history.time_left_s(
+        remaining_s=lambda model, version: history.remaining_s(
             model, version, 60.0
         ),
     )
@@ -346,7 +346,7 @@
     goal = goals.WeightGoal("m", 2)
     left_s = [17.7]
     made.rollout.sources = dataclasses.replace(
-        made.rollout.sources, time_left_s=lambda model, version: left_s[0]
+        made.rollout.sources, remaining_s=lambda model, version: left_s[0]
     )
     first = made.rollout.plan(goal, targets, targets)
     assert first == plans.Plan(20, orders.Mode.FINISH)
