--- a/src/briarseam/compose/node.py
+++ b/src/briarseam/compose/node.py
@@ -196,7 +196,7 @@
         registry = self.metrics
         return request_context.Dependencies(
             table=self.feeds.operators.current,
-            border=border.CallBorder(),
+            codec=border.CallBorder(),
             refusals=refusing.Refusals(answers.encode_verdict),
             chooser=self.chooser,
             sender=attempts.Sender(self.pool, requests.decode_answer),
--- a/src/briarseam/forwarding/request_context.py
+++ b/src/briarseam/forwarding/request_context.py
@@ -27,7 +27,7 @@
     from briarseam.routes import model as routes
 
 
-class Border(typing.Protocol):
+class CallCodec(typing.Protocol):
     """Decodes and encodes what crosses the border of the system."""
 
     def decode_call(
@@ -69,7 +69,7 @@
     ----------
     table
         Returns the configuration in force; ``None`` before the first.
-    border
+    codec
         Decodes and encodes.
     refusals
         Tells callers why they get no answer.
@@ -92,7 +92,7 @@
     """
 
     table: typing.Callable[[], tables.RouteTable | None]
-    border: Border
+    codec: CallCodec
     refusals: refusing.Refusals
     chooser: choosers.Chooser
     sender: attempts.Sender
--- a/src/briarseam/forwarding/service.py
+++ b/src/briarseam/forwarding/service.py
@@ -64,7 +64,7 @@
             self.refuse_unread(exchange, str(error))
             return
         try:
-            call = self.deps.border.decode_call(
+            call = self.deps.codec.decode_call(
                 exchange.method, exchange.target, exchange.headers
             )
         except refusing.MalformedCallError as error:
@@ -261,7 +261,7 @@
             body=context.body,
             route=context.route,
             endpoint=placed.endpoint,
-            headers=self.deps.border.encode_headers(
+            headers=self.deps.codec.encode_headers(
                 context.call, instructions
             ),
             watch=context.watch,
