--- a/src/briarseam/forwarding/active_requests.py
+++ b/src/briarseam/forwarding/active_requests.py
@@ -24,24 +24,24 @@
     ----------
     contexts
         The requests, by identity.
-    cutting
+    ending_all
         Whether each is ended at once.
     """
 
     def __init__(self) -> None:
         self.contexts: dict[int, request_context.Context] = {}
-        self.cutting = False
+        self.ending_all = False
         self.lock = threading.Lock()
 
     @contextlib.contextmanager
-    def holding(
+    def tracking(
         self, context: request_context.Context
     ) -> typing.Iterator[None]:
         """Hold a request until it has its answer."""
         with self.lock:
             self.contexts[id(context)] = context
-            cutting = self.cutting
-        if cutting:
+            ending_all = self.ending_all
+        if ending_all:
             context.watch.end(supervision.Ending.CUT_OFF)
         try:
             yield
@@ -58,7 +58,7 @@
         has begun is broken off.
         """
         with self.lock:
-            self.cutting = True
+            self.ending_all = True
             cut_off = list(self.contexts.values())
         for context in cut_off:
             log.warning(
@@ -68,6 +68,6 @@
                 steps=context.steps,
                 events_sent=context.progress.events_sent,
                 age_ms=round((clocks.boot_clock() - context.arrived_s) * 1000),
-                time_left_ms=round(context.watch.left_s() * 1000),
+                time_left_ms=round(context.watch.remaining_s() * 1000),
             )
             context.watch.end(supervision.Ending.CUT_OFF)
--- a/src/briarseam/forwarding/attempts.py
+++ b/src/briarseam/forwarding/attempts.py
@@ -24,12 +24,12 @@
     from briarseam.forwarding import server
 
 READ_BYTES = 65536
-OK_FROM = 200
-OK_BELOW = 300
-FAILURE_FROM = 500
+SUCCESS_MIN = 200
+SUCCESS_END = 300
+SERVER_ERROR_MIN = 500
 # With these an endpoint says "not run"; without its promise a caller must
 # not read them so.
-PROMISING = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 NETWORK_ERRORS = (
     OSError,
     http.client.HTTPException,
@@ -53,11 +53,11 @@
 
     last_event_id: str | None = None
     events_sent: bool = False
-    asked: bool = False
+    maybe_sent: bool = False
 
 
 @dataclasses.dataclass(frozen=True)
-class Errand:
+class Attempt:
     """A call on its way to one endpoint.
 
     Attributes
@@ -109,7 +109,7 @@
         self.pool = pool
         self.decode = decode
 
-    def send(self, errand: Errand) -> outcomes.Outcome:
+    def send(self, attempt: Attempt) -> outcomes.Outcome:
         """Send a call to an endpoint, once, and pass its answer on.
 
         Raises
@@ -117,86 +117,88 @@
         EndedError
             If the caller left or the deadline is over.
         """
-        endpoint = errand.endpoint
+        endpoint = attempt.endpoint
         try:
             connection = self.pool.acquire(endpoint.id, endpoint.address)
         except connections.UnreachableError as error:
             return outcomes.Unreached(str(error))
         try:
-            errand.watch.attach(connection)
-            errand.progress.asked = True
-            response = ask(errand, connection)
-            outcome = self.take_answer(errand, response)
+            attempt.watch.attach(connection)
+            attempt.progress.maybe_sent = True
+            response = send_request(attempt, connection)
+            outcome = self.handle_answer(attempt, response)
         except NETWORK_ERRORS as error:
             connection.close()
             # What the thread sees of a connection that was ended on purpose
             # is no failure of the endpoint.
-            errand.watch.check()
+            attempt.watch.check()
             return outcomes.Broken(f"{type(error).__name__}: {error}")
         except BaseException:
             connection.close()
             raise
         finally:
-            errand.watch.detach()
+            attempt.watch.detach()
         if isinstance(outcome, outcomes.Broken):
             connection.close()
         else:
             self.keep(endpoint, connection, response)
         return outcome
 
-    def take_answer(
-        self, errand: Errand, response: urllib3.BaseHTTPResponse
+    def handle_answer(
+        self, attempt: Attempt, response: urllib3.BaseHTTPResponse
     ) -> outcomes.Outcome:
         """Read an answer and pass it on where it is the caller's."""
         head = self.decode(response.status, list(response.headers.items()))
-        if head.call_id and head.call_id != errand.call.id:
+        if head.call_id and head.call_id != attempt.call.id:
             # A second answer to an earlier request on this connection.
             return outcomes.Broken("the answer is to another request")
         if head.not_run:
             response.read()
             return outcomes.Rejected(head.status, head.retry_after_s)
-        good = OK_FROM <= head.status < OK_BELOW
-        if good and not head.signed:
+        success = SUCCESS_MIN <= head.status < SUCCESS_END
+        if success and not head.signed:
             return outcomes.Broken("the answer bears no signature")
-        if good and errand.route.repeat is routes.Repeat.STREAM:
-            return self.relay(errand, response, head)
+        if success and attempt.route.repeat is routes.Repeat.STREAM:
+            return self.relay_stream(attempt, response, head)
         body = response.read()
-        check_whole(errand, response)
-        if head.status >= FAILURE_FROM or head.status in PROMISING:
+        check_complete(attempt, response)
+        if head.status >= SERVER_ERROR_MIN or head.status in NOT_RUN_STATUSES:
             return outcomes.Failed(head, body)
-        if errand.progress.events_sent:
+        if attempt.progress.events_sent:
             return outcomes.Broken("no stream to go on with")
-        errand.watch.detach()
-        deliver(errand.exchange, head, body)
+        attempt.watch.detach()
+        deliver(attempt.exchange, head, body)
         return outcomes.Answered(head.status)
 
-    def relay(
+    def relay_stream(
         self,
-        errand: Errand,
+        attempt: Attempt,
         response: urllib3.BaseHTTPResponse,
         head: calls.AnswerHead,
     ) -> outcomes.Outcome:
         """Pass a stream on as it comes, in whole events."""
-        rest = b""
-        begun = False
+        remainder = b""
+        started = False
         while True:
             data = response.read1(READ_BYTES)
             if not data:
                 break
-            whole, rest = events.split_whole(rest + data)
-            if whole and not begun:
-                errand.on_first_event()
-                begun = True
-            if whole:
-                pass_on(errand, head, whole)
-        check_whole(errand, response)
-        if not errand.progress.events_sent:
-            errand.watch.detach()
-            deliver(errand.exchange, head, rest)
+            complete_events, remainder = events.split_complete(
+                remainder + data
+            )
+            if complete_events and not started:
+                attempt.on_first_event()
+                started = True
+            if complete_events:
+                forward_events(attempt, head, complete_events)
+        check_complete(attempt, response)
+        if not attempt.progress.events_sent:
+            attempt.watch.detach()
+            deliver(attempt.exchange, head, remainder)
             return outcomes.Answered(head.status)
         with caller_errors():
-            errand.exchange.send(rest)
-            errand.exchange.finish()
+            attempt.exchange.send(remainder)
+            attempt.exchange.finish()
         return outcomes.Answered(head.status)
 
     def keep(
@@ -218,7 +220,9 @@
         )
 
 
-def check_whole(errand: Errand, response: urllib3.BaseHTTPResponse) -> None:
+def check_complete(
+    attempt: Attempt, response: urllib3.BaseHTTPResponse
+) -> None:
     """Make sure that an answer which has been read is whole.
 
     Guard: the end of the connection is the end of an answer without a length
@@ -237,34 +241,38 @@
         or "Transfer-Encoding" in response.headers
     )
     if not framed:
-        errand.watch.release()
+        attempt.watch.detach_unless_ended()
 
 
-def ask(
-    errand: Errand, connection: urllib3.connection.HTTPConnection
+def send_request(
+    attempt: Attempt, connection: urllib3.connection.HTTPConnection
 ) -> urllib3.BaseHTTPResponse:
     """Send the request and return the answer, its body unread."""
     connection.request(
-        errand.call.method,
-        errand.call.target,
-        body=errand.body or None,
-        headers=errand.headers,
+        attempt.call.method,
+        attempt.call.target,
+        body=attempt.body or None,
+        headers=attempt.headers,
         preload_content=False,
         decode_content=False,
     )
     return connection.getresponse()
 
 
-def pass_on(errand: Errand, head: calls.AnswerHead, whole: bytes) -> None:
+def forward_events(
+    attempt: Attempt, head: calls.AnswerHead, complete_events: bytes
+) -> None:
     """Pass whole events on to the caller."""
-    progress = errand.progress
+    progress = attempt.progress
     with caller_errors():
         if progress.events_sent:
-            errand.exchange.send(whole)
+            attempt.exchange.send(complete_events)
         else:
-            errand.exchange.begin(head.status, head.headers, whole)
+            attempt.exchange.begin(head.status, head.headers, complete_events)
     progress.events_sent = True
-    progress.last_event_id = events.last_id(whole) or progress.last_event_id
+    progress.last_event_id = (
+        events.last_id(complete_events) or progress.last_event_id
+    )
 
 
 def deliver(
--- a/src/briarseam/forwarding/connections.py
+++ b/src/briarseam/forwarding/connections.py
@@ -23,7 +23,7 @@
 # can't be sent again.  Reuse ends this much earlier.
 REUSE_MARGIN_S = 1.0
 # Endpoints that don't say how long they keep connections are given this.
-UNSAID_IDLE_S = 4.0
+DEFAULT_IDLE_S = 4.0
 
 
 class UnreachableError(Exception):
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Idle:
+class IdleConnection:
     """A connection that waits for its next request.
 
     Attributes
@@ -43,7 +43,7 @@
     """
 
     connection: urllib3.connection.HTTPConnection
-    until_s: float
+    expires_s: float
 
 
 class Pool:
@@ -54,7 +54,9 @@
     """
 
     def __init__(self) -> None:
-        self.idle: dict[tuple[str, str], collections.deque[Idle]] = {}
+        self.idle: dict[
+            tuple[str, str], collections.deque[IdleConnection]
+        ] = {}
         self.lock = threading.Lock()
         self.opened = 0
 
@@ -68,9 +70,9 @@
         UnreachableError
             If no connection can be made in time.
         """
-        kept = self.acquire_idle(endpoint_id, address)
-        if kept is not None:
-            return kept
+        reused = self.acquire_idle(endpoint_id, address)
+        if reused is not None:
+            return reused
         host, _, port = address.rpartition(":")
         connection = urllib3.connection.HTTPConnection(
             host,
@@ -96,13 +98,13 @@
         now_s = clocks.boot_clock()
         while True:
             with self.lock:
-                waiting = self.idle.get((endpoint_id, address))
-                if not waiting:
+                queue = self.idle.get((endpoint_id, address))
+                if not queue:
                     return None
-                found = waiting.pop()
-            if now_s < found.until_s and is_quiet(found.connection):
-                return found.connection
-            found.connection.close()
+                idle = queue.pop()
+            if now_s < idle.expires_s and is_reusable(idle.connection):
+                return idle.connection
+            idle.connection.close()
 
     def release(
         self,
@@ -122,21 +124,21 @@
         keep_alive
             The answer's ``Keep-Alive`` header.
         """
-        until_s = clocks.boot_clock() + idle_s(keep_alive)
+        expires_s = clocks.boot_clock() + idle_s(keep_alive)
         with self.lock:
-            waiting = self.idle.setdefault(
+            queue = self.idle.setdefault(
                 (endpoint_id, address), collections.deque()
             )
-            waiting.append(Idle(connection, until_s))
+            queue.append(IdleConnection(connection, expires_s))
 
     def forget(self, endpoint_ids: typing.Collection[str]) -> None:
         """Close the connections of endpoints that are gone."""
         with self.lock:
-            gone = [key for key in self.idle if key[0] in endpoint_ids]
-            closing = [self.idle.pop(key) for key in gone]
-        for waiting in closing:
-            for item in waiting:
-                item.connection.close()
+            keys = [key for key in self.idle if key[0] in endpoint_ids]
+            queues = [self.idle.pop(key) for key in keys]
+        for queue in queues:
+            for idle in queue:
+                idle.connection.close()
 
     def keep_only(self, endpoint_ids: typing.Collection[str]) -> None:
         """Close the connections of all endpoints but these.
@@ -145,19 +147,19 @@
         given its connection back since.
         """
         with self.lock:
-            over = {key[0] for key in self.idle if key[0] not in endpoint_ids}
-        self.forget(over)
+            stale = {key[0] for key in self.idle if key[0] not in endpoint_ids}
+        self.forget(stale)
 
     def close_expired(self) -> None:
         """Close the connections that are too old to be used."""
         now_s = clocks.boot_clock()
-        closing = []
+        expired = []
         with self.lock:
-            for waiting in self.idle.values():
-                while waiting and waiting[0].until_s <= now_s:
-                    closing.append(waiting.popleft())
-        for item in closing:
-            item.connection.close()
+            for queue in self.idle.values():
+                while queue and queue[0].expires_s <= now_s:
+                    expired.append(queue.popleft())
+        for idle in expired:
+            idle.connection.close()
 
 
 def idle_s(keep_alive: str) -> float:
@@ -166,10 +168,10 @@
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
             return max(0.0, float(value) - REUSE_MARGIN_S)
-    return UNSAID_IDLE_S
+    return DEFAULT_IDLE_S
 
 
-def is_quiet(connection: urllib3.connection.HTTPConnection) -> bool:
+def is_reusable(connection: urllib3.connection.HTTPConnection) -> bool:
     """Tell whether an idle connection has neither ended nor said anything.
 
     Bytes that come after a whole answer belong to no request.  Read as the
--- a/src/briarseam/forwarding/crash_guard.py
+++ b/src/briarseam/forwarding/crash_guard.py
@@ -21,12 +21,12 @@
 
 # Endpoints that a request may have been lost at before it is refused.  One
 # or two are lost with any endpoint that crashes by itself or resets.
-MOST_LOST = 3
+LOST_ENDPOINTS_LIMIT = 3
 # How long a loss counts: a crashed endpoint is back after some seconds, and
 # callers that repeat a request do so within their deadlines.
-MEMORY_S = 60.0
+LOSS_TTL_S = 60.0
 # Losses told to peers, the newest first.
-MOST_TOLD = 100
+MAX_PUBLISHED_LOSSES = 100
 DIGEST_BYTES = 12
 log = structlog.get_logger("briarseam.forwarding")
 
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Told:
+class PeerLosses:
     """What a peer told.
 
     Attributes
@@ -60,7 +60,7 @@
     """
 
     losses: dict[bytes, frozenset[str]]
-    at_s: float
+    received_s: float
 
 
 class CrashGuard:
@@ -83,20 +83,20 @@
     ) -> None:
         self.clock = clock
         self.on_lost: typing.Callable[[bytes, str], None] = ignore
-        self.own: dict[bytes, Losses] = {}
-        self.told: dict[str, Told] = {}
+        self.local: dict[bytes, Losses] = {}
+        self.by_peer: dict[str, PeerLosses] = {}
         self.lock = threading.Lock()
 
     def is_refused(self, digest: bytes) -> bool:
         """Tell whether a request was lost at too many endpoints."""
         with self.lock:
-            own = self.own.get(digest)
+            local = self.local.get(digest)
             lost: set[str] = set()
-            if own is not None and self.clock() - own.last_s < MEMORY_S:
-                lost |= own.endpoints
-            for told in self.told.values():
-                lost |= told.losses.get(digest, frozenset())
-        return len(lost) >= MOST_LOST
+            if local is not None and self.clock() - local.last_s < LOSS_TTL_S:
+                lost |= local.endpoints
+            for remote in self.by_peer.values():
+                lost |= remote.losses.get(digest, frozenset())
+        return len(lost) >= LOST_ENDPOINTS_LIMIT
 
     def record_loss(self, digest: bytes, endpoint: str) -> None:
         """Note that an endpoint was lost while it had a request."""
@@ -106,11 +106,11 @@
     def add_loss(self, digest: bytes, endpoint: str) -> None:
         """Note a loss, here or in a cell whose heartbeats are not heard."""
         with self.lock:
-            losses = self.own.setdefault(digest, Losses())
+            losses = self.local.setdefault(digest, Losses())
             losses.endpoints.add(endpoint)
             losses.last_s = self.clock()
             count = len(losses.endpoints)
-        if count >= MOST_LOST:
+        if count >= LOST_ENDPOINTS_LIMIT:
             log.warning(
                 "request_condemned", digest=digest.hex(), endpoints=count
             )
@@ -118,30 +118,30 @@
     def record_answer(self, digest: bytes) -> None:
         """Note that a request was answered, so that it is none of these."""
         with self.lock:
-            self.own.pop(digest, None)
+            self.local.pop(digest, None)
 
     def forget_expired(self) -> None:
         """Forget losses that count no longer."""
-        oldest_s = self.clock() - MEMORY_S
+        oldest_s = self.clock() - LOSS_TTL_S
         with self.lock:
-            self.own = {
+            self.local = {
                 digest: losses
-                for digest, losses in self.own.items()
+                for digest, losses in self.local.items()
                 if losses.last_s > oldest_s
             }
             # A peer that is gone tells no more, but its losses count on.
-            self.told = {
-                member: told
-                for member, told in self.told.items()
-                if told.at_s > oldest_s
+            self.by_peer = {
+                member: remote
+                for member, remote in self.by_peer.items()
+                if remote.received_s > oldest_s
             }
 
     def provide(self) -> bytes:
         """Return the newest losses, for peers."""
         with self.lock:
             newest = sorted(
-                self.own.items(), key=lambda item: -item[1].last_s
-            )[:MOST_TOLD]
+                self.local.items(), key=lambda item: -item[1].last_s
+            )[:MAX_PUBLISHED_LOSSES]
             rows = [
                 (digest, sorted(losses.endpoints)) for digest, losses in newest
             ]
@@ -153,7 +153,7 @@
         rows = msgspec.msgpack.decode(data, type=list[tuple[bytes, list[str]]])
         losses = {digest: frozenset(endpoints) for digest, endpoints in rows}
         with self.lock:
-            self.told[member] = Told(losses, self.clock())
+            self.by_peer[member] = PeerLosses(losses, self.clock())
 
 
 def ignore(digest: bytes, endpoint: str) -> None:
@@ -162,9 +162,9 @@
 
 def digest_of(path: str, caller: str, body: bytes) -> bytes:
     """Return what is equal for repeats of one request."""
-    made = hashlib.blake2b(digest_size=DIGEST_BYTES)
+    hashed = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (path.encode("latin-1", "replace"), caller.encode()):
-        made.update(len(part).to_bytes(4, "big"))
-        made.update(part)
-    made.update(body)
-    return made.digest()
+        hashed.update(len(part).to_bytes(4, "big"))
+        hashed.update(part)
+    hashed.update(body)
+    return hashed.digest()
--- a/src/briarseam/forwarding/events.py
+++ b/src/briarseam/forwarding/events.py
@@ -6,7 +6,7 @@
 ID_FIELD = b"id:"
 
 
-def split_whole(data: bytes) -> tuple[bytes, bytes]:
+def split_complete(data: bytes) -> tuple[bytes, bytes]:
     """Return the whole events of some bytes, and what is left.
 
     An endpoint may stop in the middle of an event.  The part of it that a
--- a/src/briarseam/forwarding/loss_sharing.py
+++ b/src/briarseam/forwarding/loss_sharing.py
@@ -24,7 +24,7 @@
 
 # Losses that wait to be told.  An endpoint that crashes loses what an
 # instance had there, a few dozen.
-MOST_WAITING = 1000
+MAX_PENDING = 1000
 log = structlog.get_logger("briarseam.forwarding")
 
 
@@ -80,8 +80,8 @@
     ) -> None:
         self.guard = guard
         self.cells = cells
-        self.waiting: queue.Queue[tuple[bytes, str] | None] = queue.Queue(
-            MOST_WAITING
+        self.pending: queue.Queue[tuple[bytes, str] | None] = queue.Queue(
+            MAX_PENDING
         )
         self.thread = threading.Thread(
             target=self.run, name="loss-sharing", daemon=True
@@ -94,35 +94,35 @@
     def stop(self) -> None:
         """Tell nothing further."""
         try:
-            self.waiting.put_nowait(None)
+            self.pending.put_nowait(None)
         except queue.Full:
-            log.warning("losses_left_untold", count=self.waiting.qsize())
+            log.warning("losses_left_untold", count=self.pending.qsize())
 
     def add(self, digest: bytes, endpoint: str) -> None:
         """Have a loss told, without waiting for it."""
         try:
-            self.waiting.put_nowait((digest, endpoint))
+            self.pending.put_nowait((digest, endpoint))
         except queue.Full:
             log.warning("loss_left_untold", digest=digest.hex())
 
-    def handle(self, told: RequestsLost) -> RequestsLostNoted:
+    def handle(self, message: RequestsLost) -> RequestsLostNoted:
         """Take in what another cell lost; heartbeats tell it in this one."""
-        for digest, endpoint in told.losses:
+        for digest, endpoint in message.losses:
             self.guard.add_loss(digest, endpoint)
         return RequestsLostNoted()
 
     def run(self) -> None:
         """Tell until stopped."""
-        while (first := self.waiting.get()) is not None:
+        while (first := self.pending.get()) is not None:
             losses = [first]
-            while not self.waiting.empty():
-                following = self.waiting.get()
+            while not self.pending.empty():
+                following = self.pending.get()
                 if following is None:
                     return
                 losses.append(following)
-            self.tell(RequestsLost(tuple(losses)))
+            self.publish(RequestsLost(tuple(losses)))
 
-    def tell(self, message: RequestsLost) -> None:
+    def publish(self, message: RequestsLost) -> None:
         """Tell one instance of each other cell."""
         for address in self.cells.addresses():
             try:
--- a/src/briarseam/forwarding/refusing.py
+++ b/src/briarseam/forwarding/refusing.py
@@ -104,9 +104,11 @@
     ) -> None:
         self.encode = encode
 
-    def send(self, exchange: server.Exchange, given: verdict.Verdict) -> None:
+    def send(
+        self, exchange: server.Exchange, final_verdict: verdict.Verdict
+    ) -> None:
         """Send a verdict as the final answer."""
-        refusal = self.encode(given)
+        refusal = self.encode(final_verdict)
         exchange.answer(refusal.status, refusal.headers, refusal.body)
 
 
--- a/src/briarseam/forwarding/request_context.py
+++ b/src/briarseam/forwarding/request_context.py
@@ -173,14 +173,14 @@
             self.progress.events_sent,
         )
 
-    def size(self) -> dict[str, int]:
+    def log_fields(self) -> dict[str, int]:
         """Return how large its prompt is, for the log."""
         if self.call.prompt is None:
             return {}
         return {"memory_tokens": placements.memory_of(self.call.prompt)}
 
 
-def may_go_on(context: Context) -> bool:
+def may_retry(context: Context) -> bool:
     """Tell whether a request may go to another endpoint."""
     if context.may_have_run and not context.route.idempotent:
         return False
--- a/src/briarseam/forwarding/retry_budget.py
+++ b/src/briarseam/forwarding/retry_budget.py
@@ -15,7 +15,7 @@
 
 # Part of the budget that is used.  The window that judges slides over all
 # instances and counts what arrived, which lags behind what was sent.
-USED_PART = 0.6
+SAFETY_FACTOR = 0.6
 SLOTS_PER_WINDOW = 10
 
 
@@ -64,7 +64,7 @@
         Retries allowed in a window beyond that, over all instances.
     window_s
         Length of the window, in seconds.
-    sharers
+    instance_count
         Number of instances that share the slack.
     clock
         Seconds.
@@ -75,30 +75,30 @@
         ratio: float,
         slack: float,
         window_s: float,
-        sharers: typing.Callable[[], int],
+        instance_count: typing.Callable[[], int],
         clock: typing.Callable[[], float] = clocks.boot_clock,
     ) -> None:
         self.ratio = ratio
         self.slack = slack
         self.window_s = window_s
-        self.sharers = sharers
+        self.instance_count = instance_count
         self.clock = clock
         self.requests: dict[str, Window] = {}
         self.retries: dict[str, Window] = {}
         self.lock = threading.Lock()
 
-    def earn(self, service: str) -> None:
+    def deposit(self, service: str) -> None:
         """Count a request of a caller."""
         with self.lock:
             self.window(self.requests, service).add()
 
-    def spend(self, service: str) -> bool:
+    def try_withdraw(self, service: str) -> bool:
         """Take a retry from the budget; tell whether there was one."""
         with self.lock:
             retries = self.window(self.retries, service)
-            allowed = USED_PART * (
+            allowed = SAFETY_FACTOR * (
                 self.ratio * self.window(self.requests, service).total()
-                + self.slack / max(1, self.sharers())
+                + self.slack / max(1, self.instance_count())
             )
             if retries.total() + 1 > allowed:
                 return False
--- a/src/briarseam/forwarding/server.py
+++ b/src/briarseam/forwarding/server.py
@@ -26,7 +26,7 @@
 IDLE_SLACK_S = 8.0
 SHUTDOWN_TIMEOUT_S = 1
 # Connections kept for callers' next requests; descriptors bound them anyhow.
-MOST_IDLE = 100_000
+MAX_IDLE_CONNECTIONS = 100_000
 CRLF = b"\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 
@@ -72,7 +72,7 @@
 
     Attributes
     ----------
-    began
+    head_sent
         Whether any byte of an answer was sent.
     """
 
@@ -83,7 +83,7 @@
     ) -> None:
         self.request = request
         self.leaving = leaving
-        self.began = False
+        self.head_sent = False
         self.chunked = False
 
     @property
@@ -105,10 +105,10 @@
         ]
 
     @property
-    def framing_problem(self) -> str:
+    def framing_error(self) -> str:
         """What two parsers could read differently; empty if nothing."""
-        found = self.request.inheaders.get(strict.FRAMING_ERROR, b"")
-        return str(found.decode("latin-1"))
+        value = self.request.inheaders.get(strict.FRAMING_ERROR, b"")
+        return str(value.decode("latin-1"))
 
     @property
     def socket(self) -> typing.Any:
@@ -186,7 +186,7 @@
 
     def abort(self) -> None:
         """End the connection, so that an answer that was begun is broken."""
-        self.began = True
+        self.head_sent = True
         self.request.sent_headers = True
         self.close_after()
 
@@ -198,13 +198,13 @@
 
     def head(self, status: int, headers: Headers) -> bytes:
         """Return the head of an answer, which counts as sent."""
-        self.began = True
+        self.head_sent = True
         self.request.sent_headers = True
         if self.leaving():
             # A connection that is kept could carry the next request just
             # as the process ends.
             self.close_after()
-        lines = [f"HTTP/1.1 {status} {phrase(status)}"]
+        lines = [f"HTTP/1.1 {status} {reason_phrase(status)}"]
         lines.extend(f"{name}: {value}" for name, value in headers)
         if self.request.close_connection:
             lines.append("Connection: close")
@@ -212,7 +212,7 @@
         return text.encode("latin-1") + CRLF + CRLF
 
 
-def phrase(status: int) -> str:
+def reason_phrase(status: int) -> str:
     """Return the reason phrase of a status."""
     try:
         return http.HTTPStatus(status).phrase
@@ -263,7 +263,7 @@
         self.request_queue_size = BACKLOG
         self.shutdown_timeout = SHUTDOWN_TIMEOUT_S
         self.expiration_interval = EXPIRY_INTERVAL_S
-        self.keep_alive_conn_limit = MOST_IDLE
+        self.keep_alive_conn_limit = MAX_IDLE_CONNECTIONS
         self.requests = connection_threads.ConnectionThreads(self, in_flight)
         self.set_idle_timeout(float(self.timeout))
 
--- a/src/briarseam/forwarding/service.py
+++ b/src/briarseam/forwarding/service.py
@@ -26,12 +26,12 @@
 
 # Part of a route's aim for which a request waits for room.  One that waits
 # longer would be late anyhow, and its caller is better told to come back.
-HOLD_SHARE = 0.25
+MAX_WAIT_SHARE = 0.25
 # The address has another endpoint now, or the endpoint other weights; the
 # entries will tell within a second.
-MOVED = 421
+MISDIRECTED = 421
 # A caller that left meanwhile is noticed this often.
-ROOM_POLL_S = 0.05
+CAPACITY_POLL_S = 0.05
 log = structlog.get_logger("briarseam.forwarding")
 
 
@@ -51,8 +51,8 @@
     def handle(self, exchange: server.Exchange) -> None:
         """Answer one request; the body of its connection's thread."""
         arrived_s = clocks.boot_clock()
-        if exchange.framing_problem:
-            self.refuse_unread(exchange, exchange.framing_problem)
+        if exchange.framing_error:
+            self.refuse_and_close(exchange, exchange.framing_error)
             return
         try:
             body = exchange.read_body()
@@ -61,7 +61,7 @@
             self.refuse(exchange, "", refusing.TOO_LARGE)
             return
         except server.BodyError as error:
-            self.refuse_unread(exchange, str(error))
+            self.refuse_and_close(exchange, str(error))
             return
         try:
             call = self.deps.codec.decode_call(
@@ -75,16 +75,16 @@
             log.info(
                 "request_read",
                 request=call.id,
-                stopping_for_ms=self.deps.shutdown.since_ms(),
+                stopping_for_ms=self.deps.shutdown.elapsed_ms(),
                 in_flight=self.deps.in_flight.count,
             )
-        found = self.find(exchange, call, body, arrived_s)
-        if isinstance(found, request_context.Context):
-            self.run(found)
+        prepared = self.prepare(exchange, call, body, arrived_s)
+        if isinstance(prepared, request_context.Context):
+            self.run(prepared)
         else:
-            self.refuse(exchange, call.id, found)
+            self.refuse(exchange, call.id, prepared)
 
-    def find(
+    def prepare(
         self,
         exchange: server.Exchange,
         call: calls.Call,
@@ -106,7 +106,7 @@
             wait_s = min(wait_s, call.time_left_s)
         deadline_s = arrived_s + wait_s
         refusing_all = self.deps.in_flight.refusing
-        if refusing_all or not self.deps.shutdown.takes(deadline_s):
+        if refusing_all or not self.deps.shutdown.accepts(deadline_s):
             return refusing.LEAVING
         session = call.id
         if call.prompt is not None:
@@ -135,17 +135,17 @@
 
     def run(self, context: request_context.Context) -> None:
         """Answer one request that the configuration allows."""
-        self.deps.budget.earn(context.service.name)
+        self.deps.budget.deposit(context.service.name)
         self.deps.chooser.record_arrival(context.request())
-        with self.active_requests.holding(context):
+        with self.active_requests.tracking(context):
             self.deps.supervisor.watch(context.watch)
             try:
-                ended = self.try_endpoints(context)
+                result = self.try_endpoints(context)
             except supervision.EndedError as error:
-                ended = self.end(context, error.ending)
+                result = self.answer_ended(context, error.ending)
             finally:
-                self.deps.supervisor.forget(context.watch)
-        self.note(context, ended)
+                self.deps.supervisor.unwatch(context.watch)
+        self.record_end(context, result)
 
     def try_endpoints(self, context: request_context.Context) -> str:
         """Send the request to endpoints until one answers.
@@ -156,49 +156,49 @@
             How it ended, for the log.
         """
         while True:
-            placed = self.place(context)
-            if isinstance(placed, verdict.NotRun):
-                context.refusal = context.refusal or placed
-                return self.give_up(context)
-            if context.sends and not self.deps.budget.spend(
+            placement = self.choose_endpoint(context)
+            if isinstance(placement, verdict.NotRun):
+                context.refusal = context.refusal or placement
+                return self.answer_failure(context)
+            if context.sends and not self.deps.budget.try_withdraw(
                 context.service.name
             ):
                 context.steps.append("no-retry-budget")
-                return self.give_up(context)
-            outcome = self.send(context, placed)
-            context.tried.add(placed.endpoint.id)
+                return self.answer_failure(context)
+            outcome = self.send(context, placement)
+            context.tried.add(placement.endpoint.id)
             if isinstance(outcome, outcomes.Answered):
                 self.deps.guard.record_answer(context.digest)
                 return f"answered-{outcome.status}"
-            self.take_failure(context, placed.endpoint.id, outcome)
-            if not request_context.may_go_on(context):
-                return self.give_up(context)
+            self.handle_failure(context, placement.endpoint.id, outcome)
+            if not request_context.may_retry(context):
+                return self.answer_failure(context)
 
-    def place(
+    def choose_endpoint(
         self, context: request_context.Context
     ) -> placements.Placement | verdict.NotRun:
         """Return where a request goes, waiting a little for room."""
         chooser = self.deps.chooser
-        hold_s = context.route.target_latency_s * HOLD_SHARE
-        since_s = clocks.boot_clock() if context.sends else context.arrived_s
-        until_s = since_s + hold_s
+        max_wait_s = context.route.target_latency_s * MAX_WAIT_SHARE
+        start_s = clocks.boot_clock() if context.sends else context.arrived_s
+        wait_until_s = start_s + max_wait_s
         while True:
             context.watch.check()
-            if context.watch.left_s() <= 0:
+            if context.watch.remaining_s() <= 0:
                 # The supervisor looks each 50 ms only.  Sent on meanwhile,
                 # the request would run for nobody, and its caller could not
                 # be told that it has not.
                 raise supervision.EndedError(supervision.Ending.TIMED_OUT)
-            placed = chooser.choose(context.request())
-            if not isinstance(placed, placements.NoCapacity):
-                return placed
-            left_s = until_s - clocks.boot_clock()
-            if left_s <= 0:
-                context.steps.append(f"no-room {placed}")
+            placement = chooser.choose(context.request())
+            if not isinstance(placement, placements.NoCapacity):
+                return placement
+            remaining_s = wait_until_s - clocks.boot_clock()
+            if remaining_s <= 0:
+                context.steps.append(f"no-room {placement}")
                 return refusing.BUSY
-            chooser.loads.wait_for_decrease(min(left_s, ROOM_POLL_S))
+            chooser.loads.wait_for_decrease(min(remaining_s, CAPACITY_POLL_S))
 
-    def take_failure(
+    def handle_failure(
         self,
         context: request_context.Context,
         endpoint: str,
@@ -212,7 +212,7 @@
                 return
             case outcomes.Rejected():
                 context.refusal = refusing.rejected(outcome)
-                if outcome.status == MOVED:
+                if outcome.status == MISDIRECTED:
                     self.deps.chooser.avoid(endpoint)
             case outcomes.Failed():
                 context.failed = outcome
@@ -224,102 +224,102 @@
         context.sends += 1
 
     def send(
-        self, context: request_context.Context, placed: placements.Placement
+        self, context: request_context.Context, placement: placements.Placement
     ) -> outcomes.Outcome:
         """Send the request to one endpoint."""
         chooser = self.deps.chooser
         request = context.request()
         sent_s = clocks.boot_clock()
-        first_ms = -1
-        added = chooser.record_start(placed, context.call)
+        first_event_ms = -1
+        added = chooser.record_start(placement, context.call)
         log.info(
             "request_sent",
             request=context.call.id,
-            endpoint=placed.endpoint.id,
-            time_left_ms=round(context.watch.left_s() * 1000),
-            **placed.log_fields(),
+            endpoint=placement.endpoint.id,
+            time_left_ms=round(context.watch.remaining_s() * 1000),
+            **placement.log_fields(),
         )
 
         def on_first_event() -> None:
-            nonlocal added, first_ms
+            nonlocal added, first_event_ms
             now_s = clocks.boot_clock()
             took_s = now_s - sent_s
-            added = chooser.record_first_event(placed, request, added, took_s)
-            first_ms = round(took_s * 1000)
+            added = chooser.record_first_event(
+                placement, request, added, took_s
+            )
+            first_event_ms = round(took_s * 1000)
             if not context.progress.events_sent:
                 waited_s = now_s - context.arrived_s
                 self.deps.metrics.first_event_us.record_s(waited_s)
 
         instructions = dataclasses.replace(
-            placed.instructions,
-            time_left_s=max(0.0, context.watch.left_s()),
+            placement.instructions,
+            time_left_s=max(0.0, context.watch.remaining_s()),
             last_event_id=context.progress.last_event_id,
         )
-        errand = attempts.Errand(
+        attempt = attempts.Attempt(
             exchange=context.exchange,
             call=context.call,
             body=context.body,
             route=context.route,
-            endpoint=placed.endpoint,
-            headers=self.deps.codec.encode_headers(
-                context.call, instructions
-            ),
+            endpoint=placement.endpoint,
+            headers=self.deps.codec.encode_headers(context.call, instructions),
             watch=context.watch,
             progress=context.progress,
             on_first_event=on_first_event,
         )
         outcome: outcomes.Outcome | None = None
         try:
-            outcome = self.deps.sender.send(errand)
+            outcome = self.deps.sender.send(attempt)
         except supervision.EndedError:
             context.may_have_run = (
-                context.may_have_run or context.progress.asked
+                context.may_have_run or context.progress.maybe_sent
             )
             raise
         finally:
-            chooser.record_end(placed, context.call, added)
-            self.note_send(context, placed, outcome, first_ms)
+            chooser.record_end(placement, context.call, added)
+            self.record_send(context, placement, outcome, first_event_ms)
         return outcome
 
-    def note_send(
+    def record_send(
         self,
         context: request_context.Context,
-        placed: placements.Placement,
+        placement: placements.Placement,
         outcome: outcomes.Outcome | None,
-        first_ms: int,
+        first_event_ms: int,
     ) -> None:
         """Count what became of a send, and keep it for the log."""
         name = type(outcome).__name__.lower() if outcome else "ended"
-        step = f"{placed.endpoint.id}:{name}"
+        step = f"{placement.endpoint.id}:{name}"
         match outcome:
             case outcomes.Unreached(detail) | outcomes.Broken(detail):
                 step = f"{step} ({detail})"
             case outcomes.Rejected(status) | outcomes.Answered(status):
                 step = f"{step}-{status}"
-        if first_ms >= 0:
-            step = f"{step} first={first_ms}ms"
+        if first_event_ms >= 0:
+            step = f"{step} first={first_event_ms}ms"
         context.steps.append(step)
         self.deps.metrics.sends.labelled(name).add()
 
-    def give_up(self, context: request_context.Context) -> str:
+    def answer_failure(self, context: request_context.Context) -> str:
         """Give the caller a final answer at once, without a good one."""
         if context.progress.events_sent:
             context.exchange.abort()
             return "broken-off"
         failed = context.failed
         if failed is not None and (
-            failed.head.status not in attempts.PROMISING
+            failed.head.status not in attempts.NOT_RUN_STATUSES
         ):
             context.watch.detach()
             attempts.deliver(context.exchange, failed.head, failed.body)
             return f"failed-{failed.head.status}"
-        given = context.refusal
-        if context.may_have_run or given is None:
-            given = refusing.LOST
-        self.answer(context.exchange, given)
-        return f"refused-{given.reason.value}"
+        final_verdict = context.refusal
+        if context.may_have_run or final_verdict is None:
+            final_verdict = refusing.LOST
+        self.answer(context.exchange, final_verdict)
+        return f"refused-{final_verdict.reason.value}"
 
-    def end(
+    def answer_ended(
         self, context: request_context.Context, ending: supervision.Ending
     ) -> str:
         """Answer, as far as one can, a request that was ended."""
@@ -334,42 +334,47 @@
             )
         return ending.value
 
-    def refuse_unread(self, exchange: server.Exchange, detail: str) -> None:
+    def refuse_and_close(self, exchange: server.Exchange, detail: str) -> None:
         """Refuse a request whose end is not known, and its connection."""
         exchange.close_after()
         self.refuse(exchange, "", refusing.malformed(detail))
 
     def refuse(
-        self, exchange: server.Exchange, call_id: str, given: verdict.Verdict
+        self,
+        exchange: server.Exchange,
+        call_id: str,
+        final_verdict: verdict.Verdict,
     ) -> None:
         """Refuse a request that no endpoint was asked about."""
-        self.answer(exchange, given)
+        self.answer(exchange, final_verdict)
         self.deps.metrics.answers.labelled(
-            f"refused-{given.reason.value}"
+            f"refused-{final_verdict.reason.value}"
         ).add()
         log.info(
             "request_refused",
             request=call_id,
             host_path=exchange.target[:120],
-            reason=given.reason.value,
-            ran=verdict.ran_word(given),
-            detail=given.detail,
+            reason=final_verdict.reason.value,
+            ran=verdict.ran_word(final_verdict),
+            detail=final_verdict.detail,
         )
 
     def answer(
-        self, exchange: server.Exchange, given: verdict.Verdict
+        self, exchange: server.Exchange, final_verdict: verdict.Verdict
     ) -> None:
         """Send a verdict; a caller that has gone does not matter."""
         try:
-            self.deps.refusals.send(exchange, given)
+            self.deps.refusals.send(exchange, final_verdict)
         except OSError as error:
             log.info("caller_gone", detail=str(error))
             exchange.abort()
 
-    def note(self, context: request_context.Context, ended: str) -> None:
+    def record_end(
+        self, context: request_context.Context, result: str
+    ) -> None:
         """Count a request and log what was decided about it."""
         took_s = clocks.boot_clock() - context.arrived_s
-        self.deps.metrics.answers.labelled(ended).add()
+        self.deps.metrics.answers.labelled(result).add()
         self.deps.metrics.answer_us.record_s(took_s)
         log.info(
             "request_ended",
@@ -378,9 +383,9 @@
             service=context.service.name,
             configuration=context.configuration,
             steps=context.steps,
-            outcome=ended,
+            outcome=result,
             took_ms=round(took_s * 1000),
-            **context.size(),
+            **context.log_fields(),
         )
 
 
--- a/src/briarseam/forwarding/shutdown.py
+++ b/src/briarseam/forwarding/shutdown.py
@@ -8,7 +8,7 @@
 
 # Callers may still be sent here by their last lookup, so for this long every
 # request is taken.  Most end before the process does, which has 7 s.
-ALL_TAKEN_FOR_S = 2.5
+ACCEPT_ALL_FOR_S = 2.5
 
 
 class Shutdown:
@@ -37,24 +37,24 @@
         """Whether this process was told to stop."""
         return self.begun_s is not None
 
-    def since_ms(self) -> int:
+    def elapsed_ms(self) -> int:
         """Return the milliseconds since the order to stop, 0 before it."""
         if self.begun_s is None:
             return 0
         return round((self.clock() - self.begun_s) * 1000)
 
-    def begin(self, asked_s: float | None = None) -> None:
+    def begin(self, requested_s: float | None = None) -> None:
         """Note the order to stop.
 
         Parameters
         ----------
-        asked_s
+        requested_s
             When it came, by the clock; now unless given.
         """
         if self.begun_s is None:
-            self.begun_s = self.clock() if asked_s is None else asked_s
+            self.begun_s = self.clock() if requested_s is None else requested_s
 
-    def takes(self, deadline_s: float) -> bool:
+    def accepts(self, deadline_s: float) -> bool:
         """Tell whether a request can still be answered whole.
 
         Guard: an endpoint may use all the time that a request has.  One that
@@ -68,7 +68,7 @@
         """
         if self.begun_s is None:
             return True
-        since_s = self.clock() - self.begun_s
-        if since_s < min(ALL_TAKEN_FOR_S, self.bound_s() / 2):
+        elapsed_s = self.clock() - self.begun_s
+        if elapsed_s < min(ACCEPT_ALL_FOR_S, self.bound_s() / 2):
             return True
         return deadline_s <= self.begun_s + self.bound_s()
--- a/src/briarseam/forwarding/supervision.py
+++ b/src/briarseam/forwarding/supervision.py
@@ -25,10 +25,10 @@
 
 # Endpoints may work on for half a second after a caller left, and a request
 # may be answered as late after its deadline; a tenth of that is used here.
-TICK_S = 0.05
-ONCE = select.EPOLLONESHOT
+POLL_INTERVAL_S = 0.05
+ONE_SHOT = select.EPOLLONESHOT
 CLOSED_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
-GONE_EVENTS = CLOSED_EVENTS | select.EPOLLIN | ONCE
+GONE_EVENTS = CLOSED_EVENTS | select.EPOLLIN | ONE_SHOT
 CLOSED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 log = structlog.get_logger("briarseam.forwarding")
 
@@ -45,7 +45,7 @@
     """What a caller's socket says of it."""
 
     QUIET = "quiet"
-    SENT_AHEAD = "sent-ahead"
+    PIPELINED = "sent-ahead"
     GONE = "gone"
 
 
@@ -76,7 +76,7 @@
         self.done = False
         self.lock = threading.Lock()
 
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Return the seconds until the deadline."""
         return self.deadline_s - clocks.boot_clock()
 
@@ -101,7 +101,7 @@
             self.check()
             self.upstream = upstream.sock
 
-    def release(self) -> None:
+    def detach_unless_ended(self) -> None:
         """Let the connection live on, if the request was not ended.
 
         Raises
@@ -140,7 +140,7 @@
         self.poller = select.epoll()
         self.watches: dict[int, Watch] = {}
         self.deadlines: list[tuple[float, int, Watch]] = []
-        self.order = itertools.count()
+        self.sequence = itertools.count()
         self.lock = threading.Lock()
         self.stopping = threading.Event()
         self.thread = threading.Thread(
@@ -161,11 +161,11 @@
         with self.lock:
             self.watches[descriptor] = watch
             heapq.heappush(
-                self.deadlines, (watch.deadline_s, next(self.order), watch)
+                self.deadlines, (watch.deadline_s, next(self.sequence), watch)
             )
             self.poller.register(descriptor, GONE_EVENTS)
 
-    def forget(self, watch: Watch) -> None:
+    def unwatch(self, watch: Watch) -> None:
         """Stop watching a request that has its answer."""
         with watch.lock:
             watch.done = True
@@ -178,11 +178,11 @@
     def run(self) -> None:
         """Watch until stopped."""
         while not self.stopping.is_set():
-            for descriptor, _events in self.poller.poll(TICK_S):
-                self.take_event(descriptor)
-            self.end_overdue()
+            for descriptor, _events in self.poller.poll(POLL_INTERVAL_S):
+                self.handle_event(descriptor)
+            self.end_expired()
 
-    def take_event(self, descriptor: int) -> None:
+    def handle_event(self, descriptor: int) -> None:
         """End the request on a descriptor if its caller has gone.
 
         Guard: between the poll and this look a connection may have been
@@ -195,36 +195,36 @@
             watch = self.watches.get(descriptor)
             if watch is None:
                 return
-            presence = look_at(watch.caller)
+            presence = probe_caller(watch.caller)
             match presence:
                 case Presence.QUIET:
                     self.poller.modify(descriptor, GONE_EVENTS)
-                case Presence.SENT_AHEAD:
+                case Presence.PIPELINED:
                     # Only the end counts from now on, or the poll would
                     # return at once each time.
-                    self.poller.modify(descriptor, CLOSED_EVENTS | ONCE)
+                    self.poller.modify(descriptor, CLOSED_EVENTS | ONE_SHOT)
         if presence is Presence.GONE:
             watch.end(Ending.CALLER_GONE)
 
-    def end_overdue(self) -> None:
+    def end_expired(self) -> None:
         """End the requests whose deadline is over."""
         now_s = clocks.boot_clock()
         while True:
             with self.lock:
                 if not self.deadlines or self.deadlines[0][0] > now_s:
                     return
-                _deadline_s, _order, watch = heapq.heappop(self.deadlines)
+                _deadline_s, _sequence, watch = heapq.heappop(self.deadlines)
             watch.end(Ending.TIMED_OUT)
 
 
-def look_at(caller: socket.socket) -> Presence:
+def probe_caller(caller: socket.socket) -> Presence:
     """Return what a caller's socket says of it now."""
     poller = select.poll()
     poller.register(caller, select.POLLIN | select.POLLRDHUP)
-    found = poller.poll(0)
-    if not found:
+    ready = poller.poll(0)
+    if not ready:
         return Presence.QUIET
-    _descriptor, events = found[0]
+    _descriptor, events = ready[0]
     if events & CLOSED:
         return Presence.GONE
     try:
@@ -233,4 +233,4 @@
         return Presence.QUIET
     except OSError:
         return Presence.GONE
-    return Presence.SENT_AHEAD if sent else Presence.GONE
+    return Presence.PIPELINED if sent else Presence.GONE
--- a/tests/forwarding/test_connections.py
+++ b/tests/forwarding/test_connections.py
@@ -97,8 +97,8 @@
         pytest.param("timeout=5", 4.0, id="said"),
         pytest.param("timeout=5, max=100", 4.0, id="with-more"),
         pytest.param("timeout=0", 0.0, id="at-once"),
-        pytest.param("", connections.UNSAID_IDLE_S, id="unsaid"),
-        pytest.param("timeout=x", connections.UNSAID_IDLE_S, id="no-number"),
+        pytest.param("", connections.DEFAULT_IDLE_S, id="unsaid"),
+        pytest.param("timeout=x", connections.DEFAULT_IDLE_S, id="no-number"),
     ],
 )
 def test_idle_time_is_what_the_endpoint_says_less_a_margin(header, idle_s):
--- a/tests/forwarding/test_crash_guard.py
+++ b/tests/forwarding/test_crash_guard.py
@@ -58,13 +58,13 @@
     peer = crash_guard.CrashGuard(clock)
     lose(peer, "e1", "e2", "e3")
     guard.consume("peer", peer.provide())
-    clock.now_s += crash_guard.MEMORY_S - 1
+    clock.now_s += crash_guard.LOSS_TTL_S - 1
     guard.forget_expired()
     assert guard.is_refused(DIGEST)
     clock.now_s += 2
     guard.forget_expired()
     assert not guard.is_refused(DIGEST)
-    assert guard.told == {}
+    assert guard.by_peer == {}
 
 
 def test_answered_request_is_none_of_these(guard):
@@ -76,10 +76,10 @@
 
 def test_losses_are_forgotten_with_time(guard, clock):
     lose(guard, "e1", "e2", "e3")
-    clock.now_s += crash_guard.MEMORY_S
+    clock.now_s += crash_guard.LOSS_TTL_S
     assert not guard.is_refused(DIGEST)
     guard.forget_expired()
-    assert guard.own == {}
+    assert guard.local == {}
 
 
 @pytest.mark.parametrize(
@@ -104,7 +104,7 @@
         pytest.param([b"digest"], id="too short"),
     ],
 )
-def test_malformed_losses_of_a_peer_leave_what_it_told_before(row):
+def test_malformed_losses_of_a_peer_keep_its_earlier_ones(row):
     """A peer of another make tells a number in place of a digest.
 
     It was taken for a length, and as many bytes were allocated.
@@ -113,4 +113,4 @@
     guard.consume("peer", msgpack.packb([[b"digest", ["engine-1"]]]))
     with pytest.raises(ValueError):
         guard.consume("peer", msgpack.packb([row]))
-    assert guard.told["peer"].losses == {b"digest": frozenset({"engine-1"})}
+    assert guard.by_peer["peer"].losses == {b"digest": frozenset({"engine-1"})}
--- a/tests/forwarding/test_ended_answers.py
+++ b/tests/forwarding/test_ended_answers.py
@@ -56,8 +56,10 @@
 class Endpoint:
     """Sends the beginning of an answer and then looks for the end."""
 
-    def __init__(self, begun: bytes, watch: supervision.Watch) -> None:
-        self.begun = begun
+    def __init__(
+        self, partial_answer: bytes, watch: supervision.Watch
+    ) -> None:
+        self.partial_answer = partial_answer
         self.watch = watch
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.settimeout(PATIENCE_S)
@@ -75,7 +77,7 @@
         connection, _ = self.listener.accept()
         with connection:
             connection.recv(65536)
-            connection.sendall(self.begun)
+            connection.sendall(self.partial_answer)
             ending = supervision.Ending.CUT_OFF
             threading.Timer(END_AFTER_S, self.watch.end, [ending]).start()
             connection.settimeout(END_AFTER_S + TOLD_WITHIN_S)
@@ -105,9 +107,9 @@
     )
 
 
-def errand_to(endpoint, watch, exchange, repeat):
+def attempt_to(endpoint, watch, exchange, repeat):
     """Return a call on its way to an endpoint."""
-    return attempts.Errand(
+    return attempts.Attempt(
         exchange=exchange,
         call=calls.Call(
             id="x", method="GET", target="/", host="h", headers=()
@@ -135,7 +137,7 @@
     """Send a call whose request is ended while the answer comes."""
     sender = attempts.Sender(connections.Pool(), head_of)
     with endpoint, pytest.raises(supervision.EndedError):
-        sender.send(errand_to(endpoint, watch, exchange, repeat))
+        sender.send(attempt_to(endpoint, watch, exchange, repeat))
 
 
 @pytest.mark.parametrize("framing", FRAMINGS)
@@ -146,8 +148,8 @@
     half that had come was passed on as the whole.
     """
     exchange = Exchange()
-    begun = ANSWER % (FRAMINGS[framing], b"first")
-    endpoint = Endpoint(begun, watch)
+    partial_answer = ANSWER % (FRAMINGS[framing], b"first")
+    endpoint = Endpoint(partial_answer, watch)
     send(endpoint, watch, exchange, routes.Repeat.ONCE)
     assert endpoint.told
     assert exchange.sent == []
@@ -174,8 +176,8 @@
     again, but was told that it may have run.
     """
     endpoint = Endpoint(b"", watch)
-    errand = errand_to(endpoint, watch, Exchange(), routes.Repeat.ONCE)
+    attempt = attempt_to(endpoint, watch, Exchange(), routes.Repeat.ONCE)
     watch.end(supervision.Ending.CUT_OFF)
     with endpoint, pytest.raises(supervision.EndedError):
-        attempts.Sender(connections.Pool(), head_of).send(errand)
-    assert not errand.progress.asked
+        attempts.Sender(connections.Pool(), head_of).send(attempt)
+    assert not attempt.progress.maybe_sent
--- a/tests/forwarding/test_events.py
+++ b/tests/forwarding/test_events.py
@@ -6,7 +6,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "whole", "rest"),
+    ("data", "complete", "remainder"),
     [
         pytest.param(b"", b"", b"", id="nothing"),
         pytest.param(b"id: 1\nda", b"", b"id: 1\nda", id="part-of-one"),
@@ -16,17 +16,17 @@
         ),
     ],
 )
-def test_streams_are_cut_at_whole_events(data, whole, rest):
-    assert events.split_whole(data) == (whole, rest)
+def test_streams_are_cut_at_whole_events(data, complete, remainder):
+    assert events.split_complete(data) == (complete, remainder)
 
 
 @pytest.mark.parametrize(
-    ("data", "found"),
+    ("data", "last_id"),
     [
         pytest.param(b"id: 1\ndata: x\n\nid:2\n\n", "2", id="last"),
         pytest.param(b"id: 1\n\ndata: y\n\n", "1", id="without-one"),
         pytest.param(b"data: id: 3\n\n", None, id="only-in-data"),
     ],
 )
-def test_last_id_is_found(data, found):
-    assert events.last_id(data) == found
+def test_last_id_is_found(data, last_id):
+    assert events.last_id(data) == last_id
--- a/tests/forwarding/test_loss_sharing.py
+++ b/tests/forwarding/test_loss_sharing.py
@@ -15,13 +15,13 @@
 
     def __init__(self, sharing):
         self.sharing = sharing
-        self.away = set()
+        self.unreachable = set()
 
     def addresses(self):
         return list(self.sharing)
 
     def send_losses(self, address, message):
-        if address in self.away:
+        if address in self.unreachable:
             raise replies.NoReplyError("away")
         self.sharing[address].handle(message)
 
@@ -62,15 +62,15 @@
     for endpoint in ("e1", "e2", "e3"):
         guard.record_loss(DIGEST, endpoint)
     for sharing in others.values():
-        waiting.until(lambda told=sharing: is_refused(told))
+        waiting.until(lambda other=sharing: is_refused(other))
 
 
 def test_loss_is_told_on_within_the_other_cell(guard, others):
     guard.record_loss(DIGEST, "e1")
-    told = others["10.0.0.2:1"].guard
-    waiting.until(lambda: DIGEST in told.own)
+    other_guard = others["10.0.0.2:1"].guard
+    waiting.until(lambda: DIGEST in other_guard.local)
     peer = crash_guard.CrashGuard()
-    peer.consume("instance-2", told.provide())
+    peer.consume("instance-2", other_guard.provide())
     peer.record_loss(DIGEST, "e2")
     peer.record_loss(DIGEST, "e3")
     assert peer.is_refused(DIGEST)
@@ -79,7 +79,7 @@
 def test_cell_that_is_away_keeps_no_other_from_being_told(
     guard, others, cells
 ):
-    cells.away.add("10.0.0.2:1")
+    cells.unreachable.add("10.0.0.2:1")
     for endpoint in ("e1", "e2", "e3"):
         guard.record_loss(DIGEST, endpoint)
     waiting.until(lambda: is_refused(others["10.0.0.3:1"]))
@@ -88,6 +88,6 @@
 
 def test_losses_beyond_the_bound_are_left_out(others, cells):
     sharing = loss_sharing.LossSharing(crash_guard.CrashGuard(), cells)
-    for number in range(loss_sharing.MOST_WAITING + 5):
+    for number in range(loss_sharing.MAX_PENDING + 5):
         sharing.add(DIGEST, f"e{number}")
-    assert sharing.waiting.qsize() == loss_sharing.MOST_WAITING
+    assert sharing.pending.qsize() == loss_sharing.MAX_PENDING
--- a/tests/forwarding/test_retry_budget.py
+++ b/tests/forwarding/test_retry_budget.py
@@ -11,9 +11,9 @@
     return clocks.ManualClock()
 
 
-def spent(budget, service="portal"):
+def withdraw_all(budget, service="portal"):
     count = 0
-    while budget.spend(service):
+    while budget.try_withdraw(service):
         count += 1
     return count
 
@@ -28,22 +28,22 @@
     ]
     for budget in budgets:
         for _ in range(100):
-            budget.earn("portal")
-    total = sum(spent(budget) for budget in budgets)
+            budget.deposit("portal")
+    total = sum(withdraw_all(budget) for budget in budgets)
     assert 0 < total <= 0.2 * 700 + 54
 
 
 def test_budget_comes_back_with_time(clock):
     budget = retry_budget.RetryBudget(0.0, 10, 10, lambda: 1, clock)
-    assert spent(budget) == 6
+    assert withdraw_all(budget) == 6
     clock.now_s += 12
-    assert spent(budget) == 6
+    assert withdraw_all(budget) == 6
 
 
 def test_services_have_budgets_of_their_own(clock):
     budget = retry_budget.RetryBudget(0.0, 10, 10, lambda: 1, clock)
-    spent(budget, "engines")
-    assert spent(budget, "portal") == 6
+    withdraw_all(budget, "engines")
+    assert withdraw_all(budget, "portal") == 6
 
 
 def test_window_forgets_what_is_old(clock):
--- a/tests/forwarding/test_shutdown.py
+++ b/tests/forwarding/test_shutdown.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("since_s", "time_s", "taken"),
+    ("elapsed_s", "time_s", "accepted"),
     [
         pytest.param(0.0, LONG_S, True, id="stream-at-once"),
         pytest.param(2.4, LONG_S, True, id="stream-while-lookups-last"),
@@ -24,7 +24,7 @@
     ],
 )
 def test_only_what_ends_in_time_is_taken_after_the_order_to_stop(
-    since_s, time_s, taken
+    elapsed_s, time_s, accepted
 ):
     """All instances are stopped in turn.  A stream that begins three
     seconds after SIGTERM is still running when its instance ends, and its
@@ -33,19 +33,19 @@
     """
     clock = clocks.ManualClock()
     shutdown = shutdowns.Shutdown(lambda: 7.0, clock)
-    assert shutdown.takes(clock.now_s + time_s)
+    assert shutdown.accepts(clock.now_s + time_s)
     shutdown.begin()
-    clock.now_s += since_s
+    clock.now_s += elapsed_s
     shutdown.begin()
-    assert shutdown.takes(clock.now_s + time_s) is taken
+    assert shutdown.accepts(clock.now_s + time_s) is accepted
 
 
 def test_time_to_shut_down_counts_from_the_order_to_stop():
     """The order was noticed three seconds late, at the end of a start."""
     clock = clocks.ManualClock()
     shutdown = shutdowns.Shutdown(lambda: 7.0, clock)
-    asked_s = clock.now_s
+    requested_s = clock.now_s
     clock.now_s += 3.0
-    shutdown.begin(asked_s)
-    assert shutdown.since_ms() == 3000
-    assert not shutdown.takes(asked_s + 7.0 + CALL_S)
+    shutdown.begin(requested_s)
+    assert shutdown.elapsed_ms() == 3000
+    assert not shutdown.accepts(requested_s + 7.0 + CALL_S)
--- a/tests/forwarding/test_supervision.py
+++ b/tests/forwarding/test_supervision.py
@@ -71,7 +71,9 @@
     watch = watch_of(pair)
     supervisor.watch(watch)
     pair[1].sendall(b"GET / HTTP/1.1\r\n")
-    waiting.until(lambda: supervision.look_at(pair[0]).name == "SENT_AHEAD")
+    waiting.until(
+        lambda: supervision.probe_caller(pair[0]).name == "PIPELINED"
+    )
     assert watch.ending is None
     pair[1].close()
     waiting.until(lambda: watch.ending is supervision.Ending.CALLER_GONE)
@@ -97,7 +99,7 @@
 def test_request_that_has_its_answer_is_not_ended(supervisor, pair):
     watch = watch_of(pair, after_s=0.05)
     supervisor.watch(watch)
-    supervisor.forget(watch)
+    supervisor.unwatch(watch)
     waiting.until(lambda: not supervisor.deadlines)
     assert watch.ending is None
 
@@ -123,7 +125,7 @@
     supervisor.watch(first)
     theirs.close()
     reported = supervisor.poller.poll(5)
-    supervisor.forget(first)
+    supervisor.unwatch(first)
     descriptor = ours.fileno()
     ours.close()
     with contextlib.ExitStack() as stack:
@@ -132,5 +134,5 @@
         second = watch_of(pair)
         supervisor.watch(second)
         for number, _events in reported:
-            supervisor.take_event(number)
+            supervisor.handle_event(number)
         assert second.ending is None
