--- a/src/briarseam/admission/entry_liveness.py
+++ b/src/briarseam/admission/entry_liveness.py
@@ -1,4 +1,4 @@
-"""Which entry processes have been gone for a while."""
+"""Detection of entry processes that have disconnected for good."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class EntryLiveness:
-    """Tells which entries had no connection for longer than a grace time.
+    """Tracks which entries have had no connection for the grace time.
 
-    An entry whose connections were cut opens new ones at once; one that
-    stays without is dead.
+    A live entry whose connections are cut reconnects immediately, so one
+    that stays without a connection is dead.
 
     Parameters
     ----------
@@ -31,21 +31,21 @@
         self.connected = connected
         self.grace_s = grace_s
         self.clock = clock
-        self.missing: dict[str, float] = {}
+        self.disconnected_at: dict[str, float] = {}
 
     def gone(self, entries: typing.AbstractSet[str]) -> frozenset[str]:
-        """Return those of some entries that are gone.
+        """Return those of the given entries that are gone.
 
-        To be called regularly: the time without a connection counts from
-        the first call that found none.
+        Call this regularly: the time without a connection counts from the
+        first call that finds the entry disconnected.
         """
         now = self.clock()
-        self.missing = {
-            entry: self.missing.get(entry, now)
+        self.disconnected_at = {
+            entry: self.disconnected_at.get(entry, now)
             for entry in entries - self.connected()
         }
         return frozenset(
             entry
-            for entry, since in self.missing.items()
-            if now - since >= self.grace_s
+            for entry, started_at in self.disconnected_at.items()
+            if now - started_at >= self.grace_s
         )
--- a/src/briarseam/admission/resume_counts.py
+++ b/src/briarseam/admission/resume_counts.py
@@ -1,8 +1,9 @@
-"""Which answers were resumed, so that nobody cancels one that is read.
+"""Resumes of answers, counted so that a resumed run is not cancelled.
 
 An answer id names the agent that granted its run.  That agent counts the
-answer's resumes, at whatever entry they come; an entry whose caller went
-away may cancel the run only if none came since.
+answer's resumes, whichever entry they arrive at.  An entry whose caller
+disconnected may cancel the run only if the answer has not been resumed in
+the meantime.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class ResumeCounts:
-    """Resumes by run id; thread-safe and bounded."""
+    """Number of resumes by run id; thread-safe and bounded."""
 
     def __init__(self, max_answers: int = MAX_ANSWERS) -> None:
         self.max_answers = max_answers
@@ -28,7 +29,13 @@
         self.lock = threading.Lock()
 
     def count_resume(self, run_id: str) -> int | None:
-        """Count a resume; ``None`` when the run was given up for good."""
+        """Count a resume and return the new generation.
+
+        Returns
+        -------
+        int or None
+            Number of resumes so far; ``None`` if the run is cancelled.
+        """
         with self.lock:
             if run_id in self.cancelled:
                 return None
@@ -39,7 +46,13 @@
             return generation
 
     def cancel(self, run_id: str, generation: int) -> bool:
-        """Give a run up unless it was resumed since; tell whether."""
+        """Cancel a run unless it was resumed after a generation.
+
+        Returns
+        -------
+        bool
+            Whether the run is cancelled.
+        """
         with self.lock:
             if self.counts.get(run_id, 0) != generation:
                 return False
