--- a/tests/matrix/test_crashing_requests.py
+++ b/tests/matrix/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""A prompt that crashes each engine that runs it, over real processes."""
+"""A prompt that crashes each engine that runs it, with real processes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 INSTANCES = 3
 ENGINES = 4
-names = itertools.count()
+prompt_numbers = itertools.count()
 
 
 @pytest.fixture(scope="module")
@@ -36,99 +36,109 @@
 def cluster(started) -> typing.Iterator[engines.EngineCluster]:
     yield started
     started.restart_dead()
-    waiting.until(started.is_serving, 20, "all serve")
+    waiting.until(started.is_serving, 20, "all entries serve")
 
 
 @pytest.fixture
-def crashing() -> str:
-    """A prompt that no test before has sent."""
-    return f"briefing {next(names)} {engines.CRASH_WORD}"
+def crashing_prompt() -> str:
+    """A crashing prompt that no earlier test has sent."""
+    return f"briefing {next(prompt_numbers)} {engines.CRASH_WORD}"
 
 
-def body(prompt: str, tokens: int = 8) -> dict[str, typing.Any]:
+def make_body(prompt: str, max_tokens: int = 8) -> dict[str, typing.Any]:
     return deployment.prompt_body(
-        prompt, max_tokens=tokens, session=prompt[:60], deadline_ms=15_000
+        prompt, max_tokens=max_tokens, session=prompt[:60], deadline_ms=15_000
     )
 
 
-def expected(prompt: str, tokens: int) -> list[str]:
+def expected(prompt: str, max_tokens: int) -> list[str]:
     return answers.expected_answer(
-        deployment.MODEL, deployment.VERSION, prompt, tokens
+        deployment.MODEL, deployment.VERSION, prompt, max_tokens
     )
 
 
-def ask_to_the_end(
-    cluster: engines.EngineCluster, prompt: str, tokens: int
+def ask_until_complete(
+    cluster: engines.EngineCluster, prompt: str, max_tokens: int
 ) -> caller.Answer:
-    """Ask as a patient caller does, at one entry after the other."""
+    """Send a prompt until it completes, to each entry in turn."""
     turns = itertools.count()
 
     def ask() -> caller.Answer | None:
         prompter = cluster.prompter(next(turns) % INSTANCES, organisation=1)
-        answer = prompter.ask(body(prompt, tokens))
+        answer = prompter.ask(make_body(prompt, max_tokens))
         return answer if answer.done else None
 
-    return waiting.until(ask, 40, "a whole answer")
+    return waiting.until(ask, 40, "a complete answer")
 
 
-def condemn(cluster: engines.EngineCluster, prompt: str) -> caller.Answer:
-    """Send a prompt until it is refused for what it did."""
+def send_until_condemned(
+    cluster: engines.EngineCluster, prompt: str
+) -> caller.Answer:
+    """Send a prompt until it is refused as condemned."""
 
     def ask() -> caller.Answer | None:
-        answer = cluster.prompter(0).ask(body(prompt))
+        answer = cluster.prompter(0).ask(make_body(prompt))
         reason = answer.problem.get("reason")
         return answer if reason == "condemned" else None
 
     return waiting.until(ask, 20, "the condemnation")
 
 
-def test_sent_again_and_again_takes_down_two_engines(cluster, crashing):
-    """Every engine goes down, one after the other.
+def test_repeated_sends_take_down_two_engines(cluster, crashing_prompt):
+    """Guards against the loss of every engine, one after the other.
 
-    The caller of a prompt that crashes engines sends it again at each
-    entry, as often as it is told to come back.
+    The caller of a prompt that crashes engines sends it again to each entry,
+    as often as a refusal asks it to retry.
     """
-    told = [
-        cluster.prompter(turn % INSTANCES).ask(body(crashing))
+    replies = [
+        cluster.prompter(turn % INSTANCES).ask(make_body(crashing_prompt))
         for turn in range(4 * INSTANCES)
     ]
     assert len(cluster.dead()) == 2
-    assert told[0].ran == "unknown"
-    last = told[INSTANCES:]
-    assert {one.problem["reason"] for one in last} == {"condemned"}
-    assert {one.ran for one in last} == {"no"}
-    assert all(int(one.headers["Retry-After"]) > 60 for one in last)
+    assert replies[0].ran == "unknown"
+    last = replies[INSTANCES:]
+    assert {reply.problem["reason"] for reply in last} == {"condemned"}
+    assert {reply.ran for reply in last} == {"no"}
+    assert all(int(reply.headers["Retry-After"]) > 60 for reply in last)
 
 
-def test_sent_at_all_entries_at_once_takes_down_two_engines(cluster, crashing):
-    """Impatient callers send it at all entries in the same moment.
+def test_concurrent_sends_take_down_two_engines(cluster, crashing_prompt):
+    """Guards against the loss of all engines to concurrent sends.
 
-    Nothing speaks against the prompt yet; run at four engines at once it
-    would take down all four.
+    Callers send the prompt to all entries at the same time.  There is no
+    evidence against it yet; run at four engines at once, it would take down
+    all four.
     """
     with concurrent.futures.ThreadPoolExecutor(9) as pool:
-        told = list(
+        replies = list(
             pool.map(
                 lambda turn: cluster.prompter(turn % INSTANCES).ask(
-                    body(crashing)
+                    make_body(crashing_prompt)
                 ),
                 range(9),
             )
         )
     assert len(cluster.dead()) <= 2
-    assert not any(one.done for one in told)
-    condemn(cluster, crashing)
+    assert not any(reply.done for reply in replies)
+    send_until_condemned(cluster, crashing_prompt)
     assert len(cluster.dead()) <= 2
 
 
-def test_innocents_that_shared_an_engine_get_whole_answers(cluster, crashing):
-    """Ordinary prompts run at the engines that another one takes down."""
-    innocents = [words.prompt(50, f"{crashing}{one}") for one in range(8)]
-    tokens = 200
+def test_harmless_prompts_that_shared_an_engine_complete(
+    cluster, crashing_prompt
+):
+    """Guards against refusing harmless prompts along with a crashing one.
+
+    The harmless prompts run at the engines that the crashing one takes down.
+    """
+    harmless_prompts = [
+        words.prompt(50, f"{crashing_prompt}{number}") for number in range(8)
+    ]
+    max_tokens = 200
     with concurrent.futures.ThreadPoolExecutor(9) as pool:
-        asked = [
-            pool.submit(ask_to_the_end, cluster, prompt, tokens)
-            for prompt in innocents
+        pending = [
+            pool.submit(ask_until_complete, cluster, prompt, max_tokens)
+            for prompt in harmless_prompts
         ]
         waiting.until(
             lambda: (
@@ -136,21 +146,26 @@
                     worker.load()["running"]
                     for worker in cluster.workers.values()
                 )
-                >= len(innocents)
+                >= len(harmless_prompts)
             ),
-            what="the innocents run",
+            what="the harmless prompts run",
         )
-        condemn(cluster, crashing)
-        got = [one.result() for one in asked]
+        send_until_condemned(cluster, crashing_prompt)
+        replies = [reply.result() for reply in pending]
     assert len(cluster.dead()) == 2
-    assert [one.tokens for one in got] == [
-        expected(prompt, tokens) for prompt in innocents
+    assert [reply.tokens for reply in replies] == [
+        expected(prompt, max_tokens) for prompt in harmless_prompts
     ]
 
 
-def test_condemnation_outlives_all_agents(cluster, crashing):
-    """All instances are replaced; the caller sends its prompt again."""
-    condemn(cluster, crashing)
+def test_condemnation_survives_a_restart_of_all_agents(
+    cluster, crashing_prompt
+):
+    """Guards against agents that forget condemnations when they restart.
+
+    All agents are replaced, and the caller sends its prompt again.
+    """
+    send_until_condemned(cluster, crashing_prompt)
     assert len(cluster.dead()) == 2
     for machine in cluster.machines:
         for daemon in machine.daemons():
@@ -159,41 +174,45 @@
         for daemon in machine.daemons():
             daemon.start()
 
-    condemn(cluster, crashing)
+    send_until_condemned(cluster, crashing_prompt)
     assert len(cluster.dead()) == 2
 
 
-def test_log_outage_does_not_raise_the_bound(cluster, crashing):
-    """The log is away for as long as the prompt is sent again and again.
+def test_log_outage_does_not_allow_a_third_loss(cluster, crashing_prompt):
+    """Guards against the loss of a third engine during a log outage.
 
-    What is known then rides between the agents, and goes to the log after.
+    The log is unavailable while the prompt is sent repeatedly.  Heartbeats
+    carry the evidence between the agents, and it is appended to the log
+    after the outage.
     """
     cluster.log.set(outage=True)
     try:
         for turn in range(3 * INSTANCES):
-            cluster.prompter(turn % INSTANCES).ask(body(crashing))
-        condemn(cluster, crashing)
+            cluster.prompter(turn % INSTANCES).ask(make_body(crashing_prompt))
+        send_until_condemned(cluster, crashing_prompt)
         assert len(cluster.dead()) == 2
     finally:
         cluster.log.set(outage=False)
     waiting.until(
-        lambda: recorded(cluster, crashing) == 2, 10, "the losses in the log"
+        lambda: count_recorded_losses(cluster, crashing_prompt) == 2,
+        10,
+        "the losses in the log",
     )
 
 
-def recorded(cluster: engines.EngineCluster, prompt: str) -> int:
+def count_recorded_losses(cluster: engines.EngineCluster, prompt: str) -> int:
     """Return how many losses of a prompt the log holds."""
     digest = requests.digest_prompt(prompt.split())
-    case = evidence.identify_prompt(
+    identity = evidence.identify_prompt(
         deployment.ORGANISATIONS[0], deployment.MODEL, digest
     )
     batch = logs.LogClient(cluster.log.address).read(records.STREAM, 0)
     key = deployment.SHARED_KEY.encode()
-    found = {
+    groups = {
         item.group
         for record in batch.records
         for item in records.decode(record.data, key, teams.Teams())
         if isinstance(item, evidence.EndpointLost)
-        and item.fingerprint == case.fingerprint
+        and item.fingerprint == identity.fingerprint
     }
-    return len(found)
+    return len(groups)
