--- a/src/briarseam/admission/condemnation.py
+++ b/src/briarseam/admission/condemnation.py
@@ -1,9 +1,10 @@
-"""Which prompts crash endpoints: suspicions, trials and condemnations.
+"""Which prompts crash endpoints: suspects, trials and condemnations.
 
-When an endpoint dies, each prompt that it was running is suspect.  A
-suspect is tried once more, alone among suspects; a second endpoint lost
-condemns it.  What is known is a set of items that only grows, so it can be
-taken in any order, twice, from the log and from peers.
+When an endpoint dies, each prompt that it was running becomes a suspect.  A
+suspect gets one trial: a run at an endpoint where no other suspect is tried.
+If that endpoint dies too, the prompt is condemned.  The evidence is a set of
+items that only grows, so items may be merged in any order, more than once,
+from the log and from peers.
 """
 
 from __future__ import annotations
@@ -14,27 +15,27 @@
 
 from briarseam.admission import evidence
 
-ENDPOINTS_LOST = 2
-LASTS_MS = 3_600_000
-TRIAL_BOUND_MS = 120_000
-# Half of the term and the bound again, so that an item told late is not
-# taken for a new one after it was forgotten.
-FORGET_MS = LASTS_MS * 2
+CONDEMNING_LOSSES = 2
+CONDEMNATION_TTL_MS = 3_600_000
+TRIAL_TIMEOUT_MS = 120_000
+# Longer than a condemnation and a trial together, so that an item that
+# arrives late is not merged as new after it was forgotten.
+RETENTION_MS = CONDEMNATION_TTL_MS * 2
 
 
 @dataclasses.dataclass(frozen=True)
 class Clear:
-    """Nothing speaks against the prompt."""
+    """No loss counts against the prompt."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Suspect:
-    """One endpoint died with the prompt.
+    """One endpoint died while it ran the prompt.
 
     Attributes
     ----------
     groups
-        The losses that count.
+        The losses that count, named by their groups.
     """
 
     groups: tuple[str, ...]
@@ -42,14 +43,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Condemned:
-    """As many endpoints as may be lost died with the prompt.
+    """``CONDEMNING_LOSSES`` endpoints died while they ran the prompt.
 
     Attributes
     ----------
     losses
-        What died.
+        The losses that count.
     expires_at_ms
-        When it ends by itself.
+        When the condemnation expires, in ms since the epoch.
     """
 
     losses: tuple[evidence.EndpointLost, ...]
@@ -60,7 +61,7 @@
 
 
 class EvidenceSet:
-    """All that is known; thread-safe.
+    """All evidence that this process has; thread-safe.
 
     Parameters
     ----------
@@ -76,91 +77,93 @@
         self.trials: dict[str, evidence.Trial] = {}
         self.passed: dict[str, evidence.TrialPassed] = {}
         self.ended: dict[str, evidence.TrialEnded] = {}
-        self.orders: dict[str, tuple[int, int]] = {}
+        self.log_positions: dict[str, tuple[int, int]] = {}
 
     def merge(self, item: evidence.Item) -> bool:
-        """Take an item in; tell whether it was new."""
+        """Add an item and return whether it is new."""
         with self.lock:
             match item:
                 case evidence.EndpointLost():
                     return self.merge_loss(item)
                 case evidence.Trial():
-                    return put(self.trials, item.group, item)
+                    return add_new(self.trials, item.group, item)
                 case evidence.TrialPassed():
-                    return put(self.passed, item.group, item)
+                    return add_new(self.passed, item.group, item)
                 case evidence.TrialEnded():
-                    return put(self.ended, item.group, item)
+                    return add_new(self.ended, item.group, item)
                 case evidence.Cleared():
-                    fresh = [
-                        put(self.cleared, group, item) for group in item.groups
+                    added = [
+                        add_new(self.cleared, group, item)
+                        for group in item.groups
                     ]
-                    return any(fresh)
+                    return any(added)
 
     def merge_loss(self, item: evidence.EndpointLost) -> bool:
-        """Take a loss in; it ends its group's trial."""
+        """Add a loss, which also ends its group's trial."""
         losses = self.losses.setdefault(item.fingerprint, {})
-        put(
+        add_new(
             self.ended,
             item.group,
             evidence.TrialEnded(item.group, item.time_ms),
         )
-        return put(losses, item.group, item)
+        return add_new(losses, item.group, item)
 
     def standing(self, fingerprint: str) -> Standing:
-        """Return how a prompt stands."""
+        """Return a prompt's standing."""
         with self.lock:
-            losses = self.counting(fingerprint)
-        if len(losses) >= ENDPOINTS_LOST:
+            losses = self.counted_losses(fingerprint)
+        if len(losses) >= CONDEMNING_LOSSES:
             return Condemned(tuple(losses), self.expires_at_ms(losses))
         if losses:
             return Suspect(tuple(loss.group for loss in losses))
         return Clear()
 
-    def of_prompt(self, fingerprint: str) -> list[evidence.Item]:
-        """Return what is known of a prompt's losses."""
+    def items_of(self, fingerprint: str) -> list[evidence.Item]:
+        """Return a prompt's losses and the items that clear them."""
         with self.lock:
             losses = self.losses.get(fingerprint, {})
             items: list[evidence.Item] = list(losses.values())
-            found = [self.cleared.get(group) for group in losses]
-        items += dict.fromkeys(item for item in found if item is not None)
+            cleared = [self.cleared.get(group) for group in losses]
+        items += dict.fromkeys(item for item in cleared if item is not None)
         return items
 
-    def counting(self, fingerprint: str) -> list[evidence.EndpointLost]:
+    def counted_losses(self, fingerprint: str) -> list[evidence.EndpointLost]:
         """Return a prompt's losses that count; call it under ``lock``."""
         losses = [
             loss
             for group, loss in self.losses.get(fingerprint, {}).items()
-            if group not in self.cleared and not self.is_excused(loss)
+            if group not in self.cleared and not self.has_likelier_cause(loss)
         ]
         if losses and self.now_ms() >= self.expires_at_ms(losses):
             return []
         return losses
 
-    def is_excused(self, loss: evidence.EndpointLost) -> bool:
-        """Tell whether another suspect's trial took the endpoint down.
+    def has_likelier_cause(self, loss: evidence.EndpointLost) -> bool:
+        """Return whether another prompt's trial more likely caused a loss.
 
-        An innocent prompt that got past the point where its first endpoint
-        died shares the second one with the next suspect's trial.  If that
-        is the guilty one, both lose the endpoint; counted for both, the
-        innocent is refused for the whole term.  The one whose trial had
-        not passed yet is the likelier cause.  Call it under ``lock``.
+        A harmless suspect whose trial got past the point where its first
+        endpoint died may share the second endpoint with the next suspect's
+        trial.  If that one crashes the endpoint, both prompts lose it.  If
+        the loss counted for both, the harmless prompt would be refused for
+        as long as a condemnation lasts.  The prompt whose trial had not
+        passed yet is the likelier cause.  Call it under ``lock``.
         """
-        mine = self.trials.get(loss.group)
-        if mine is None or loss.group not in self.passed:
+        own = self.trials.get(loss.group)
+        if own is None or loss.group not in self.passed:
             return False
         return any(
-            other.endpoint == mine.endpoint
-            and other.boot_id == mine.boot_id
-            and other.fingerprint != mine.fingerprint
+            other.endpoint == own.endpoint
+            and other.boot_id == own.boot_id
+            and other.fingerprint != own.fingerprint
             and group not in self.passed
-            and self.may_be_lost(other)
+            and self.may_have_been_lost(other)
             for group, other in self.trials.items()
         )
 
-    def may_be_lost(self, trial: evidence.Trial) -> bool:
-        """Tell whether a trial was lost, or nobody told its end yet.
+    def may_have_been_lost(self, trial: evidence.Trial) -> bool:
+        """Return whether a trial was lost or its end is not known yet.
 
-        The losses of one endpoint are told one by one.
+        The losses of one endpoint are reported one by one.
         """
         lost = self.losses.get(trial.fingerprint, {})
         return trial.group in lost or trial.group not in self.ended
@@ -168,24 +171,24 @@
     def expires_at_ms(
         self, losses: typing.Sequence[evidence.EndpointLost]
     ) -> int:
-        """Return when losses cease to count: a term after the last."""
-        return max(loss.time_ms for loss in losses) + LASTS_MS
+        """Return when losses cease to count, by the time of the last one."""
+        return max(loss.time_ms for loss in losses) + CONDEMNATION_TTL_MS
 
     def condemned(self) -> dict[str, Condemned]:
-        """Return all condemned prompts."""
-        found = {
+        """Return all condemned prompts by fingerprint."""
+        standings = {
             fingerprint: self.standing(fingerprint)
             for fingerprint in list(self.losses)
         }
         return {
             fingerprint: standing
-            for fingerprint, standing in found.items()
+            for fingerprint, standing in standings.items()
             if isinstance(standing, Condemned)
         }
 
     def running_trials(self) -> list[evidence.Trial]:
-        """Return the trials that are under way."""
-        oldest = self.now_ms() - TRIAL_BOUND_MS
+        """Return the trials that have neither ended nor timed out."""
+        oldest = self.now_ms() - TRIAL_TIMEOUT_MS
         with self.lock:
             return [
                 trial
@@ -193,50 +196,55 @@
                 if group not in self.ended and trial.time_ms >= oldest
             ]
 
-    def guarded_endpoints(self) -> set[str]:
-        """Return the endpoints whose trial may still take them down."""
+    def exclusive_endpoints(self) -> set[str]:
+        """Return the endpoints whose running trial has not passed yet.
+
+        No other trial may start at these.
+        """
         return {
             trial.endpoint
             for trial in self.running_trials()
             if trial.group not in self.passed
         }
 
-    def tried_endpoints(self) -> set[str]:
-        """Return the endpoints with a trial, also one that has passed."""
+    def trial_endpoints(self) -> set[str]:
+        """Return the endpoints with a running trial, passed or not."""
         return {trial.endpoint for trial in self.running_trials()}
 
-    def note_order(self, item: evidence.Item, order: tuple[int, int]) -> None:
-        """Take in where in the log a trial stands first."""
+    def record_position(
+        self, item: evidence.Item, position: tuple[int, int]
+    ) -> None:
+        """Record the position in the log where a trial appears first."""
         if isinstance(item, evidence.Trial):
             with self.lock:
-                self.orders.setdefault(item.group, order)
+                self.log_positions.setdefault(item.group, position)
 
-    def is_ordered(self, group: str) -> bool:
-        """Tell whether a trial was read back from the log."""
-        return group in self.orders
+    def is_in_log(self, group: str) -> bool:
+        """Return whether a trial was read back from the log."""
+        return group in self.log_positions
 
-    def comes_first(self, trial: evidence.Trial) -> bool:
-        """Tell whether no trial before this one in the log bars it.
+    def has_precedence(self, trial: evidence.Trial) -> bool:
+        """Return whether no earlier trial in the log excludes this one.
 
-        Two agents may both think that they keep the trials; the log tells
-        whose trial is the one.
+        Two agents may both act as the trial coordinator; the order of the
+        log decides between their trials.
         """
-        mine = self.orders.get(trial.group)
-        if mine is None:
+        own = self.log_positions.get(trial.group)
+        if own is None:
             return True
         for other in self.running_trials():
-            order = self.orders.get(other.group)
-            if order is None or order >= mine:
+            position = self.log_positions.get(other.group)
+            if position is None or position >= own:
                 continue
             if other.fingerprint == trial.fingerprint:
                 return False
-            guarded = other.group not in self.passed
-            if guarded and other.endpoint == trial.endpoint:
+            exclusive = other.group not in self.passed
+            if exclusive and other.endpoint == trial.endpoint:
                 return False
         return True
 
-    def recent(self, since_ms: int, limit: int) -> list[evidence.Item]:
-        """Return the newest items after a time, at most ``limit``."""
+    def recent_items(self, since_ms: int, limit: int) -> list[evidence.Item]:
+        """Return the newest items from a time on, at most ``limit``."""
         with self.lock:
             items: list[evidence.Item] = [
                 loss
@@ -250,24 +258,24 @@
         newest.sort(key=lambda item: item.time_ms)
         return newest[-limit:]
 
-    def forget_old(self) -> None:
-        """Drop what can't count any more."""
-        oldest = self.now_ms() - FORGET_MS
+    def forget_expired(self) -> None:
+        """Forget items that are too old to count."""
+        oldest = self.now_ms() - RETENTION_MS
         with self.lock:
             for fingerprint, losses in list(self.losses.items()):
-                drop_old(losses, oldest)
+                forget_older(losses, oldest)
                 if not losses:
                     del self.losses[fingerprint]
-            drop_old(self.cleared, oldest)
-            drop_old(self.trials, oldest)
-            for group in set(self.orders) - set(self.trials):
-                del self.orders[group]
-            drop_old(self.passed, oldest)
-            drop_old(self.ended, oldest)
+            forget_older(self.cleared, oldest)
+            forget_older(self.trials, oldest)
+            for group in set(self.log_positions) - set(self.trials):
+                del self.log_positions[group]
+            forget_older(self.passed, oldest)
+            forget_older(self.ended, oldest)
 
 
-Kept = typing.TypeVar(
-    "Kept",
+ItemT = typing.TypeVar(
+    "ItemT",
     evidence.EndpointLost,
     evidence.Trial,
     evidence.TrialPassed,
@@ -276,16 +284,16 @@
 )
 
 
-def put(items: dict[str, Kept], name: str, item: Kept) -> bool:
-    """Add an item unless it is known; tell whether it was new."""
+def add_new(items: dict[str, ItemT], name: str, item: ItemT) -> bool:
+    """Add an item unless its name is known; return whether it was added."""
     if name in items:
         return False
     items[name] = item
     return True
 
 
-def drop_old(items: dict[str, Kept], oldest_ms: int) -> None:
-    """Drop items from before a time."""
+def forget_older(items: dict[str, ItemT], oldest_ms: int) -> None:
+    """Forget items from before a time."""
     for name in [
         name for name, item in items.items() if item.time_ms < oldest_ms
     ]:
--- a/src/briarseam/admission/condemnation_log.py
+++ b/src/briarseam/admission/condemnation_log.py
@@ -1,4 +1,4 @@
-"""The agent's part of the log stream ``condemnations``."""
+"""The agent's reader and writer of the log stream ``condemnations``."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 if typing.TYPE_CHECKING:
     from briarseam.configuration import teams as teams_module
 
-MAX_ITEMS = 500
+MAX_RECORD_ITEMS = 500
 MAX_PENDING = 10_000
 RETRY_S = 0.5
-# A fresh agent waits so long for the log while it is away.
-READY_S = 2.0
-# The first read of a busy machine took over 2 s; ten are never needed.
-READY_AT_MOST_S = 10.0
-CHECK_S = 0.05
-BATCH_S = 0.02
-FORGET_EVERY_S = 60.0
-# What heartbeats repeat: the log may be down for long.
-GOSSIP_MS = 600_000
-GOSSIP_ITEMS = 64
+# A new agent waits this long for a log that is unavailable.
+UNAVAILABLE_WAIT_S = 2.0
+# The first read can take over 2 s on a busy machine.
+MAX_READY_WAIT_S = 10.0
+POLL_S = 0.05
+BATCH_DELAY_S = 0.02
+EXPIRY_INTERVAL_S = 60.0
+# Heartbeats repeat recent items, as the log may be unavailable for long.
+GOSSIP_AGE_MS = 600_000
+MAX_GOSSIP_ITEMS = 64
 log = structlog.get_logger("briarseam.admission")
 
 
 @dataclasses.dataclass
 class LogClock:
-    """The log's clock, as this agent knows it from records it read."""
+    """The log's clock, estimated from the records that this agent reads."""
 
     skew_ms: int | None = None
 
@@ -44,9 +44,10 @@
         return time.time_ns() // 1_000_000 + (self.skew_ms or 0)
 
     def observe(self, time_ms: int) -> None:
-        """Learn from a record that was appended just now."""
+        """Update the skew from the time of a record that was just appended."""
         skew_ms = time_ms - time.time_ns() // 1_000_000
-        # A record that is read late looks old; the largest is the truest.
+        # Reading a record late makes the skew too small, so the largest one
+        # is the most accurate.
         if self.skew_ms is None or skew_ms > self.skew_ms:
             self.skew_ms = skew_ms
 
@@ -57,13 +58,13 @@
     Parameters
     ----------
     client
-        The log.
+        Client of the log.
     key
         The system's shared key.
     teams
-        Whose lifts count.
+        Teams whose lifts are accepted.
     evidence_set
-        What is known.
+        Evidence that this agent has.
     clock
         The log's clock.
     """
@@ -87,41 +88,42 @@
         self.caught_up = threading.Event()
         self.started_at = time.monotonic()
         self.follower = platform_log.Follower(
-            client, records.STREAM, 0, self.take
+            client, records.STREAM, 0, self.apply_batch
         )
 
     def start(self) -> None:
-        """Begin following and appending."""
+        """Start the reader and the background threads."""
         self.follower.start()
-        for target in (self.append_on, self.forget_on):
+        for target in (self.run_appends, self.run_expiry):
             threading.Thread(
                 target=target, name="condemnations", daemon=True
             ).start()
 
     def stop(self) -> None:
-        """Stop after what is under way."""
+        """Stop the reader and the threads after their current work."""
         self.follower.stop()
         self.stopping.set()
         with self.changed:
             self.changed.notify_all()
 
     def wait_ready(self) -> None:
-        """Wait for the first read, not long if the log is away.
+        """Wait for the first read, but not long for an unavailable log.
 
-        A fresh agent knows of no condemnation; a prompt that comes in its
-        first moments would take down a third endpoint.  While the log is
-        down, peers' heartbeats tell what they know.  A log that is only
-        slow to answer is waited for longer, as all agents may be fresh.
+        A new agent knows of no condemnation, so a condemned prompt that
+        arrives right after the start would take down a third endpoint.
+        While the log is unavailable, heartbeats carry the evidence of peers.
+        A log that is merely slow is waited for longer, as all agents may be
+        new.
         """
-        while not self.caught_up.wait(CHECK_S):
+        while not self.caught_up.wait(POLL_S):
             waited_s = time.monotonic() - self.started_at
-            if not self.follower.available and waited_s >= READY_S:
+            if not self.follower.available and waited_s >= UNAVAILABLE_WAIT_S:
                 return
-            if waited_s >= READY_AT_MOST_S:
+            if waited_s >= MAX_READY_WAIT_S:
                 return
 
-    def take(self, batch: platform_log.Batch) -> None:
-        """Fold a batch in."""
+    def apply_batch(self, batch: platform_log.Batch) -> None:
+        """Merge the records of a batch."""
         for record in batch.records:
             if self.caught_up.is_set():
                 self.clock.observe(record.time_ms)
@@ -136,14 +138,14 @@
                 continue
             for index, item in enumerate(items):
                 self.merge(item)
-                self.evidence_set.note_order(item, (record.offset, index))
+                self.evidence_set.record_position(item, (record.offset, index))
         with self.changed:
             self.changed.notify_all()
         if not batch.records or batch.records[-1].offset >= batch.next - 1:
             self.caught_up.set()
 
     def merge(self, item: evidence.Item) -> None:
-        """Take an item in; a line for what changes a prompt's standing."""
+        """Merge an item, and log it if it changes a prompt's standing."""
         if not self.evidence_set.merge(item):
             return
         match item:
@@ -166,7 +168,7 @@
                 )
 
     def record(self, item: evidence.Item) -> None:
-        """Take in what was found here, and have it appended."""
+        """Merge local evidence and queue it to be appended."""
         self.merge(item)
         with self.changed:
             if len(self.pending) < MAX_PENDING:
@@ -174,49 +176,50 @@
             self.changed.notify_all()
 
     def wait_in_log(self, trial: evidence.Trial, timeout_s: float) -> bool:
-        """Wait until a trial that was noted is read back from the log.
+        """Wait until a recorded trial is read back from the log.
 
-        Not while the log is known to be away: what it lacks is in the
-        memories of this agent and its peers only.
+        Does not wait while the log is known to be unavailable: then only
+        this agent and its peers have the evidence.
 
         Returns
         -------
         bool
-            ``False`` when the log should hold the trial and does not yet.
+            ``False`` if the log is available but the trial is not read back
+            in time.
         """
         with self.changed:
             self.changed.wait_for(
                 lambda: (
-                    self.evidence_set.is_ordered(trial.group)
+                    self.evidence_set.is_in_log(trial.group)
                     or not self.follower.available
                 ),
                 timeout_s,
             )
         return (
-            self.evidence_set.is_ordered(trial.group)
+            self.evidence_set.is_in_log(trial.group)
             or not self.follower.available
         )
 
-    def append_on(self) -> None:
-        """Append what is pending until stopped."""
+    def run_appends(self) -> None:
+        """Append pending items until stopped."""
         while not self.stopping.is_set():
             with self.changed:
                 self.changed.wait_for(
                     lambda: self.pending or self.stopping.is_set()
                 )
-            # Runs that were lost with one endpoint are told of within
-            # moments, and go into one record.
-            self.stopping.wait(BATCH_S)
+            # The runs that were lost with one endpoint are reported within
+            # moments of each other; the delay puts them into one record.
+            self.stopping.wait(BATCH_DELAY_S)
             with self.changed:
-                items = self.pending[:MAX_ITEMS]
+                items = self.pending[:MAX_RECORD_ITEMS]
             if items and not self.append(items):
                 self.stopping.wait(RETRY_S)
 
     def append(self, items: list[evidence.Item]) -> bool:
-        """Append items; tell whether they are in the log.
+        """Append items and return whether they are known to be in the log.
 
-        One that took effect with its answer lost is appended again: items
-        are known by their names, so doubles change nothing.
+        Items whose append succeeded but whose reply was lost are appended
+        again.  Items are identified by name, so duplicates have no effect.
         """
         data = records.encode(items, self.key)
         outcome = self.client.append(records.STREAM, data)
@@ -226,20 +229,20 @@
             del self.pending[: len(items)]
         return True
 
-    def forget_on(self) -> None:
-        """Drop what is old, until stopped."""
-        while not self.stopping.wait(FORGET_EVERY_S):
-            self.evidence_set.forget_old()
+    def run_expiry(self) -> None:
+        """Forget expired evidence periodically until stopped."""
+        while not self.stopping.wait(EXPIRY_INTERVAL_S):
+            self.evidence_set.forget_expired()
 
     def provide(self) -> bytes:
         """Return this agent's section of a heartbeat."""
-        since_ms = self.clock.now_ms() - GOSSIP_MS
+        since_ms = self.clock.now_ms() - GOSSIP_AGE_MS
         return records.encode_items(
-            self.evidence_set.recent(since_ms, GOSSIP_ITEMS)
+            self.evidence_set.recent_items(since_ms, MAX_GOSSIP_ITEMS)
         )
 
     def consume(self, member: str, data: bytes) -> None:
-        """Take in another agent's section."""
+        """Merge the section of another agent's heartbeat."""
         del member
         for item in records.decode_items(data):
             self.merge(item)
--- a/src/briarseam/admission/condemnation_records.py
+++ b/src/briarseam/admission/condemnation_records.py
@@ -1,9 +1,9 @@
 """Records of the log stream ``condemnations``.
 
 A record is the msgpack array ``[version, author, items, proof]``.  Without
-an author the proof is a MAC under the key that the system's processes
-share; with a team as author it is that team's, and clears only prompts of
-organisations that the team holds.
+an author, the proof is a MAC under the key that the system's processes
+share.  With a team as the author, it is a MAC under the team's key, and the
+record may only clear prompts of organisations that the team owns.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 STREAM = "condemnations"
 VERSION = 1
-LABEL = b"briarseam condemnations"
+SIGNING_CONTEXT = b"briarseam condemnations"
 Items = list[evidence.Item]
 
 
 class RecordError(ValueError):
-    """Bytes that are no record, or one that nobody vouches for."""
+    """Bytes that are not a record, or a record that is not authentic."""
 
 
 def encode_items(items: typing.Sequence[evidence.Item]) -> bytes:
@@ -41,22 +41,22 @@
     Raises
     ------
     RecordError
-        When they are none.
+        When the bytes are not encoded items.
     """
     try:
         return msgspec.msgpack.decode(data, type=Items)
     except msgspec.DecodeError as error:
-        raise RecordError(f"not items: {error}") from error
+        raise RecordError(f"malformed items: {error}") from error
 
 
 def signed_bytes(author: str, body: bytes) -> bytes:
-    """Return what a proof is over."""
-    packed = msgpack.packb([LABEL, VERSION, author, body])
+    """Return the bytes that a proof covers."""
+    packed = msgpack.packb([SIGNING_CONTEXT, VERSION, author, body])
     return typing.cast("bytes", packed)
 
 
 def encode(items: typing.Sequence[evidence.Item], key: bytes) -> bytes:
-    """Return the system's own record of items."""
+    """Return a record of items, authenticated with the system's key."""
     body = encode_items(items)
     proof = hmac.digest(key, signed_bytes("", body), hashlib.sha256)
     return typing.cast("bytes", msgpack.packb([VERSION, "", body, proof]))
@@ -72,17 +72,18 @@
 
 
 def decode(data: bytes, key: bytes, teams: teams_module.Teams) -> Items:
-    """Return the items of a record that is proved.
+    """Return the items of an authentic record.
 
     Raises
     ------
     RecordError
-        When it is malformed, or its author may not say this.
+        When the record is malformed, its proof is invalid or its author may
+        not append its items.
     """
     try:
         version, author, body, proof = msgpack.unpackb(data, raw=False)
         if version != VERSION:
-            raise RecordError(f"a record of version {version}")
+            raise RecordError(f"unknown version {version}")
         signed = signed_bytes(author, body)
         if author:
             proved = teams.verifies(author, signed, proof)
@@ -90,19 +91,22 @@
             expected = hmac.digest(key, signed, hashlib.sha256)
             proved = hmac.compare_digest(expected, proof)
     except (ValueError, TypeError) as error:
-        raise RecordError(f"not a record: {error}") from error
+        raise RecordError(f"malformed record: {error}") from error
     if not proved:
-        raise RecordError("nobody vouches for the record")
+        raise RecordError("the record's proof is invalid")
     items = decode_items(body)
     if author and not all(may_lift(author, item, teams) for item in items):
-        raise RecordError(f"team {author} may not say this")
+        raise RecordError(f"team {author} may not append these items")
     return items
 
 
 def may_lift(
     author: str, item: evidence.Item, teams: teams_module.Teams
 ) -> bool:
-    """Tell whether a team may append an item: lift for its organisations."""
+    """Return whether a team may append an item.
+
+    A team may only lift condemnations of prompts of its own organisations.
+    """
     if not isinstance(item, evidence.Cleared):
         return False
     return teams.owner(f"organisations/{item.organisation}") == author
--- a/src/briarseam/admission/crash_calls.py
+++ b/src/briarseam/admission/crash_calls.py
@@ -1,4 +1,4 @@
-"""Calls between agents about prompts that may crash engines."""
+"""Calls between agents about prompts that may crash endpoints."""
 
 from __future__ import annotations
 
@@ -23,21 +23,23 @@
     from briarseam.wire import server
 
 OWNER_KEY = "prompt-{}"
-KEEPER_KEY = "keeper-of-trials"
-# An owner that does not answer holds a prompt up for so long, then the
-# next in rank is asked for a while.
-ASK_S = 0.3
+COORDINATOR_KEY = "keeper-of-trials"
+# An agent that does not reply in time delays a prompt by this; after that,
+# the next in rank is called for a while.
+CALL_TIMEOUT_S = 0.3
 AVOID_S = 2.0
 # A trial is written to the log before it is granted.
-TRIAL_SLACK_S = trial_coordinator.WRITE_S + 2 * ASK_S
-ASKED = 3
+TRIAL_SLACK_S = trial_coordinator.LOG_WAIT_S + 2 * CALL_TIMEOUT_S
+MAX_CALLED_AGENTS = 3
 MAX_RELEASES = 10_000
-# From an agent's address to its client.
+# Returns the client of an agent's address.
 Clients = typing.Callable[[str], "wire_client.Client"]
 
 
 class CrashCalls:
-    """Asks the agents that rank first for a prompt, or keep the trials.
+    """Calls the owner of a prompt or the trial coordinator.
+
+    Each is the first agent in the rank order of a key.
 
     Parameters
     ----------
@@ -45,28 +47,30 @@
         All agents.
     clients
         Clients of agents by address.
-    held, tried
-        What this agent keeps itself.
+    holds
+        The prompts that this agent owns.
+    coordinator
+        The trials that this agent coordinates.
     """
 
     def __init__(
         self,
         agents: all_agents.Agents,
         clients: Clients,
-        held: prompt_holds.PromptHolds,
-        tried: trial_coordinator.TrialCoordinator,
+        holds: prompt_holds.PromptHolds,
+        coordinator: trial_coordinator.TrialCoordinator,
     ) -> None:
         self.agents = agents
         self.clients = clients
-        self.held = held
-        self.tried = tried
-        self.silent: dict[str, float] = {}
+        self.holds = holds
+        self.coordinator = coordinator
+        self.avoided_until: dict[str, float] = {}
         self.releases: queue.Queue[messages.Release | None] = queue.Queue(
             MAX_RELEASES
         )
 
     def register(self, router: server.Router) -> None:
-        """Answer the other agents."""
+        """Register the handlers of the other agents' messages."""
         for kind in (
             messages.Hold,
             messages.HoldCopy,
@@ -74,111 +78,125 @@
             messages.AskTrial,
             messages.Accuse,
         ):
-            router.on(kind, lambda peer, message: self.here(message))
+            router.on(kind, lambda peer, message: self.handle(message))
 
-    def here(self, message: codec.Message) -> codec.Message:
-        """Answer a message as its owner or keeper."""
+    def handle(self, message: codec.Message) -> codec.Message:
+        """Handle a message as the prompt's owner or the coordinator."""
         match message:
             case messages.Hold():
-                return self.held.hold(message)
+                return self.holds.hold(message)
             case messages.HoldCopy():
-                return self.held.copy(message)
+                return self.holds.copy(message)
             case messages.Release():
-                return self.held.release(message)
+                return self.holds.release(message)
             case messages.AskTrial():
-                return self.tried.ask(message)
+                return self.coordinator.handle(message)
             case messages.Accuse(data):
-                self.tried.take(records.decode_items(data))
+                self.coordinator.merge_items(records.decode_items(data))
         return messages.PromptNoted()
 
-    def ask(
-        self, key: str, message: codec.Message, timeout_s: float = ASK_S
+    def call_owner(
+        self,
+        key: str,
+        message: codec.Message,
+        timeout_s: float = CALL_TIMEOUT_S,
     ) -> codec.Message | None:
-        """Ask the first in rank that answers; ``None`` when none does."""
-        for agent in self.agents.owners_of(key, ASKED):
-            if self.silent.get(agent.name, 0.0) > time.monotonic():
+        """Call the first of a key's owners that replies.
+
+        Returns
+        -------
+        codec.Message or None
+            The reply; ``None`` if no agent replies.
+        """
+        for agent in self.agents.owners_of(key, MAX_CALLED_AGENTS):
+            if self.avoided_until.get(agent.name, 0.0) > time.monotonic():
                 continue
             if agent.name == self.agents.me.name:
-                return self.here(message)
+                return self.handle(message)
             try:
                 client = self.clients(agent.address)
                 return client.call(message, timeout_s)
             except connection.WireError:
-                self.silent[agent.name] = time.monotonic() + AVOID_S
+                self.avoided_until[agent.name] = time.monotonic() + AVOID_S
         return None
 
-    def hold(self, ask: messages.Hold) -> messages.Holding | None:
-        """Ask the prompt's owner; ``None`` when it does not answer."""
-        reply = self.ask(OWNER_KEY.format(ask.fingerprint), ask)
+    def hold(self, query: messages.Hold) -> messages.Holding | None:
+        """Query the prompt's owner; ``None`` if there is no reply."""
+        reply = self.call_owner(OWNER_KEY.format(query.fingerprint), query)
         if not isinstance(reply, messages.Holding):
             return None
-        if reply.endpoint == ask.endpoint and not reply.suspect:
+        if reply.endpoint == query.endpoint and not reply.suspect:
             self.copy_own(
                 messages.HoldCopy(
-                    ask.fingerprint, ask.run, ask.endpoint, reply.group
+                    query.fingerprint, query.run, query.endpoint, reply.group
                 )
             )
         return reply
 
     def copy_own(self, copy: messages.HoldCopy) -> None:
-        """Let another agent know of a run that only this one would.
+        """Copy a run that only this agent knows of to the next owner.
 
-        An agent that owns the prompt it grants takes both with it when it
-        dies; with the endpoint dead as well, nobody would have seen the
-        loss, and the prompt's resends took down three.
+        If an agent owns the prompt that it grants, the grant and the hold
+        are lost together when the agent dies.  If the endpoint dies as well,
+        no other agent knows of the loss, and resends of the prompt could
+        take down three endpoints.
         """
         agents = self.agents.owners_of(OWNER_KEY.format(copy.fingerprint), 2)
         if agents[0].name == self.agents.me.name and len(agents) > 1:
-            self.tell(agents[1], copy)
+            self.notify(agents[1], copy)
 
-    def tell(self, agent: owners.Agent, message: codec.Message) -> None:
-        """Tell one agent; may be lost."""
-        if self.silent.get(agent.name, 0.0) > time.monotonic():
+    def notify(self, agent: owners.Agent, message: codec.Message) -> None:
+        """Send a message to one agent; it may be lost."""
+        if self.avoided_until.get(agent.name, 0.0) > time.monotonic():
             return
         try:
-            self.clients(agent.address).call(message, ASK_S)
+            self.clients(agent.address).call(message, CALL_TIMEOUT_S)
         except connection.WireError:
-            self.silent[agent.name] = time.monotonic() + AVOID_S
+            self.avoided_until[agent.name] = time.monotonic() + AVOID_S
 
-    def tell_release(self, told: messages.Release) -> None:
-        """Tell the prompt's owner, and who has a copy if this is it."""
-        key = OWNER_KEY.format(told.fingerprint)
-        self.ask(key, told)
+    def send_release(self, message: messages.Release) -> None:
+        """Notify the prompt's owner; if it is local, also the next owner."""
+        key = OWNER_KEY.format(message.fingerprint)
+        self.call_owner(key, message)
         agents = self.agents.owners_of(key, 2)
         if agents[0].name == self.agents.me.name and len(agents) > 1:
-            self.tell(agents[1], told)
+            self.notify(agents[1], message)
 
-    def release(self, told: messages.Release) -> None:
-        """Tell the prompt's owner, of a good end without waiting for it."""
-        if not told.whole:
-            self.tell_release(told)
+    def release(self, message: messages.Release) -> None:
+        """Notify the prompt's owner, in the background if the run finished."""
+        if not message.whole:
+            self.send_release(message)
             return
-        # The owner forgets a run by itself in time.
+        # The owner drops a run whose release is lost after a timeout.
         with contextlib.suppress(queue.Full):
-            self.releases.put_nowait(told)
+            self.releases.put_nowait(message)
 
-    def ask_trial(
-        self, ask: messages.AskTrial
+    def request_trial(
+        self, query: messages.AskTrial
     ) -> messages.TrialAnswered | None:
-        """Ask the keeper of trials; ``None`` when it does not answer."""
-        reply = self.ask(KEEPER_KEY, ask, ask.wait_s + TRIAL_SLACK_S)
+        """Query the trial coordinator; ``None`` if there is no reply."""
+        reply = self.call_owner(
+            COORDINATOR_KEY, query, query.wait_s + TRIAL_SLACK_S
+        )
         return reply if isinstance(reply, messages.TrialAnswered) else None
 
-    def accuse(self, items: typing.Sequence[evidence.Item]) -> None:
-        """Tell the keeper of trials; may be lost."""
-        self.ask(KEEPER_KEY, messages.Accuse(records.encode_items(items)))
+    def report(self, items: typing.Sequence[evidence.Item]) -> None:
+        """Send evidence to the trial coordinator; it may be lost."""
+        self.call_owner(
+            COORDINATOR_KEY, messages.Accuse(records.encode_items(items))
+        )
 
     def start(self) -> None:
-        """Begin telling owners of good ends."""
+        """Start the thread that sends the releases of finished runs."""
         threading.Thread(
-            target=self.tell_on, name="releases", daemon=True
+            target=self.send_releases, name="releases", daemon=True
         ).start()
 
     def stop(self) -> None:
-        """Stop telling."""
+        """Stop the thread after the releases that are queued."""
         self.releases.put(None)
 
-    def tell_on(self) -> None:
-        """Tell until stopped."""
-        while (told := self.releases.get()) is not None:
-            self.tell_release(told)
+    def send_releases(self) -> None:
+        """Send queued releases until stopped."""
+        while (message := self.releases.get()) is not None:
+            self.send_release(message)
--- a/src/briarseam/admission/crash_guard.py
+++ b/src/briarseam/admission/crash_guard.py
@@ -1,4 +1,4 @@
-"""Keeping a request that crashes endpoints to two of them."""
+"""Limits a prompt that crashes endpoints to two of them."""
 
 from __future__ import annotations
 
@@ -16,100 +16,100 @@
 from briarseam.admission import messages as admission
 from briarseam.admission import refusals
 
-TRIAL_BYTES = 12
+TRIAL_ID_BYTES = 12
 TRIAL_WAIT_S = 0.4
-MAX_TURNS = 4
-# News of a loss reach all agents by the log within this.
-NEWS_S = 0.3
-MIN_RETRY_S = 1.0
+MAX_GRANTS = 4
+# A loss reaches all agents through the log within this time.
+LOSS_PROPAGATION_S = 0.3
+MIN_RETRY_AFTER_S = 1.0
 MS = 1000.0
-LOST = (
+LOST_RESULTS = (
     admission.RunResult.LOST_BEFORE_FIRST,
     admission.RunResult.LOST_AFTER_FIRST,
 )
 
 
-class Others(typing.Protocol):
-    """The agents that share the work, this one included."""
+class Peers(typing.Protocol):
+    """The agents that share the guard's work, including this one."""
 
-    def hold(self, ask: messages.Hold) -> messages.Holding | None:
-        """Ask the prompt's owner; ``None`` when it does not answer."""
+    def hold(self, query: messages.Hold) -> messages.Holding | None:
+        """Query the prompt's owner; ``None`` if there is no reply."""
 
-    def release(self, told: messages.Release) -> None:
-        """Tell the prompt's owner; may be lost."""
+    def release(self, message: messages.Release) -> None:
+        """Notify the prompt's owner; the message may be lost."""
 
-    def ask_trial(
-        self, ask: messages.AskTrial
+    def request_trial(
+        self, query: messages.AskTrial
     ) -> messages.TrialAnswered | None:
-        """Ask the keeper of trials; ``None`` when it does not answer."""
+        """Query the trial coordinator; ``None`` if there is no reply."""
 
-    def accuse(self, items: typing.Sequence[evidence.Item]) -> None:
-        """Tell the keeper of trials; may be lost."""
+    def report(self, items: typing.Sequence[evidence.Item]) -> None:
+        """Send evidence to the trial coordinator; it may be lost."""
 
 
 class Endpoints(typing.Protocol):
-    """What the guard needs to know of endpoints."""
+    """What the guard needs to know about endpoints."""
 
     def boot_id(self, endpoint: str) -> str:
-        """Return the start that an endpoint last told; empty if none."""
+        """Return an endpoint's last reported boot id; empty if unknown."""
 
     def has_died(self, endpoint: str, boot_id: str) -> bool:
-        """Ask an endpoint whether it is still the same start."""
+        """Query an endpoint and return whether that boot of it has ended."""
 
     def least_loaded(
         self, request: admission.Admit, version: str
     ) -> list[str]:
-        """Return the engines that may run a prompt, the idlest first."""
+        """Return the engines that may run a prompt, least loaded first."""
 
 
-class Placing(typing.Protocol):
-    """How a prompt is granted an endpoint."""
+class Granter(typing.Protocol):
+    """Grants one prompt an endpoint."""
 
-    def grant(self, only: str, deadline: float) -> admission.Granted:
-        """Grant any endpoint, or the named one; raise a refusal."""
+    def grant(self, only_endpoint: str, deadline: float) -> admission.Granted:
+        """Grant any endpoint, or only the named one; raise a refusal."""
 
     def withdraw(self, granted: admission.Granted) -> None:
-        """Take a grant back that was told to nobody."""
+        """Withdraw a grant that has not been sent to an entry."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Asked:
-    """A prompt that wants an endpoint.
+class PlacementRequest:
+    """A prompt that is to be granted an endpoint.
 
     Attributes
     ----------
-    case
-        By what it is known.
-    request
-        What was asked.
+    prompt
+        The prompt's identity.
+    admit
+        The entry's message.
     version
         Weight version that a continuation must keep, else empty.
     """
 
-    case: evidence.PromptIdentity
-    request: admission.Admit
+    prompt: evidence.PromptIdentity
+    admit: admission.Admit
     version: str
 
 
 @dataclasses.dataclass(frozen=True)
-class Watched:
-    """A granted run.
+class WatchedRun:
+    """A granted run that has not ended.
 
     Attributes
     ----------
-    case, endpoint
+    prompt, endpoint
         What runs where.
     boot_id
-        The endpoint's start as known at the grant.
+        The endpoint's boot id, as known at the time of the grant.
     group
-        Under which run id its loss is counted.
+        Run id under which its loss is counted.
+    trial
+        Whether the run is a trial.
     clears
         The losses that it clears by finishing, if it is a trial.
-    trial
-        Whether it is one.
     """
 
-    case: evidence.PromptIdentity
+    prompt: evidence.PromptIdentity
     endpoint: str
     boot_id: str
     group: str
@@ -119,18 +119,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class GuardParts:
-    """What the guard works with, wired by ``compose``.
+    """Dependencies of the guard, wired by ``compose``.
 
     Attributes
     ----------
     evidence_set
-        What is known.
-    note
-        Takes in items and has them appended to the log.
+        Evidence that this agent has.
+    record
+        Merges an item and queues it to be appended to the log.
     wait_ready
-        Waits, for a bounded time after the start, for the log's news.
-    others, endpoints
-        See each.
+        Waits, for a bounded time after the start, for the first read of the
+        log.
+    peers
+        The agents that share the guard's work.
+    endpoints
+        The endpoints.
     clock
         Monotonic seconds.
     """
@@ -138,21 +141,23 @@
     evidence_set: condemnation.EvidenceSet
     record: typing.Callable[[evidence.Item], None]
     wait_ready: typing.Callable[[], None]
-    others: Others
+    peers: Peers
     endpoints: Endpoints
     clock: typing.Callable[[], float] = time.monotonic
 
 
 class CrashGuard:
-    """Watches the runs that this agent granted."""
+    """Places prompts and watches the runs that this agent granted."""
 
     def __init__(self, parts: GuardParts) -> None:
         self.parts = parts
-        self.watched: dict[str, Watched] = {}
+        self.runs: dict[str, WatchedRun] = {}
         self.lock = threading.Lock()
 
-    def place(self, asked: Asked, placing: Placing) -> admission.Granted:
-        """Grant a prompt an endpoint, if it may run at all.
+    def place(
+        self, request: PlacementRequest, granter: Granter
+    ) -> admission.Granted:
+        """Grant a prompt an endpoint, unless it is condemned.
 
         Raises
         ------
@@ -160,150 +165,195 @@
             With the final verdict.
         """
         self.parts.wait_ready()
-        deadline = self.parts.clock() + asked.request.deadline_ms / MS
-        if self.is_suspect(asked):
-            return self.place_suspect(asked, placing, deadline)
-        granted = self.place_fresh(asked, placing, deadline)
+        deadline = self.parts.clock() + request.admit.deadline_ms / MS
+        if self.check_suspect(request):
+            return self.place_suspect(request, granter, deadline)
+        granted = self.place_unsuspected(request, granter, deadline)
         if granted is not None:
             return granted
-        # Its owner knows of a loss that has not reached this agent, nor
-        # perhaps the keeper of trials, should that have changed just now.
-        if not self.is_suspect(asked):
-            threading.Event().wait(NEWS_S)
-            self.is_suspect(asked)
-        return self.place_suspect(asked, placing, deadline)
-
-    def is_suspect(self, asked: Asked) -> bool:
-        """Tell whether a prompt is suspect; raise if it is condemned."""
-        standing = self.parts.evidence_set.standing(asked.case.fingerprint)
+        # The prompt's owner knows of a loss that has not reached this agent
+        # yet, nor perhaps the trial coordinator if that has just changed.
+        if not self.check_suspect(request):
+            threading.Event().wait(LOSS_PROPAGATION_S)
+            self.check_suspect(request)
+        return self.place_suspect(request, granter, deadline)
+
+    def check_suspect(self, request: PlacementRequest) -> bool:
+        """Return whether a prompt is suspect.
+
+        Raises
+        ------
+        verdict.RefusalError
+            When the prompt is condemned.
+        """
+        standing = self.parts.evidence_set.standing(request.prompt.fingerprint)
         if isinstance(standing, condemnation.Condemned):
-            left_ms = standing.expires_at_ms - self.parts.evidence_set.now_ms()
+            remaining_ms = (
+                standing.expires_at_ms - self.parts.evidence_set.now_ms()
+            )
             names = ", ".join(loss.endpoint for loss in standing.losses)
             raise verdict.RefusalError(
-                refusals.condemned(names, max(left_ms / MS, MIN_RETRY_S))
+                refusals.condemned(
+                    names, max(remaining_ms / MS, MIN_RETRY_AFTER_S)
+                )
             )
         return isinstance(standing, condemnation.Suspect)
 
-    def place_fresh(
-        self, asked: Asked, placing: Placing, deadline: float
+    def place_unsuspected(
+        self, request: PlacementRequest, granter: Granter, deadline: float
     ) -> admission.Granted | None:
-        """Grant an endpoint, the one where the prompt runs already if so.
+        """Grant an endpoint, the one that already runs the prompt if any.
+
+        Returns
+        -------
+        admission.Granted or None
+            ``None`` if the prompt's owner knows that it is suspect.
 
-        ``None`` when the prompt is suspect after all.
+        Raises
+        ------
+        verdict.RefusalError
+            When there is no endpoint to grant, or the owner named another
+            endpoint at each of ``MAX_GRANTS`` grants.
         """
-        only = ""
-        for _ in range(MAX_TURNS):
-            granted = placing.grant(only, deadline)
-            holding = self.parts.others.hold(
+        only_endpoint = ""
+        for _ in range(MAX_GRANTS):
+            granted = granter.grant(only_endpoint, deadline)
+            holding = self.parts.peers.hold(
                 messages.Hold(
-                    asked.case.fingerprint, granted.run_id, granted.endpoint
+                    request.prompt.fingerprint,
+                    granted.run_id,
+                    granted.endpoint,
                 )
             )
             if holding is None:
-                # With no owner to be had the prompt runs: at worst each of
-                # several callers at once loses an endpoint.
-                self.watch(asked.case, granted, granted.run_id)
+                # The prompt runs without an owner; at worst, each of several
+                # concurrent callers loses an endpoint.
+                self.watch(request.prompt, granted, granted.run_id)
                 return granted
             if holding.endpoint == granted.endpoint and not holding.suspect:
-                self.watch(asked.case, granted, holding.group)
+                self.watch(request.prompt, granted, holding.group)
                 return granted
-            placing.withdraw(granted)
-            if holding.suspect or self.died_unnoticed(asked, holding):
+            granter.withdraw(granted)
+            if holding.suspect or self.record_unreported_loss(
+                request, holding
+            ):
                 return None
-            only = holding.endpoint
-        raise verdict.RefusalError(refusals.suspect_waits(MIN_RETRY_S))
+            only_endpoint = holding.endpoint
+        raise verdict.RefusalError(refusals.suspect_waits(MIN_RETRY_AFTER_S))
+
+    def record_unreported_loss(
+        self, request: PlacementRequest, holding: messages.Holding
+    ) -> bool:
+        """Record the loss of the prompt's endpoint if it was not reported.
+
+        The agent that granted the prompt's other run may have died along
+        with the endpoint.  The caller then sends the prompt again, and its
+        entry fails to reach the endpoint.
 
-    def died_unnoticed(self, asked: Asked, holding: messages.Holding) -> bool:
-        """Tell whether the prompt's endpoint died and nobody said so.
+        Returns
+        -------
+        bool
+            Whether the endpoint has died.
 
-        The agent that granted the prompt's other run may have died as
-        well; the caller sends again, and finds the endpoint dead.
+        Raises
+        ------
+        verdict.RefusalError
+            When the entry lost the endpoint, but the endpoint is alive.
         """
-        if holding.endpoint not in asked.request.lost:
+        if holding.endpoint not in request.admit.lost:
             return False
         if not self.parts.endpoints.has_died(holding.endpoint, ""):
-            raise verdict.RefusalError(refusals.suspect_waits(MIN_RETRY_S))
-        self.accuse(Watched(asked.case, holding.endpoint, "", holding.group))
-        self.parts.others.release(
+            raise verdict.RefusalError(
+                refusals.suspect_waits(MIN_RETRY_AFTER_S)
+            )
+        self.record_loss(
+            WatchedRun(request.prompt, holding.endpoint, "", holding.group)
+        )
+        self.parts.peers.release(
             messages.Release(
-                asked.case.fingerprint, holding.group, False, True
+                request.prompt.fingerprint, holding.group, False, True
             )
         )
         return True
 
     def place_suspect(
-        self, asked: Asked, placing: Placing, deadline: float
+        self, request: PlacementRequest, granter: Granter, deadline: float
     ) -> admission.Granted:
         """Grant a suspect its trial."""
-        answer = self.await_trial(asked, deadline)
+        answer = self.await_trial(request, deadline)
         match answer.word:
-            case messages.TrialWord.CONDEMNED:
+            case messages.TrialDecision.CONDEMNED:
                 for item in records.decode_items(answer.items):
                     self.parts.evidence_set.merge(item)
-                self.is_suspect(asked)
-                raise verdict.RefusalError(refusals.suspect_waits(MIN_RETRY_S))
-            case messages.TrialWord.BUSY:
-                raise verdict.RefusalError(refusals.suspect_waits(MIN_RETRY_S))
-            case messages.TrialWord.CLEAR:
-                granted = placing.grant("", deadline)
-                self.watch(asked.case, granted, granted.run_id)
+                self.check_suspect(request)
+                raise verdict.RefusalError(
+                    refusals.suspect_waits(MIN_RETRY_AFTER_S)
+                )
+            case messages.TrialDecision.BUSY:
+                raise verdict.RefusalError(
+                    refusals.suspect_waits(MIN_RETRY_AFTER_S)
+                )
+            case messages.TrialDecision.CLEAR:
+                granted = granter.grant("", deadline)
+                self.watch(request.prompt, granted, granted.run_id)
                 return granted
         try:
-            granted = placing.grant(answer.endpoint, deadline)
+            granted = granter.grant(answer.endpoint, deadline)
         except verdict.RefusalError:
             self.end_trial(answer.run)
             raise
-        self.watch(asked.case, granted, answer.run, True, answer.groups)
+        self.watch(request.prompt, granted, answer.run, True, answer.groups)
         return granted
 
     def await_trial(
-        self, asked: Asked, deadline: float
+        self, request: PlacementRequest, deadline: float
     ) -> messages.TrialAnswered:
-        """Ask the keeper until it grants, condemns, or time is up."""
-        busy = messages.TrialAnswered(messages.TrialWord.BUSY)
-        trial = secrets.token_hex(TRIAL_BYTES)
+        """Query the trial coordinator until it decides or time is up."""
+        busy = messages.TrialAnswered(messages.TrialDecision.BUSY)
+        trial = secrets.token_hex(TRIAL_ID_BYTES)
         while True:
-            left_s = max(deadline - self.parts.clock(), 0.0)
+            remaining_s = max(deadline - self.parts.clock(), 0.0)
             endpoints = self.parts.endpoints.least_loaded(
-                asked.request, asked.version
+                request.admit, request.version
             )
-            answer = self.parts.others.ask_trial(
+            answer = self.parts.peers.request_trial(
                 messages.AskTrial(
-                    asked.case.fingerprint,
-                    asked.case.organisation,
-                    asked.case.model,
+                    request.prompt.fingerprint,
+                    request.prompt.organisation,
+                    request.prompt.model,
                     trial,
                     tuple(endpoints),
-                    min(left_s, TRIAL_WAIT_S),
+                    min(remaining_s, TRIAL_WAIT_S),
                     records.encode_items(
-                        self.parts.evidence_set.of_prompt(
-                            asked.case.fingerprint
+                        self.parts.evidence_set.items_of(
+                            request.prompt.fingerprint
                         )
                     ),
                 )
             )
             if answer is not None and answer.word is not busy.word:
                 return answer
-            if not left_s:
+            if not remaining_s:
                 return busy
             if answer is None:
-                threading.Event().wait(min(left_s, TRIAL_WAIT_S))
+                threading.Event().wait(min(remaining_s, TRIAL_WAIT_S))
             else:
-                # The name may have been given up with a trial that was not
-                # the first; only one whose answer was lost is asked again.
-                trial = secrets.token_hex(TRIAL_BYTES)
+                # The coordinator may have ended a trial of this id because
+                # it was not the first in the log.  Only a query whose reply
+                # was lost is repeated with the same id.
+                trial = secrets.token_hex(TRIAL_ID_BYTES)
 
     def watch(
         self,
-        case: evidence.PromptIdentity,
+        prompt: evidence.PromptIdentity,
         granted: admission.Granted,
         group: str,
         trial: bool = False,
         clears: tuple[str, ...] = (),
     ) -> None:
-        """Remember a run until it ends."""
-        watched = Watched(
-            case,
+        """Watch a run until it ends."""
+        run = WatchedRun(
+            prompt,
             granted.endpoint,
             self.parts.endpoints.boot_id(granted.endpoint),
             group,
@@ -311,67 +361,69 @@
             clears,
         )
         with self.lock:
-            self.watched[granted.run_id] = watched
+            self.runs[granted.run_id] = run
 
     def started(self, run_id: str) -> None:
-        """Take in that a run gave a new token."""
-        watched = self.watched.get(run_id)
-        if watched is not None and watched.trial:
-            self.tell(
+        """Handle the first new token of a run, which passes a trial."""
+        run = self.runs.get(run_id)
+        if run is not None and run.trial:
+            self.publish(
                 evidence.TrialPassed(
-                    watched.group, self.parts.evidence_set.now_ms()
+                    run.group, self.parts.evidence_set.now_ms()
                 )
             )
 
     def ended(self, run_id: str, result: admission.RunResult) -> None:
-        """Take in how a run ended, before its entry may ask again."""
+        """Handle the end of a run, before its entry may send it again."""
         with self.lock:
-            watched = self.watched.pop(run_id, None)
-        if watched is None:
+            run = self.runs.pop(run_id, None)
+        if run is None:
             return
         whole = result is admission.RunResult.DONE
-        died = result in LOST and self.parts.endpoints.has_died(
-            watched.endpoint, watched.boot_id
+        died = result in LOST_RESULTS and self.parts.endpoints.has_died(
+            run.endpoint, run.boot_id
         )
         if died:
-            self.accuse(watched)
-        elif watched.trial:
-            self.end_trial(watched.group)
+            self.record_loss(run)
+        elif run.trial:
+            self.end_trial(run.group)
             if whole:
-                self.clear(watched)
-        self.parts.others.release(
-            messages.Release(watched.case.fingerprint, run_id, whole, died)
+                self.clear_losses(run)
+        self.parts.peers.release(
+            messages.Release(run.prompt.fingerprint, run_id, whole, died)
         )
 
-    def accuse(self, watched: Watched) -> None:
-        """Tell of an endpoint that died with a prompt."""
-        case = watched.case
+    def record_loss(self, run: WatchedRun) -> None:
+        """Publish that an endpoint died while it ran a prompt."""
+        prompt = run.prompt
         lost = evidence.EndpointLost(
-            case.fingerprint,
-            case.organisation,
-            case.model,
-            watched.endpoint,
-            watched.group,
+            prompt.fingerprint,
+            prompt.organisation,
+            prompt.model,
+            run.endpoint,
+            run.group,
             self.parts.evidence_set.now_ms(),
         )
-        self.tell(lost)
+        self.publish(lost)
 
-    def clear(self, watched: Watched) -> None:
-        """Tell that a suspect finished elsewhere."""
+    def clear_losses(self, run: WatchedRun) -> None:
+        """Publish that a suspect finished its trial."""
         cleared = evidence.Cleared(
-            watched.case.fingerprint,
-            watched.case.organisation,
-            watched.clears,
+            run.prompt.fingerprint,
+            run.prompt.organisation,
+            run.clears,
             "",
             self.parts.evidence_set.now_ms(),
         )
-        self.tell(cleared)
+        self.publish(cleared)
 
     def end_trial(self, group: str) -> None:
-        """Tell that a trial is over."""
-        self.tell(evidence.TrialEnded(group, self.parts.evidence_set.now_ms()))
+        """Publish that a trial is over."""
+        self.publish(
+            evidence.TrialEnded(group, self.parts.evidence_set.now_ms())
+        )
 
-    def tell(self, item: evidence.Item) -> None:
-        """Have an item appended, and tell the keeper of trials at once."""
+    def publish(self, item: evidence.Item) -> None:
+        """Record an item and report it to the trial coordinator at once."""
         self.parts.record(item)
-        self.parts.others.accuse((item,))
+        self.parts.peers.report((item,))
--- a/src/briarseam/admission/crash_messages.py
+++ b/src/briarseam/admission/crash_messages.py
@@ -11,12 +11,12 @@
 @codec.message("prompt-held")
 @dataclasses.dataclass(frozen=True)
 class Hold:
-    """Tell a prompt's owner that a run of it is granted an endpoint.
+    """Tells a prompt's owner that a run of it is granted an endpoint.
 
     Attributes
     ----------
     fingerprint, run, endpoint
-        The run.
+        The prompt, the run's id and the endpoint granted.
     """
 
     fingerprint: str
@@ -27,12 +27,14 @@
 @codec.message("prompt-hold-copied")
 @dataclasses.dataclass(frozen=True)
 class HoldCopy:
-    """Tell who would own the prompt next of a run that is held.
+    """Copies a held run to the agent that would own the prompt next.
 
     Attributes
     ----------
-    fingerprint, run, endpoint, group
-        As in the messages between an agent and the owner.
+    fingerprint, run, endpoint
+        As in :class:`Hold`.
+    group
+        As in :class:`Holding`.
     """
 
     fingerprint: str
@@ -44,16 +46,16 @@
 @codec.message("prompt-holding")
 @dataclasses.dataclass(frozen=True)
 class Holding:
-    """Where the prompt's runs belong.
+    """The owner's reply: where the prompt's runs belong.
 
     Attributes
     ----------
     endpoint
-        All its runs go there for now.
+        Endpoint that all of the prompt's runs go to for now.
     group
         Run id of the first of them.
     suspect
-        Whether an endpoint was lost with it.
+        Whether an endpoint died while it ran the prompt.
     """
 
     endpoint: str
@@ -64,14 +66,14 @@
 @codec.message("prompt-released")
 @dataclasses.dataclass(frozen=True)
 class Release:
-    """Tell a prompt's owner that a run of it is over.
+    """Tells a prompt's owner that a run of it is over.
 
     Attributes
     ----------
     fingerprint, run
-        The run.
+        The prompt and the run's id.
     whole
-        Whether it finished.
+        Whether the run finished.
     suspect
         Whether its endpoint died.
     """
@@ -85,18 +87,18 @@
 @codec.message("prompt-noted")
 @dataclasses.dataclass(frozen=True)
 class PromptNoted:
-    """Reply that carries nothing but that the message was taken in."""
+    """Reply that only acknowledges a message."""
 
 
 @codec.message("prompt-accused")
 @dataclasses.dataclass(frozen=True)
 class Accuse:
-    """Tell the keeper of trials what was found.
+    """Sends evidence to the trial coordinator.
 
     Attributes
     ----------
     items
-        Encoded as in the log's records.
+        Items of evidence, encoded as in the log's records.
     """
 
     items: bytes
@@ -105,18 +107,21 @@
 @codec.message("trial-asked")
 @dataclasses.dataclass(frozen=True)
 class AskTrial:
-    """Ask the keeper whether a suspect may be tried once more.
+    """Requests a trial of a suspect prompt from the trial coordinator.
 
     Attributes
     ----------
-    fingerprint, organisation, model, run
-        What is to be tried.
+    fingerprint, organisation, model
+        The prompt.
+    run
+        Id of the trial, chosen by the agent that requests it.
     endpoints
-        Where it may be, the best first.
+        Endpoints where it may run, the best first.
     wait_s
-        How long to wait for a place, in seconds.
+        How long to wait until a trial may start, in seconds.
     items
-        What the asker knows of the prompt.
+        The sender's evidence about the prompt, encoded as in the log's
+        records.
     """
 
     fingerprint: str
@@ -128,8 +133,8 @@
     items: bytes = b""
 
 
-class TrialWord(enum.StrEnum):
-    """The keeper's word."""
+class TrialDecision(enum.StrEnum):
+    """The trial coordinator's decision."""
 
     GRANTED = "granted"
     BUSY = "busy"
@@ -140,21 +145,21 @@
 @codec.message("trial-answered")
 @dataclasses.dataclass(frozen=True)
 class TrialAnswered:
-    """The keeper's answer.
+    """The trial coordinator's reply.
 
     Attributes
     ----------
     word
-        What may be done.
+        The decision.
     run, endpoint
-        The trial and where it is, when granted.
+        Id and endpoint of the trial, if it is granted.
     groups
-        The losses that it may clear.
+        The losses that the trial clears if it finishes.
     items
-        The losses that condemn, when condemned.
+        The losses that condemn the prompt, if it is condemned.
     """
 
-    word: TrialWord
+    word: TrialDecision
     run: str = ""
     endpoint: str = ""
     groups: tuple[str, ...] = ()
--- a/src/briarseam/admission/evidence.py
+++ b/src/briarseam/admission/evidence.py
@@ -1,6 +1,6 @@
-"""What speaks for and against prompts that may crash endpoints.
+"""Evidence about prompts that may crash endpoints.
 
-Agents tell each other these items, and keep them in the log.
+Agents exchange these items and append them to the log.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class PromptIdentity:
-    """A prompt, known by what is the same when a caller sends it again.
+    """Identity of a prompt that stays the same when a caller resends it.
 
     Attributes
     ----------
     fingerprint
         Hex digest over organisation, model and prompt.
     organisation, model
-        Whose prompt, for which model.
+        Organisation that sent the prompt, and the requested model.
     """
 
     fingerprint: str
@@ -33,7 +33,7 @@
 def identify_prompt(
     organisation: str, model: str, prompt_digest: bytes
 ) -> PromptIdentity:
-    """Return the case of a prompt."""
+    """Return the identity of a prompt."""
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (organisation.encode(), model.encode(), prompt_digest):
         digest.update(len(part).to_bytes(4, "big") + part)
@@ -48,12 +48,12 @@
     fingerprint, organisation, model
         The prompt.
     endpoint
-        What died.
+        The endpoint that died.
     group
-        Run id of the first of the prompt's runs there; however many of
-        them were lost with the endpoint, they count once.
+        Run id of the first of the prompt's runs at the endpoint.  All runs
+        that are lost with the endpoint count as one loss.
     time_ms
-        When, by the log's clock as far as it is known.
+        Time of the loss by the estimated log clock, in ms since the epoch.
     """
 
     fingerprint: str
@@ -65,14 +65,14 @@
 
 
 class Trial(msgspec.Struct, frozen=True, tag="trial", array_like=True):
-    """A suspect is being tried once more.
+    """A suspect prompt has started another run, its trial.
 
     Attributes
     ----------
     fingerprint, organisation, model, endpoint, group, time_ms
         As in :class:`EndpointLost`.
     boot_id
-        The endpoint's start at that time, as far as it is known.
+        The endpoint's boot id at that time; empty if unknown.
     """
 
     fingerprint: str
@@ -85,7 +85,7 @@
 
 
 class TrialPassed(msgspec.Struct, frozen=True, tag="passed", array_like=True):
-    """A trial has got further than where its endpoint died before."""
+    """A trial got past the point where the earlier endpoint died."""
 
     group: str
     time_ms: int
@@ -99,18 +99,19 @@
 
 
 class Cleared(msgspec.Struct, frozen=True, tag="clear", array_like=True):
-    """Losses that do not count any more.
+    """Losses that no longer count against a prompt.
 
     Attributes
     ----------
     fingerprint, organisation
         The prompt.
     groups
-        The losses.
+        The losses, named by their groups.
     operator
-        Who lifted it; empty when the prompt finished elsewhere.
+        Operator who lifted the condemnation; empty when the prompt finished
+        at another endpoint.
     time_ms
-        When.
+        Time of the clearing, in ms since the epoch.
     """
 
     fingerprint: str
--- a/src/briarseam/admission/guarded_placement.py
+++ b/src/briarseam/admission/guarded_placement.py
@@ -1,4 +1,4 @@
-"""Granting a prompt under the crash guard, as admission does it."""
+"""Placement of prompts under the crash guard."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class PromptPlacing:
-    """Grants one prompt.
+class PromptGranter:
+    """Grants one prompt an endpoint.
 
     Attributes
     ----------
     placer
         Grants endpoints.
     organisation, request, release
-        The prompt, and the version and adapter it must have, if any.
+        The prompt, and the version and adapter that it requires, if any.
     """
 
     placer: placing.Placer
@@ -34,16 +34,16 @@
     request: messages.Admit
     release: orders.Offer | None
 
-    def grant(self, only: str, deadline: float) -> messages.Granted:
-        """Grant any endpoint, or the named one; raise a refusal."""
-        left_ms = max(int((deadline - time.monotonic()) * MS), 1)
-        request = dataclasses.replace(self.request, deadline_ms=left_ms)
+    def grant(self, only_endpoint: str, deadline: float) -> messages.Granted:
+        """Grant any endpoint, or only the named one; raise a refusal."""
+        remaining_ms = max(int((deadline - time.monotonic()) * MS), 1)
+        request = dataclasses.replace(self.request, deadline_ms=remaining_ms)
         return self.placer.place_prompt(
-            self.organisation, request, self.release, only
+            self.organisation, request, self.release, only_endpoint
         )
 
     def withdraw(self, granted: messages.Granted) -> None:
-        """Take a grant back that was told to nobody."""
+        """Withdraw a grant that has not been sent to an entry."""
         self.placer.withdraw(granted)
 
 
@@ -54,17 +54,19 @@
     request: messages.Admit,
     release: orders.Offer | None,
 ) -> messages.Granted:
-    """Grant a prompt an endpoint, if it may run at all.
+    """Grant a prompt an endpoint, unless the crash guard refuses it.
 
     Raises
     ------
     verdict.RefusalError
         With the final verdict.
     """
-    case = evidence.identify_prompt(
+    prompt = evidence.identify_prompt(
         organisation, request.model, request.prompt_digest
     )
     return guard.place(
-        crash_guard.Asked(case, request, release.version if release else ""),
-        PromptPlacing(placer, organisation, request, release),
+        crash_guard.PlacementRequest(
+            prompt, request, release.version if release else ""
+        ),
+        PromptGranter(placer, organisation, request, release),
     )
--- a/src/briarseam/admission/prompt_holds.py
+++ b/src/briarseam/admission/prompt_holds.py
@@ -1,10 +1,10 @@
-"""One endpoint at a time for a prompt that has not finished anywhere yet.
+"""Holds a prompt to one endpoint until it has finished there once.
 
-Two callers may send the same prompt at once, at two entries.  If it is one
-that crashes endpoints, nothing is known of it yet, and each of its runs
-would take down another endpoint.  So the agent that owns the prompt's
-fingerprint keeps its runs together until one has finished: what is lost
-then is one endpoint, whatever the number of callers.
+Two callers may send the same prompt at the same time, at two entries.  If
+the prompt crashes endpoints, there is no evidence of it yet, and each run
+would take down another endpoint.  The agent that owns the prompt's
+fingerprint therefore keeps all of its runs at one endpoint until one has
+finished, so that at most one endpoint is lost whatever the number of callers.
 """
 
 from __future__ import annotations
@@ -17,14 +17,24 @@
 
 from briarseam.admission import crash_messages as messages
 
-# A run that is not heard of for so long has ended unnoticed.
-HOLD_BOUND_S = 600.0
-MAX_KNOWN = 20_000
+# A run that is held for this long has ended without a report.
+HOLD_TIMEOUT_S = 600.0
+MAX_REMEMBERED = 20_000
 
 
 @dataclasses.dataclass
-class Held:
-    """A prompt's runs under way."""
+class HeldPrompt:
+    """A prompt's active runs.
+
+    Attributes
+    ----------
+    endpoint
+        Where all of them run.
+    group
+        Run id of the first of them.
+    runs
+        Time when each run was recorded, by run id, in monotonic seconds.
+    """
 
     endpoint: str
     group: str
@@ -45,7 +55,7 @@
     ) -> None:
         self.clock = clock
         self.lock = threading.Lock()
-        self.held: dict[str, Held] = {}
+        self.held: dict[str, HeldPrompt] = {}
         self.finished: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
@@ -53,63 +63,63 @@
             collections.OrderedDict()
         )
 
-    def hold(self, ask: messages.Hold) -> messages.Holding:
-        """Say where a run belongs; count it in if it is there."""
+    def hold(self, query: messages.Hold) -> messages.Holding:
+        """Return where a run belongs, and record it if it is there."""
         with self.lock:
-            if ask.fingerprint in self.suspects:
-                return messages.Holding(ask.endpoint, ask.run, True)
-            if ask.fingerprint in self.finished:
-                return messages.Holding(ask.endpoint, ask.run, False)
-            held = self.present(ask)
-            if held.endpoint == ask.endpoint:
-                held.runs[ask.run] = self.clock()
+            if query.fingerprint in self.suspects:
+                return messages.Holding(query.endpoint, query.run, True)
+            if query.fingerprint in self.finished:
+                return messages.Holding(query.endpoint, query.run, False)
+            held = self.current(query)
+            if held.endpoint == query.endpoint:
+                held.runs[query.run] = self.clock()
             return messages.Holding(held.endpoint, held.group, False)
 
-    def copy(self, told: messages.HoldCopy) -> messages.PromptNoted:
-        """Remember a run in case its owner dies with what it knows."""
+    def copy(self, message: messages.HoldCopy) -> messages.PromptNoted:
+        """Record a run in case the prompt's owner dies."""
         with self.lock:
-            held = self.held.get(told.fingerprint)
-            if held is None or held.endpoint != told.endpoint:
-                held = Held(told.endpoint, told.group)
-                self.held[told.fingerprint] = held
-            held.runs[told.run] = self.clock()
+            held = self.held.get(message.fingerprint)
+            if held is None or held.endpoint != message.endpoint:
+                held = HeldPrompt(message.endpoint, message.group)
+                self.held[message.fingerprint] = held
+            held.runs[message.run] = self.clock()
         return messages.PromptNoted()
 
-    def present(self, ask: messages.Hold) -> Held:
-        """Return where a prompt's runs are, or begin with this one."""
-        held = self.held.get(ask.fingerprint)
+    def current(self, query: messages.Hold) -> HeldPrompt:
+        """Return a prompt's current hold, or start one with this run."""
+        held = self.held.get(query.fingerprint)
         if held is not None:
-            oldest = self.clock() - HOLD_BOUND_S
+            oldest = self.clock() - HOLD_TIMEOUT_S
             held.runs = {
-                run: since
-                for run, since in held.runs.items()
-                if since > oldest
+                run: recorded_at
+                for run, recorded_at in held.runs.items()
+                if recorded_at > oldest
             }
         if held is None or not held.runs:
-            held = Held(ask.endpoint, ask.run)
-            self.held[ask.fingerprint] = held
+            held = HeldPrompt(query.endpoint, query.run)
+            self.held[query.fingerprint] = held
         return held
 
-    def release(self, told: messages.Release) -> messages.PromptNoted:
-        """Count a run out."""
+    def release(self, message: messages.Release) -> messages.PromptNoted:
+        """Remove a run that is over, and record how it ended."""
         with self.lock:
-            held = self.held.get(told.fingerprint)
+            held = self.held.get(message.fingerprint)
             if held is not None:
-                held.runs.pop(told.run, None)
+                held.runs.pop(message.run, None)
                 if not held.runs:
-                    del self.held[told.fingerprint]
-            if told.suspect:
-                self.finished.pop(told.fingerprint, None)
-                remember(self.suspects, told.fingerprint)
-            elif told.whole:
-                self.suspects.pop(told.fingerprint, None)
-                remember(self.finished, told.fingerprint)
+                    del self.held[message.fingerprint]
+            if message.suspect:
+                self.finished.pop(message.fingerprint, None)
+                remember(self.suspects, message.fingerprint)
+            elif message.whole:
+                self.suspects.pop(message.fingerprint, None)
+                remember(self.finished, message.fingerprint)
         return messages.PromptNoted()
 
 
 def remember(names: collections.OrderedDict[str, None], name: str) -> None:
-    """Add a name as the newest; the oldest of too many goes."""
+    """Add a name as the newest, and drop the oldest of too many."""
     names.pop(name, None)
     names[name] = None
-    if len(names) > MAX_KNOWN:
+    if len(names) > MAX_REMEMBERED:
         names.popitem(last=False)
--- a/src/briarseam/admission/trial_coordinator.py
+++ b/src/briarseam/admission/trial_coordinator.py
@@ -1,12 +1,13 @@
 """Trials of suspects, one at a time for a prompt and for an endpoint.
 
-An innocent prompt that shared two dying endpoints with the guilty one would
-be condemned with it.  So suspects are never tried at one endpoint together:
-an endpoint that dies in a trial tells which of the suspects it was.  The
-endpoint is free for the next trial at the first new token, when this one
-has got further than before; held to the end, the answers that an endpoint's
-death cut would wait for each other for minutes.  One agent keeps all
-trials; an endpoint's death is rare.
+A harmless prompt that shared two dying endpoints with the prompt that crashes
+them would be condemned along with it.  Suspects are therefore never tried
+together at one endpoint: an endpoint that dies in a trial shows which of the
+suspects was the cause.  The endpoint is free for the next trial at the first
+new token, when the current trial has got past the earlier point of failure.
+If trials occupied it until they end, the answers that an endpoint's death
+cut off would wait for each other for minutes.  One agent coordinates all
+trials, as deaths of endpoints are rare.
 """
 
 from __future__ import annotations
@@ -19,42 +20,46 @@
 from briarseam.admission import crash_messages as messages
 from briarseam.admission import evidence
 
-CHECK_S = 0.05
-WRITE_S = 0.5
+POLL_S = 0.05
+LOG_WAIT_S = 0.5
 
 
 class Endpoints(typing.Protocol):
-    """What the keeper needs to know of endpoints."""
+    """What the coordinator needs to know about endpoints."""
 
     def boot_id(self, endpoint: str) -> str:
-        """Return the start that an endpoint last told; empty if none."""
+        """Return an endpoint's last reported boot id; empty if unknown."""
 
     def has_died(self, endpoint: str, boot_id: str) -> bool:
-        """Ask an endpoint whether it is still the same start."""
+        """Query an endpoint and return whether that boot of it has ended."""
 
 
 class Log(typing.Protocol):
-    """What the keeper needs of the log."""
+    """What the coordinator needs of the log."""
 
     def record(self, item: evidence.Item) -> None:
-        """Take in what was found here, and have it appended."""
+        """Merge local evidence and queue it to be appended."""
 
     def wait_in_log(self, trial: evidence.Trial, timeout_s: float) -> bool:
-        """Wait until a trial that was noted is read back from the log.
+        """Wait until a recorded trial is read back from the log.
 
-        ``False`` when it is not, though the log is there.
+        Returns
+        -------
+        bool
+            ``False`` if the log is available but the trial is not read back
+            in time.
         """
 
 
 class TrialCoordinator:
-    """Grants trials while this agent is their keeper; thread-safe.
+    """Grants trials while this agent coordinates them; thread-safe.
 
     Parameters
     ----------
     evidence_set
-        What is known.
+        Evidence that this agent has.
     log
-        Takes in items and has them appended to the log.
+        Merges items and appends them to the log.
     endpoints
         The endpoints.
     """
@@ -70,48 +75,51 @@
         self.endpoints = endpoints
         self.changed = threading.Condition()
 
-    def ask(self, ask: messages.AskTrial) -> messages.TrialAnswered:
-        """Grant a trial, after a wait if need be.
+    def handle(self, query: messages.AskTrial) -> messages.TrialAnswered:
+        """Grant a trial, waiting for its turn if necessary.
 
-        The trial stands in the log before it begins, after the loss that
-        made it one.  Should it take down its endpoint and all agents be
-        replaced in the same moment, those that come after find both there,
-        the trial without an end.  On a busy machine the log may answer
-        late: then the trial does not begin.
+        A trial is in the log before it begins, after the loss that made the
+        prompt a suspect.  If the trial takes down its endpoint and all agents
+        are replaced at the same time, the new agents find both in the log,
+        and the trial without an end.  A busy log may reply late; then the
+        trial does not begin.
         """
-        if ask.items:
-            self.take(records.decode_items(ask.items))
-        answer = self.await_place(ask)
-        trial = self.evidence_set.trials.get(ask.run)
-        if answer.word is not messages.TrialWord.GRANTED or trial is None:
+        if query.items:
+            self.merge_items(records.decode_items(query.items))
+        answer = self.await_turn(query)
+        trial = self.evidence_set.trials.get(query.run)
+        if answer.word is not messages.TrialDecision.GRANTED or trial is None:
             return answer
-        written = self.log.wait_in_log(trial, WRITE_S)
-        if written and self.evidence_set.comes_first(trial):
+        written = self.log.wait_in_log(trial, LOG_WAIT_S)
+        if written and self.evidence_set.has_precedence(trial):
             return answer
-        # It comes first for another agent that keeps trials too: this
-        # agent, or that one, was taken for dead by a part of the others.
+        # Either the log is slow, or another agent that also acts as the
+        # coordinator has an earlier trial, because some agents consider one
+        # of the two dead.
         now_ms = self.evidence_set.now_ms()
         self.log.record(evidence.TrialEnded(trial.group, now_ms))
-        return messages.TrialAnswered(messages.TrialWord.BUSY)
+        return messages.TrialAnswered(messages.TrialDecision.BUSY)
 
-    def await_place(self, ask: messages.AskTrial) -> messages.TrialAnswered:
-        """Answer as soon as the prompt's turn has come, or time is up."""
-        left_s = ask.wait_s
-        self.settle(ask.fingerprint)
+    def await_turn(self, query: messages.AskTrial) -> messages.TrialAnswered:
+        """Wait until the prompt's turn has come or the wait is over."""
+        remaining_s = query.wait_s
+        self.record_unreported_losses(query.fingerprint)
         with self.changed:
-            answer = self.answer(ask)
-            while answer.word is messages.TrialWord.BUSY and left_s > 0:
-                self.changed.wait(CHECK_S)
-                left_s -= CHECK_S
-                answer = self.answer(ask)
+            answer = self.decide(query)
+            while (
+                answer.word is messages.TrialDecision.BUSY and remaining_s > 0
+            ):
+                self.changed.wait(POLL_S)
+                remaining_s -= POLL_S
+                answer = self.decide(query)
             return answer
 
-    def settle(self, fingerprint: str) -> None:
-        """Count a trial's endpoint as lost if it died and nobody said so.
+    def record_unreported_losses(self, fingerprint: str) -> None:
+        """Record a trial's endpoint as lost if it died without a report.
 
-        All agents may be replaced in the moment after a trial took its
-        endpoint down; their trial stands in the log without an end, and
-        would run out into one more.
+        All agents may be replaced right after a trial took its endpoint
+        down.  The trial is then in the log without an end, and its timeout
+        would allow one more trial.
         """
         for trial in self.evidence_set.running_trials():
             if trial.fingerprint != fingerprint:
@@ -127,64 +135,67 @@
                 )
                 self.log.record(lost)
 
-    def answer(self, ask: messages.AskTrial) -> messages.TrialAnswered:
-        """Answer as things are now; call it under ``changed``."""
-        match self.evidence_set.standing(ask.fingerprint):
+    def decide(self, query: messages.AskTrial) -> messages.TrialAnswered:
+        """Decide by the current evidence; call it under ``changed``."""
+        match self.evidence_set.standing(query.fingerprint):
             case condemnation.Clear():
-                return messages.TrialAnswered(messages.TrialWord.CLEAR)
+                return messages.TrialAnswered(messages.TrialDecision.CLEAR)
             case condemnation.Condemned(losses):
                 return messages.TrialAnswered(
-                    messages.TrialWord.CONDEMNED,
+                    messages.TrialDecision.CONDEMNED,
                     items=records.encode_items(losses),
                 )
             case condemnation.Suspect(groups):
-                return self.grant(ask, groups)
+                return self.grant(query, groups)
 
     def grant(
-        self, ask: messages.AskTrial, groups: tuple[str, ...]
+        self, query: messages.AskTrial, groups: tuple[str, ...]
     ) -> messages.TrialAnswered:
-        """Grant a trial at the best endpoint that has none."""
+        """Grant a trial at the best endpoint that is free for one."""
         running = self.evidence_set.running_trials()
         for trial in running:
-            # The answer that granted it was lost.
-            if trial.group == ask.run:
+            # The reply that granted this trial was lost.
+            if trial.group == query.run:
                 return messages.TrialAnswered(
-                    messages.TrialWord.GRANTED, ask.run, trial.endpoint, groups
+                    messages.TrialDecision.GRANTED,
+                    query.run,
+                    trial.endpoint,
+                    groups,
                 )
-        free = self.free_endpoints(ask)
+        free = self.free_endpoints(query)
         prompts = {trial.fingerprint for trial in running}
-        if ask.fingerprint in prompts or not free:
-            return messages.TrialAnswered(messages.TrialWord.BUSY)
+        if query.fingerprint in prompts or not free:
+            return messages.TrialAnswered(messages.TrialDecision.BUSY)
         trial = evidence.Trial(
-            ask.fingerprint,
-            ask.organisation,
-            ask.model,
+            query.fingerprint,
+            query.organisation,
+            query.model,
             free[0],
-            ask.run,
+            query.run,
             self.evidence_set.now_ms(),
             self.endpoints.boot_id(free[0]),
         )
-        # Whoever saw the loss may be gone before it has written it.
-        for item in self.evidence_set.of_prompt(ask.fingerprint):
+        # The agent that observed the loss may have died before it appended it.
+        for item in self.evidence_set.items_of(query.fingerprint):
             self.log.record(item)
         self.log.record(trial)
         return messages.TrialAnswered(
-            messages.TrialWord.GRANTED, ask.run, trial.endpoint, groups
+            messages.TrialDecision.GRANTED, query.run, trial.endpoint, groups
         )
 
-    def free_endpoints(self, ask: messages.AskTrial) -> list[str]:
-        """Return where a trial may begin, those without any suspect first.
+    def free_endpoints(self, query: messages.AskTrial) -> list[str]:
+        """Return where a trial may begin, endpoints without trials first.
 
-        A suspect whose trial has passed still runs, and would lose its
-        second endpoint with a guilty prompt that is tried beside it.
+        A suspect whose trial has passed is still running, and would lose its
+        second endpoint to a crashing prompt that is tried beside it.
         """
-        guarded = self.evidence_set.guarded_endpoints()
-        tried = self.evidence_set.tried_endpoints()
-        free = [name for name in ask.endpoints if name not in guarded]
-        return sorted(free, key=lambda name: name in tried)
+        exclusive = self.evidence_set.exclusive_endpoints()
+        in_use = self.evidence_set.trial_endpoints()
+        free = [name for name in query.endpoints if name not in exclusive]
+        return sorted(free, key=lambda name: name in in_use)
 
-    def take(self, items: typing.Iterable[evidence.Item]) -> None:
-        """Take in what another agent found."""
+    def merge_items(self, items: typing.Iterable[evidence.Item]) -> None:
+        """Merge the evidence of another agent."""
         with self.changed:
             for item in items:
                 self.evidence_set.merge(item)
--- a/tests/admission/crashes.py
+++ b/tests/admission/crashes.py
@@ -1,4 +1,4 @@
-"""What tests of the crash guard have in common."""
+"""Fakes and factories shared by the tests of the crash guard."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from briarseam.admission import evidence
 from briarseam.admission import messages
 
-CASE = evidence.identify_prompt("north", "draft", b"prompt")
-OTHER = evidence.identify_prompt("north", "draft", b"another prompt")
-names = itertools.count()
+PROMPT = evidence.identify_prompt("north", "draft", b"prompt")
+OTHER_PROMPT = evidence.identify_prompt("north", "draft", b"another prompt")
+run_numbers = itertools.count()
 
 
 class MsClock:
-    """Milliseconds that pass when a test says so."""
+    """A clock in milliseconds that a test sets."""
 
     def __init__(self) -> None:
         self.ms = 1_000_000
@@ -24,25 +24,27 @@
         return self.ms
 
 
-def lost(
-    endpoint: str, group: str = "", case: evidence.PromptIdentity = CASE
+def make_loss(
+    endpoint: str, group: str = "", prompt: evidence.PromptIdentity = PROMPT
 ) -> evidence.EndpointLost:
     return evidence.EndpointLost(
-        case.fingerprint,
-        case.organisation,
-        case.model,
+        prompt.fingerprint,
+        prompt.organisation,
+        prompt.model,
         endpoint,
-        group or f"run-{next(names)}",
+        group or f"run-{next(run_numbers)}",
         1_000_000,
     )
 
 
 class FakeLog:
+    """A log that confirms each trial at once, unless it is slow."""
+
     def __init__(self, evidence_set: condemnation.EvidenceSet) -> None:
         self.evidence_set = evidence_set
         self.recorded: list[evidence.Item] = []
         self.written = 0
-        self.late = False
+        self.slow = False
 
     def record(self, item: evidence.Item) -> None:
         self.evidence_set.merge(item)
@@ -50,13 +52,15 @@
 
     def wait_in_log(self, trial, timeout_s: float) -> bool:
         self.written = len(self.recorded)
-        if self.late:
+        if self.slow:
             return False
-        self.evidence_set.note_order(trial, (self.written, 0))
+        self.evidence_set.record_position(trial, (self.written, 0))
         return True
 
 
 class FakeEndpoints:
+    """Three engines, of which a test marks the dead ones."""
+
     def __init__(self) -> None:
         self.dead: set[str] = set()
 
@@ -71,17 +75,22 @@
         return [name for name in engines if name not in request.lost]
 
 
-def ask_trial(
-    case: evidence.PromptIdentity, run: str, *names: str
+def make_trial_query(
+    prompt: evidence.PromptIdentity, run: str, *endpoints: str
 ) -> crash_messages.AskTrial:
     return crash_messages.AskTrial(
-        case.fingerprint, case.organisation, case.model, run, names, 0.0
+        prompt.fingerprint,
+        prompt.organisation,
+        prompt.model,
+        run,
+        endpoints,
+        0.0,
     )
 
 
-def hold(run: str, endpoint: str) -> crash_messages.Hold:
-    return crash_messages.Hold(CASE.fingerprint, run, endpoint)
+def make_hold(run: str, endpoint: str) -> crash_messages.Hold:
+    return crash_messages.Hold(PROMPT.fingerprint, run, endpoint)
 
 
-def release(run: str, whole: bool = False, suspect: bool = False):
-    return crash_messages.Release(CASE.fingerprint, run, whole, suspect)
+def make_release(run: str, whole: bool = False, suspect: bool = False):
+    return crash_messages.Release(PROMPT.fingerprint, run, whole, suspect)
--- a/tests/admission/test_crash_guard.py
+++ b/tests/admission/test_crash_guard.py
@@ -14,39 +14,39 @@
 from tests.admission import crashes
 
 
-class FakeOthers:
-    """This agent as the only one."""
+class FakePeers:
+    """A system whose only agent is this one."""
 
     def __init__(
         self, coordinator: trial_coordinator.TrialCoordinator
     ) -> None:
-        self.held = prompt_holds.PromptHolds()
+        self.holds = prompt_holds.PromptHolds()
         self.coordinator = coordinator
-        self.away = False
+        self.unreachable = False
 
-    def hold(self, ask):
-        return None if self.away else self.held.hold(ask)
+    def hold(self, query):
+        return None if self.unreachable else self.holds.hold(query)
 
-    def release(self, told):
-        self.held.release(told)
+    def release(self, message):
+        self.holds.release(message)
 
-    def ask_trial(self, ask):
-        return None if self.away else self.coordinator.ask(ask)
+    def request_trial(self, query):
+        return None if self.unreachable else self.coordinator.handle(query)
 
-    def accuse(self, items):
-        self.coordinator.take(items)
+    def report(self, items):
+        self.coordinator.merge_items(items)
 
 
-class FakePlacing:
-    """Grants engines in turn."""
+class FakeGranter:
+    """Grants three engines in turn."""
 
     def __init__(self, request: messages.Admit) -> None:
         self.request = request
         self.withdrawn: list[str] = []
 
-    def grant(self, only: str, deadline: float) -> messages.Granted:
-        number = next(crashes.names)
-        endpoint = only or f"engine-{number % 3}"
+    def grant(self, only_endpoint: str, deadline: float) -> messages.Granted:
+        number = next(crashes.run_numbers)
+        endpoint = only_endpoint or f"engine-{number % 3}"
         if endpoint in self.request.lost:
             raise verdict.RefusalError(
                 verdict.NotRun(verdict.Reason.NO_ENDPOINT, "", 1.0)
@@ -60,22 +60,22 @@
 
 
 @dataclasses.dataclass
-class Site:
-    """A guard, and engines that die of the prompt if it is guilty."""
+class Harness:
+    """A guard with engines that a test can crash."""
 
     guard: crash_guard.CrashGuard
     endpoints: crashes.FakeEndpoints
-    others: FakeOthers
+    peers: FakePeers
 
     def place(
-        self, lost_so_far: tuple[str, ...] = ()
+        self, lost_endpoints: tuple[str, ...] = ()
     ) -> messages.Granted | verdict.Verdict:
         request = messages.Admit(
-            "", "draft", "", (), 1, 1, 5, 200, lost=lost_so_far
+            "", "draft", "", (), 1, 1, 5, 200, lost=lost_endpoints
         )
-        asked = crash_guard.Asked(crashes.CASE, request, "")
+        placement = crash_guard.PlacementRequest(crashes.PROMPT, request, "")
         try:
-            return self.guard.place(asked, FakePlacing(request))
+            return self.guard.place(placement, FakeGranter(request))
         except verdict.RefusalError as error:
             return error.given
 
@@ -88,64 +88,72 @@
 
 
 @pytest.fixture
-def site(evidence_set, fake_log, coordinator, endpoints) -> Site:
-    others = FakeOthers(coordinator)
+def harness(evidence_set, fake_log, coordinator, endpoints) -> Harness:
+    peers = FakePeers(coordinator)
     parts = crash_guard.GuardParts(
-        evidence_set, fake_log.record, lambda: None, others, endpoints
+        evidence_set, fake_log.record, lambda: None, peers, endpoints
     )
-    return Site(crash_guard.CrashGuard(parts), endpoints, others)
+    return Harness(crash_guard.CrashGuard(parts), endpoints, peers)
 
 
-def test_second_lost_endpoint_is_the_last(site):
-    site.crash(site.place())
-    site.crash(site.place())
-    refused = site.place()
+def test_prompt_is_refused_after_two_lost_endpoints(harness):
+    harness.crash(harness.place())
+    harness.crash(harness.place())
+    refused = harness.place()
     assert isinstance(refused, verdict.NotRun)
     assert refused.reason is verdict.Reason.CONDEMNED
     assert refused.retry_after_s and refused.retry_after_s > 60
 
 
-def test_callers_at_once_lose_one_endpoint(site):
-    granted = [site.place() for _ in range(5)]
-    assert len({one.endpoint for one in granted}) == 1
+def test_concurrent_callers_share_one_endpoint(harness):
+    granted = [harness.place() for _ in range(5)]
+    assert len({grant.endpoint for grant in granted}) == 1
 
 
-def test_suspect_that_finishes_elsewhere_is_cleared(site, evidence_set):
-    site.crash(site.place())
-    site.end(site.place(), messages.RunResult.DONE)
+def test_suspect_that_finishes_elsewhere_is_cleared(harness, evidence_set):
+    harness.crash(harness.place())
+    harness.end(harness.place(), messages.RunResult.DONE)
     assert (
-        evidence_set.standing(crashes.CASE.fingerprint) == condemnation.Clear()
+        evidence_set.standing(crashes.PROMPT.fingerprint)
+        == condemnation.Clear()
     )
 
 
-def test_cut_link_to_a_living_endpoint_accuses_nobody(site, evidence_set):
-    granted = site.place()
-    site.end(granted, messages.RunResult.LOST_AFTER_FIRST)
+def test_broken_connection_to_a_live_endpoint_is_not_a_loss(
+    harness, evidence_set
+):
+    granted = harness.place()
+    harness.end(granted, messages.RunResult.LOST_AFTER_FIRST)
     assert (
-        evidence_set.standing(crashes.CASE.fingerprint) == condemnation.Clear()
+        evidence_set.standing(crashes.PROMPT.fingerprint)
+        == condemnation.Clear()
     )
 
 
-def test_suspect_waits_while_the_keeper_is_away(site):
-    """Log and agents are in trouble as an engine dies; no trial unseen."""
-    site.crash(site.place())
-    site.others.away = True
-    refused = site.place()
+def test_suspect_is_refused_while_no_coordinator_replies(harness):
+    """Guards against a trial without a coordinator.
+
+    An engine dies while the log and the other agents do not reply.
+    """
+    harness.crash(harness.place())
+    harness.peers.unreachable = True
+    refused = harness.place()
     assert isinstance(refused, verdict.NotRun)
     assert refused.retry_after_s
 
 
-def test_endpoint_that_died_with_its_agent_counts(site, evidence_set):
-    """The agent that granted the prompt dies along with the engine.
+def test_loss_counts_if_the_granting_agent_died_too(harness, evidence_set):
+    """Guards against missing a loss that no agent reported.
 
-    The caller's resend is granted the same engine, cannot reach it, and
-    asks again.
+    The agent that granted the prompt dies along with the engine.  The
+    caller's resend is granted the same engine; its entry cannot reach the
+    engine and sends the prompt again.
     """
-    granted = site.place()
-    site.guard.watched.clear()
-    site.endpoints.dead.add(granted.endpoint)
-    again = site.place((granted.endpoint,))
+    granted = harness.place()
+    harness.guard.runs.clear()
+    harness.endpoints.dead.add(granted.endpoint)
+    again = harness.place((granted.endpoint,))
     assert isinstance(again, messages.Granted)
     assert isinstance(
-        evidence_set.standing(crashes.CASE.fingerprint), condemnation.Suspect
+        evidence_set.standing(crashes.PROMPT.fingerprint), condemnation.Suspect
     )
--- a/tests/admission/test_prompt_holds.py
+++ b/tests/admission/test_prompt_holds.py
@@ -6,45 +6,55 @@
 
 
 def test_prompt_runs_at_one_endpoint_until_it_has_finished():
-    """Callers that send a prompt at once take down an engine each."""
-    held = prompt_holds.PromptHolds()
-    assert held.hold(crashes.hold("a", "engine-0")).group == "a"
-    elsewhere = held.hold(crashes.hold("b", "engine-1"))
-    assert (elsewhere.endpoint, elsewhere.group) == ("engine-0", "a")
-    held.release(crashes.release("a", whole=True))
-    assert held.hold(crashes.hold("c", "engine-2")).endpoint == "engine-2"
+    """Guards against concurrent callers that take down an engine each."""
+    holds = prompt_holds.PromptHolds()
+    assert holds.hold(crashes.make_hold("a", "engine-0")).group == "a"
+    other = holds.hold(crashes.make_hold("b", "engine-1"))
+    assert (other.endpoint, other.group) == ("engine-0", "a")
+    holds.release(crashes.make_release("a", whole=True))
+    assert (
+        holds.hold(crashes.make_hold("c", "engine-2")).endpoint == "engine-2"
+    )
 
 
 def test_prompt_whose_endpoint_died_is_suspect_to_its_owner():
-    held = prompt_holds.PromptHolds()
-    held.hold(crashes.hold("a", "engine-0"))
-    held.release(crashes.release("a", suspect=True))
-    assert held.hold(crashes.hold("b", "engine-1")).suspect
-    held.release(crashes.release("b", whole=True))
-    assert not held.hold(crashes.hold("c", "engine-1")).suspect
+    holds = prompt_holds.PromptHolds()
+    holds.hold(crashes.make_hold("a", "engine-0"))
+    holds.release(crashes.make_release("a", suspect=True))
+    assert holds.hold(crashes.make_hold("b", "engine-1")).suspect
+    holds.release(crashes.make_release("b", whole=True))
+    assert not holds.hold(crashes.make_hold("c", "engine-1")).suspect
+
 
+def test_hold_of_an_unreported_run_times_out():
+    """Guards against a prompt that stays at an engine for good.
 
-def test_run_that_is_not_heard_of_again_lets_the_prompt_go():
-    """A prompt stays bound to an engine after its agent died."""
+    The agent that granted its run has died and reports no end.
+    """
     now = [0.0]
-    held = prompt_holds.PromptHolds(lambda: now[0])
-    held.hold(crashes.hold("a", "engine-0"))
-    now[0] += prompt_holds.HOLD_BOUND_S + 1
-    assert held.hold(crashes.hold("b", "engine-1")).endpoint == "engine-1"
+    holds = prompt_holds.PromptHolds(lambda: now[0])
+    holds.hold(crashes.make_hold("a", "engine-0"))
+    now[0] += prompt_holds.HOLD_TIMEOUT_S + 1
+    assert (
+        holds.hold(crashes.make_hold("b", "engine-1")).endpoint == "engine-1"
+    )
 
 
-def test_run_known_to_its_owner_only_is_copied_on():
-    """The owner of a prompt grants it, and dies with the endpoint.
+def test_copied_hold_keeps_endpoint_and_group():
+    """Guards against missing a loss when the prompt's owner dies as well.
 
-    Whoever owns the prompt next tells where it ran, group and all.
+    The owner grants the prompt itself and dies with the endpoint.  The next
+    owner has a copy of the hold, with the endpoint and the group.
     """
-    held = prompt_holds.PromptHolds()
-    held.copy(
+    holds = prompt_holds.PromptHolds()
+    holds.copy(
         crash_messages.HoldCopy(
-            crashes.CASE.fingerprint, "a", "engine-0", "first"
+            crashes.PROMPT.fingerprint, "a", "engine-0", "first"
         )
     )
-    holding = held.hold(crashes.hold("b", "engine-1"))
+    holding = holds.hold(crashes.make_hold("b", "engine-1"))
     assert (holding.endpoint, holding.group) == ("engine-0", "first")
-    held.release(crashes.release("a", whole=True))
-    assert held.hold(crashes.hold("c", "engine-1")).endpoint == "engine-1"
+    holds.release(crashes.make_release("a", whole=True))
+    assert (
+        holds.hold(crashes.make_hold("c", "engine-1")).endpoint == "engine-1"
+    )
--- a/tests/admission/test_trial_coordinator.py
+++ b/tests/admission/test_trial_coordinator.py
@@ -14,34 +14,45 @@
 def test_suspects_are_never_tried_at_one_endpoint_together(
     coordinator, evidence_set
 ):
-    """An innocent prompt is condemned with the one that it ran beside."""
-    evidence_set.merge(crashes.lost("engine-0"))
-    evidence_set.merge(crashes.lost("engine-0", case=crashes.OTHER))
-    first = coordinator.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
-    second = coordinator.ask(
-        crashes.ask_trial(crashes.OTHER, "t2", "engine-1")
+    """Guards against condemning a harmless prompt for a shared loss.
+
+    Two suspects run at one endpoint, and the endpoint dies; its loss would
+    count against both of them.
+    """
+    evidence_set.merge(crashes.make_loss("engine-0"))
+    evidence_set.merge(
+        crashes.make_loss("engine-0", prompt=crashes.OTHER_PROMPT)
     )
-    third = coordinator.ask(
-        crashes.ask_trial(crashes.OTHER, "t3", "engine-1", "engine-2")
+    first = coordinator.handle(
+        crashes.make_trial_query(crashes.PROMPT, "t1", "engine-1")
+    )
+    second = coordinator.handle(
+        crashes.make_trial_query(crashes.OTHER_PROMPT, "t2", "engine-1")
+    )
+    third = coordinator.handle(
+        crashes.make_trial_query(
+            crashes.OTHER_PROMPT, "t3", "engine-1", "engine-2"
+        )
     )
     assert (first.word, first.endpoint) == ("granted", "engine-1")
     assert second.word == "busy"
     assert (third.word, third.endpoint) == ("granted", "engine-2")
 
 
-def test_suspect_is_tried_once_at_a_time(coordinator, evidence_set, fake_log):
-    """Two callers' resends of a suspect each take down an engine.
+def test_suspect_has_one_trial_at_a_time(coordinator, evidence_set, fake_log):
+    """Guards against two callers' resends each taking down an engine.
 
-    The trial is in the log before it begins, for those who come after.
+    The trial is in the log before it begins, so that agents that are started
+    later know of it.
     """
-    evidence_set.merge(crashes.lost("engine-0"))
-    coordinator.ask(
-        crashes.ask_trial(crashes.CASE, "t1", "engine-1", "engine-2")
+    evidence_set.merge(crashes.make_loss("engine-0"))
+    coordinator.handle(
+        crashes.make_trial_query(crashes.PROMPT, "t1", "engine-1", "engine-2")
     )
     assert "t1" in [item.group for item in fake_log.recorded]
     assert fake_log.written == len(fake_log.recorded)
-    again = coordinator.ask(
-        crashes.ask_trial(crashes.CASE, "t2", "engine-1", "engine-2")
+    again = coordinator.handle(
+        crashes.make_trial_query(crashes.PROMPT, "t2", "engine-1", "engine-2")
     )
     assert again.word == "busy"
 
@@ -49,22 +60,29 @@
 def test_endpoint_is_free_for_another_trial_at_the_first_token(
     coordinator, evidence_set
 ):
-    """Answers that an engine's death cut wait for each other for minutes.
+    """Guards against cut off answers that wait for each other for minutes.
 
-    The prompt itself is still tried once at a time.
+    After an engine's death each of its answers needs a trial.  The prompt
+    itself still has one trial at a time.
     """
-    evidence_set.merge(crashes.lost("engine-0"))
-    evidence_set.merge(crashes.lost("engine-0", case=crashes.OTHER))
-    coordinator.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
+    evidence_set.merge(crashes.make_loss("engine-0"))
+    evidence_set.merge(
+        crashes.make_loss("engine-0", prompt=crashes.OTHER_PROMPT)
+    )
+    coordinator.handle(
+        crashes.make_trial_query(crashes.PROMPT, "t1", "engine-1")
+    )
     evidence_set.merge(evidence.TrialPassed("t1", evidence_set.now_ms()))
     assert (
-        coordinator.ask(
-            crashes.ask_trial(crashes.OTHER, "t2", "engine-1")
+        coordinator.handle(
+            crashes.make_trial_query(crashes.OTHER_PROMPT, "t2", "engine-1")
         ).word
         == "granted"
     )
     assert (
-        coordinator.ask(crashes.ask_trial(crashes.CASE, "t3", "engine-2")).word
+        coordinator.handle(
+            crashes.make_trial_query(crashes.PROMPT, "t3", "engine-2")
+        ).word
         == "busy"
     )
 
@@ -73,97 +91,120 @@
     coordinator: trial_coordinator.TrialCoordinator,
     evidence_set: condemnation.EvidenceSet,
 ) -> None:
-    """Let a suspect get past where it was cut, at ``engine-1``."""
-    evidence_set.merge(crashes.lost("engine-0"))
-    evidence_set.merge(crashes.lost("engine-0", case=crashes.OTHER))
-    coordinator.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
+    """Make two prompts suspect, and pass the trial of the first.
+
+    Its trial runs at ``engine-1``.
+    """
+    evidence_set.merge(crashes.make_loss("engine-0"))
+    evidence_set.merge(
+        crashes.make_loss("engine-0", prompt=crashes.OTHER_PROMPT)
+    )
+    coordinator.handle(
+        crashes.make_trial_query(crashes.PROMPT, "t1", "engine-1")
+    )
     evidence_set.merge(evidence.TrialPassed("t1", evidence_set.now_ms()))
 
 
 def test_trial_begins_where_no_suspect_runs(coordinator, evidence_set):
-    """An innocent prompt is condemned with the one it runs beside.
+    """Guards against condemning a harmless prompt for another's trial.
 
-    Its trial passed, so its endpoint takes another trial while it runs on;
-    the other prompt crashes that endpoint too.
+    The harmless prompt's trial has passed, so its endpoint is free for
+    another trial while it is still running.  The other prompt crashes that
+    endpoint.
     """
     pass_first_trial(coordinator, evidence_set)
-    answer = coordinator.ask(
-        crashes.ask_trial(crashes.OTHER, "t2", "engine-1", "engine-2")
+    answer = coordinator.handle(
+        crashes.make_trial_query(
+            crashes.OTHER_PROMPT, "t2", "engine-1", "engine-2"
+        )
     )
     assert answer.endpoint == "engine-2"
 
 
-@pytest.mark.parametrize("told_first", ["t1", "t2"])
-def test_passed_trial_is_not_condemned_with_the_one_beside_it(
-    coordinator, evidence_set, told_first
+@pytest.mark.parametrize("reported_first", ["t1", "t2"])
+def test_loss_shared_with_an_unpassed_trial_does_not_count(
+    coordinator, evidence_set, reported_first
 ):
-    """An innocent prompt loses its second endpoint to another's trial.
+    """Guards against condemning a harmless prompt for another's trial.
 
-    All other endpoints have trials, so both run at one.  In whichever
-    order the losses are told, only the prompt whose trial had not passed
-    is refused.
+    All other endpoints have trials, so both prompts run at one endpoint,
+    which dies.  In whichever order the losses are reported, only the prompt
+    whose trial had not passed is condemned.
     """
     pass_first_trial(coordinator, evidence_set)
-    coordinator.ask(crashes.ask_trial(crashes.OTHER, "t2", "engine-1"))
+    coordinator.handle(
+        crashes.make_trial_query(crashes.OTHER_PROMPT, "t2", "engine-1")
+    )
     losses = [
-        crashes.lost("engine-1", "t1"),
-        crashes.lost("engine-1", "t2", crashes.OTHER),
+        crashes.make_loss("engine-1", "t1"),
+        crashes.make_loss("engine-1", "t2", crashes.OTHER_PROMPT),
     ]
-    losses.sort(key=lambda loss: loss.group != told_first)
+    losses.sort(key=lambda loss: loss.group != reported_first)
     for loss in losses:
         evidence_set.merge(loss)
         assert isinstance(
-            evidence_set.standing(crashes.CASE.fingerprint),
+            evidence_set.standing(crashes.PROMPT.fingerprint),
             condemnation.Suspect,
         )
     assert isinstance(
-        evidence_set.standing(crashes.OTHER.fingerprint),
+        evidence_set.standing(crashes.OTHER_PROMPT.fingerprint),
         condemnation.Condemned,
     )
 
 
-def test_trial_lost_alone_counts_though_it_had_passed(
+def test_loss_of_a_passed_trial_counts_without_another_trial(
     coordinator, evidence_set
 ):
-    """A prompt that crashes endpoints late is never refused."""
+    """Guards against never refusing a prompt that crashes endpoints late."""
     pass_first_trial(coordinator, evidence_set)
-    evidence_set.merge(crashes.lost("engine-1", "t1"))
+    evidence_set.merge(crashes.make_loss("engine-1", "t1"))
     assert isinstance(
-        evidence_set.standing(crashes.CASE.fingerprint), condemnation.Condemned
+        evidence_set.standing(crashes.PROMPT.fingerprint),
+        condemnation.Condemned,
     )
 
 
-def test_trial_whose_answer_was_lost_is_granted_again(
+def test_trial_whose_reply_was_lost_is_granted_again(
     coordinator, evidence_set
 ):
-    evidence_set.merge(crashes.lost("engine-0"))
-    ask = crashes.ask_trial(crashes.CASE, "t1", "engine-1")
-    assert coordinator.ask(ask) == coordinator.ask(ask)
+    evidence_set.merge(crashes.make_loss("engine-0"))
+    query = crashes.make_trial_query(crashes.PROMPT, "t1", "engine-1")
+    assert coordinator.handle(query) == coordinator.handle(query)
 
 
-def test_trial_that_ended_unnoticed_counts(
+def test_unreported_loss_of_a_trial_counts(
     coordinator, evidence_set, endpoints
 ):
-    """All agents are replaced as a trial takes down its engine."""
-    evidence_set.merge(crashes.lost("engine-0"))
-    coordinator.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
+    """Guards against one more trial after all agents are replaced.
+
+    The agents are replaced at the time when a trial takes down its engine,
+    so that no agent reports the loss.
+    """
+    evidence_set.merge(crashes.make_loss("engine-0"))
+    coordinator.handle(
+        crashes.make_trial_query(crashes.PROMPT, "t1", "engine-1")
+    )
     endpoints.dead.add("engine-1")
-    answer = coordinator.ask(crashes.ask_trial(crashes.CASE, "t2", "engine-2"))
+    answer = coordinator.handle(
+        crashes.make_trial_query(crashes.PROMPT, "t2", "engine-2")
+    )
     assert answer.word == "condemned"
 
 
 def test_trial_that_is_not_in_the_log_does_not_begin(
     coordinator, evidence_set, fake_log
 ):
-    """A third engine is crashes.lost as all agents are replaced.
+    """Guards against the loss of a third engine while agents are replaced.
 
-    The log answers late on a busy machine.  The trial takes down its
-    engine before it is written, and the agents that knew of it are gone.
+    The log replies late on a busy machine.  The trial takes down its engine
+    before it is written, and the agents that know of it are replaced.
     """
-    evidence_set.merge(crashes.lost("engine-0"))
-    fake_log.late = True
+    evidence_set.merge(crashes.make_loss("engine-0"))
+    fake_log.slow = True
     assert (
-        coordinator.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1")).word
+        coordinator.handle(
+            crashes.make_trial_query(crashes.PROMPT, "t1", "engine-1")
+        ).word
         == "busy"
     )
     assert evidence_set.running_trials() == []
@@ -172,62 +213,73 @@
 def test_loss_is_in_the_log_before_the_trial(
     coordinator, evidence_set, fake_log
 ):
-    """A third engine is crashes.lost as all agents are replaced.
+    """Guards against the loss of a third engine while agents are replaced.
 
-    The agent that saw the first loss told the keeper of trials, and is
-    gone before its own record was written.
+    The agent that observed the first loss reports it to the trial
+    coordinator, and is replaced before its own record is written.
     """
-    evidence_set.merge(crashes.lost("engine-0", "first"))
-    coordinator.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
-    noted = [item.group for item in fake_log.recorded[: fake_log.written]]
-    assert noted == ["first", "t1"]
+    evidence_set.merge(crashes.make_loss("engine-0", "first"))
+    coordinator.handle(
+        crashes.make_trial_query(crashes.PROMPT, "t1", "engine-1")
+    )
+    groups = [item.group for item in fake_log.recorded[: fake_log.written]]
+    assert groups == ["first", "t1"]
+
 
+def test_coordinator_merges_the_evidence_of_a_query(coordinator, evidence_set):
+    """Guards against a new coordinator that does not know of the loss.
 
-def test_keeper_learns_the_loss_from_who_asks(coordinator, evidence_set):
-    """The agent that kept the trials dies; the next one knows of nothing."""
-    item = crashes.lost("engine-0")
-    ask = dataclasses.replace(
-        crashes.ask_trial(crashes.CASE, "t1", "engine-1"),
+    The agent that coordinated the trials dies, and the next one has no
+    evidence of its own yet.
+    """
+    item = crashes.make_loss("engine-0")
+    query = dataclasses.replace(
+        crashes.make_trial_query(crashes.PROMPT, "t1", "engine-1"),
         items=records.encode_items([item]),
     )
-    assert coordinator.ask(ask).word == "granted"
-    assert evidence_set.of_prompt(crashes.CASE.fingerprint) == [item]
+    assert coordinator.handle(query).word == "granted"
+    assert evidence_set.items_of(crashes.PROMPT.fingerprint) == [item]
 
 
 @pytest.mark.parametrize(
     "other",
     [
-        pytest.param((crashes.CASE, "engine-2"), id="same prompt"),
-        pytest.param((crashes.OTHER, "engine-1"), id="same endpoint"),
+        pytest.param((crashes.PROMPT, "engine-2"), id="same prompt"),
+        pytest.param((crashes.OTHER_PROMPT, "engine-1"), id="same endpoint"),
     ],
 )
-def test_second_keepers_later_trial_is_withdrawn(
+def test_later_trial_of_a_second_coordinator_is_withdrawn(
     coordinator, evidence_set, fake_log, other
 ):
-    """A suspect takes down two engines at once, or an innocent with it.
+    """Guards against concurrent trials of one prompt or at one endpoint.
 
-    The keeper of trials was restarted; some agents ask it, some the one
-    that kept them in between.  Both grant a trial, the log tells whose
-    came first.
+    The trial coordinator is restarted; some agents query it, others the one
+    that replaced it.  Both grant a trial, and the order of the log decides.
+    Otherwise a suspect could take down two engines at once, or a harmless
+    prompt could be condemned along with it.
     """
-    case, endpoint = other
-    rival = evidence.Trial(
-        case.fingerprint,
+    prompt, endpoint = other
+    earlier = evidence.Trial(
+        prompt.fingerprint,
         "north",
         "draft",
         endpoint,
-        "rival",
+        "earlier",
         evidence_set.now_ms(),
     )
 
     def read_back(trial, timeout_s: float) -> bool:
-        evidence_set.merge(rival)
-        evidence_set.note_order(rival, (1, 0))
-        evidence_set.note_order(trial, (2, 0))
+        evidence_set.merge(earlier)
+        evidence_set.record_position(earlier, (1, 0))
+        evidence_set.record_position(trial, (2, 0))
         return True
 
     fake_log.wait_in_log = read_back
-    evidence_set.merge(crashes.lost("engine-0"))
-    answer = coordinator.ask(crashes.ask_trial(crashes.CASE, "t1", "engine-1"))
+    evidence_set.merge(crashes.make_loss("engine-0"))
+    answer = coordinator.handle(
+        crashes.make_trial_query(crashes.PROMPT, "t1", "engine-1")
+    )
     assert answer.word == "busy"
-    assert [one.group for one in evidence_set.running_trials()] == ["rival"]
+    assert [running.group for running in evidence_set.running_trials()] == [
+        "earlier"
+    ]
