--- a/src/briarseam/admission/dispatch.py
+++ b/src/briarseam/admission/dispatch.py
@@ -1,8 +1,8 @@
-"""Granting prompts their engines: at once, after a fair wait, or never.
+"""Dispatch of prompts to engines, with fair queueing and early refusal.
 
-Engines are kept just busy: what they have no slot for waits here, where an
-organisation's burst can be kept from delaying the others.  A waiting
-request is refused as soon as it is clear that it will come too late.
+Engines get only slightly more runs than they have slots; other prompts are
+queued here, where a burst of one organisation does not delay the others.  A
+queued prompt is refused as soon as its deadline can no longer be met.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
     from briarseam.admission import retry_schedule
     from briarseam.configuration import schema
 
-TICK_S = 0.02
-# What one engine may have waiting, as a part of its slots, so that it has
-# the next run at hand when one ends.
-ENGINE_QUEUE_PART = 0.25
+POLL_INTERVAL_S = 0.02
+# Runs that may be queued at one engine, as a share of its slots, so that the
+# next run can begin as soon as one ends.
+ENGINE_QUEUE_SHARE = 0.25
 MIN_COST_S = 0.01
 Outcome = routing.Choice | verdict.NotRun
 log = structlog.get_logger("briarseam.admission")
 
 
 class Engines(typing.Protocol):
-    """What the dispatcher needs from routing."""
+    """Routing, as the dispatcher uses it."""
 
     def choose_engine(
         self, query: routing.PromptQuery
@@ -41,60 +41,60 @@
         """Return the engine for a prompt."""
 
     def has_room(self, choice: routing.Choice, share: float) -> bool:
-        """Tell whether a choice's engine has a slot, or nearly."""
+        """Return whether a choice's engine has a slot or a queue place."""
 
     def run_s(self, model: str) -> float:
-        """Return how long a run takes a slot."""
+        """Return how long a run occupies a slot, in seconds."""
 
     def slots(self, model: str) -> int:
-        """Return the slots of all engines of a model."""
+        """Return the number of slots of all engines of a model."""
 
 
 @dataclasses.dataclass(eq=False)
 class Waiter:
-    """One prompt that wants an engine.
+    """One prompt that needs an engine.
 
     Attributes
     ----------
-    ask
-        The prompt.
+    query
+        The prompt, as routing needs it.
     rank
         Its priority and deadline.
-    start
-        Counts the run in at its engine.
-    least_s
-        Predicted time to first token once it has a slot.
-    settled
-        Set once ``outcome`` is there.
+    on_grant
+        Called with the choice when the prompt gets an engine.
+    min_first_token_s
+        Predicted time to first token without queueing, in seconds.
+    resolved
+        Set once ``outcome`` is set.
     outcome
-        The engine, or why there is none.
+        The chosen engine or the refusal.
     """
 
-    ask: routing.PromptQuery
+    query: routing.PromptQuery
     rank: fair_queue.Rank
-    start: typing.Callable[[routing.Choice], None]
-    least_s: float = 0.0
-    settled: threading.Event = dataclasses.field(
+    on_grant: typing.Callable[[routing.Choice], None]
+    min_first_token_s: float = 0.0
+    resolved: threading.Event = dataclasses.field(
         default_factory=threading.Event
     )
     outcome: Outcome | None = None
 
-    def settle(self, outcome: Outcome) -> None:
-        """Give the waiting thread its outcome."""
+    def resolve(self, outcome: Outcome) -> None:
+        """Set the outcome and wake the waiting thread."""
         self.outcome = outcome
-        self.settled.set()
+        self.resolved.set()
 
 
 @dataclasses.dataclass(frozen=True)
 class Bounds:
-    """How much may wait at this agent.
+    """Limits on the prompts queued at this agent.
 
     Attributes
     ----------
     max_queued
-        Requests.
+        Limit over all organisations.
     max_queued_per_organisation
-        Requests of one organisation.
+        Limit for each organisation.
     """
 
     max_queued: int
@@ -105,20 +105,20 @@
 
 
 class Dispatcher:
-    """Grants prompts; thread-safe.
+    """Assigns prompts to engines; thread-safe.
 
     Parameters
     ----------
     engines
         Routing.
     view
-        Present configuration, for the weights.
+        Returns the current configuration, for the weights.
     schedule
-        When refused callers should come back.
+        Assigns the retry times of refused callers.
     bounds
-        How much may wait.
+        Limits on the queue.
     clock
-        Monotonic seconds.
+        Returns monotonic time in seconds.
     """
 
     def __init__(
@@ -139,44 +139,44 @@
         self.stopping = threading.Event()
         self.wake = threading.Event()
         self.thread = threading.Thread(
-            target=self.work, name="dispatch", daemon=True
+            target=self.run, name="dispatch", daemon=True
         )
 
     def start(self) -> None:
-        """Begin to look after those who wait."""
+        """Start the thread that serves the queues."""
         self.thread.start()
 
     def stop(self) -> None:
-        """Refuse those who wait, and stop."""
+        """Stop the thread, which refuses all queued prompts."""
         self.stopping.set()
         self.wake.set()
 
     def queued_count(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of queued prompts."""
         with self.lock:
             return sum(len(queue) for queue in self.queues.values())
 
     def place(self, waiter: Waiter) -> routing.Choice:
-        """Return the engine for a prompt, after a wait if need be.
+        """Return the engine for a prompt, waiting in the queue if needed.
 
         Raises
         ------
         verdict.RefusalError
-            At once when it is clear that there will be none in time.
+            As soon as the prompt can't get an engine before its deadline.
         """
         with self.lock:
-            queue = self.queue(waiter.ask.model)
-            if len(queue) or not self.serve(queue, waiter):
-                self.check_wait(queue, waiter)
-                queue.push(self.lane(waiter.ask), waiter.rank, waiter)
+            queue = self.queue(waiter.query.model)
+            if len(queue) or not self.try_grant(queue, waiter):
+                self.check_queueable(queue, waiter)
+                queue.push(self.flow_of(waiter.query), waiter.rank, waiter)
                 self.wake.set()
-        waiter.settled.wait()
+        waiter.resolved.wait()
         match waiter.outcome:
             case routing.Choice() as choice:
                 return choice
-            case verdict.NotRun() as given:
-                raise verdict.RefusalError(given)
-        raise AssertionError("a settled waiter without an outcome")
+            case verdict.NotRun() as refusal:
+                raise verdict.RefusalError(refusal)
+        raise AssertionError("resolved waiter has no outcome")
 
     def queue(self, model: str) -> Queue:
         """Return the queue of a model."""
@@ -184,62 +184,72 @@
             self.queues[model] = Queue(self.weight)
         return self.queues[model]
 
-    def lane(self, ask: routing.PromptQuery) -> str:
-        """Return the lane in which a prompt waits.
+    def flow_of(self, query: routing.PromptQuery) -> str:
+        """Return the flow in which a prompt is queued.
 
-        Its organisation's; by ``arrival`` there is one without a name.
+        It is the organisation's, or a single unnamed one when the queueing
+        policy is ``arrival``.
         """
         fair = self.view().routing.queueing == "fair"
-        return ask.organisation if fair else ""
+        return query.organisation if fair else ""
 
     def weight(self, organisation: str) -> float:
         """Return an organisation's weight."""
-        found = self.view().organisations.get(organisation)
-        return found.weight if found else 1.0
+        settings = self.view().organisations.get(organisation)
+        return settings.weight if settings else 1.0
 
-    def serve(self, queue: Queue, waiter: Waiter) -> bool:
-        """Settle a waiter if that can be done now; charge for a grant."""
-        choice = self.engines.choose_engine(waiter.ask)
+    def try_grant(self, queue: Queue, waiter: Waiter) -> bool:
+        """Grant or refuse a waiter; return false if it has to wait.
+
+        A grant is charged to the waiter's flow.
+        """
+        choice = self.engines.choose_engine(waiter.query)
         if isinstance(choice, routing.NoChoice):
             wait_s = self.schedule.assign(choice.retry_after_s)
-            waiter.settle(refusals.no_endpoint(choice.detail, wait_s))
+            waiter.resolve(refusals.no_endpoint(choice.detail, wait_s))
             return True
-        waiter.least_s = choice.first_token_s - choice.wait_s
+        waiter.min_first_token_s = choice.first_token_s - choice.wait_s
         late_s = self.lateness_s(waiter, choice.first_token_s)
         if late_s > 0:
-            waiter.settle(self.too_late(choice.first_token_s, late_s))
+            waiter.resolve(self.too_late(choice.first_token_s, late_s))
             return True
-        # One that may go to a single engine waits there if need be: at the
-        # head of the queue here it would hold up those for other engines.
-        if not waiter.ask.required_endpoint and not self.engines.has_room(
-            choice, ENGINE_QUEUE_PART
+        # A prompt bound to one engine waits at that engine: at the head of
+        # this queue it would block prompts that can use other engines.
+        if not waiter.query.required_endpoint and not self.engines.has_room(
+            choice, ENGINE_QUEUE_SHARE
         ):
             return False
-        waiter.start(choice)
-        queue.charge(self.lane(waiter.ask), self.cost_s(choice))
-        waiter.settle(choice)
+        waiter.on_grant(choice)
+        queue.charge(self.flow_of(waiter.query), self.cost_s(choice))
+        waiter.resolve(choice)
         return True
 
     def cost_s(self, choice: routing.Choice) -> float:
-        """Return the slot time that a run is charged with."""
+        """Return the slot time charged for a run, in seconds."""
         run_s = self.engines.run_s(choice.model)
         return max(run_s, choice.first_token_s - choice.wait_s, MIN_COST_S)
 
     def lateness_s(self, waiter: Waiter, first_token_s: float) -> float:
-        """Return by how much a first token would miss the deadline."""
+        """Return by how many seconds a first token misses the deadline."""
         return self.clock() + first_token_s - waiter.rank.deadline_at
 
     def too_late(self, first_token_s: float, late_s: float) -> verdict.NotRun:
-        """Return the refusal of a prompt that would miss its deadline."""
+        """Return the refusal of a prompt that misses its deadline."""
         return refusals.too_late(first_token_s, self.schedule.assign(late_s))
 
-    def check_wait(self, queue: Queue, waiter: Waiter) -> None:
-        """Refuse at once what would wait too long, or too many."""
-        lane = self.lane(waiter.ask)
-        own = queue.waiting(lane)
+    def check_queueable(self, queue: Queue, waiter: Waiter) -> None:
+        """Refuse a prompt if the queue is full or its wait too long.
+
+        Raises
+        ------
+        verdict.RefusalError
+            When the prompt can't be queued.
+        """
+        flow = self.flow_of(waiter.query)
+        queued = queue.queued_count(flow)
         full = (
             len(queue) >= self.bounds.max_queued
-            or (lane and own >= self.bounds.max_queued_per_organisation)
+            or (flow and queued >= self.bounds.max_queued_per_organisation)
             or self.stopping.is_set()
         )
         wait_s = self.expected_wait_s(queue, waiter)
@@ -252,89 +262,92 @@
             raise verdict.RefusalError(self.too_late(wait_s, late_s))
 
     def expected_wait_s(self, queue: Queue, waiter: Waiter) -> float:
-        """Return how long a request that comes now would wait here.
+        """Return the expected queueing time of a new prompt, in seconds.
 
-        Its organisation is served in the proportion of its weight among
-        those that wait, whatever the others have queued.
+        Its organisation is served in proportion to its weight among the
+        backlogged organisations, however many prompts the others have
+        queued.
         """
-        lane = self.lane(waiter.ask)
-        model = waiter.ask.model
-        active = {*queue.active(), lane}
-        share = self.weight(lane) / sum(map(self.weight, active))
-        by_share = (queue.waiting(lane) + 1) / share
-        ahead = min(by_share, len(queue) + 1)
-        return ahead * self.engines.run_s(model) / self.engines.slots(model)
-
-    def note_end(self, whole: bool = True) -> None:
-        """Take in that a run has ended somewhere.
-
-        Guard: while endpoints are lost, runs end by failing, many times as
-        fast as they are served.  Taken for the rate of service, that would
-        bring those who were refused back in a peak after the outage.
+        flow = self.flow_of(waiter.query)
+        model = waiter.query.model
+        backlogged = {*queue.backlogged(), flow}
+        share = self.weight(flow) / sum(map(self.weight, backlogged))
+        by_share = (queue.queued_count(flow) + 1) / share
+        position = min(by_share, len(queue) + 1)
+        return position * self.engines.run_s(model) / self.engines.slots(model)
+
+    def record_end(self, complete: bool = True) -> None:
+        """Record the end of a run and retry the queue heads.
+
+        Guard: during an outage of endpoints runs fail many times faster
+        than they are normally served.  Only completed runs count towards
+        the service rate; otherwise the refused callers would be told to
+        return in one peak after the outage.
 
         Parameters
         ----------
-        whole
-            Whether it gave its whole answer.
+        complete
+            Whether the run gave its complete answer.
         """
-        if whole:
-            self.schedule.note_end()
+        if complete:
+            self.schedule.record_end()
         self.wake.set()
 
-    def work(self) -> None:
-        """Grant and refuse those who wait, until stopped."""
+    def run(self) -> None:
+        """Grant and refuse queued prompts until stopped."""
         while not self.stopping.is_set():
             self.wake.wait()
             self.wake.clear()
             with self.lock:
                 for queue in self.queues.values():
-                    self.drain(queue)
+                    self.grant_queued(queue)
                     self.refuse_late(queue)
-                    queue.forget_idle()
-                left = any(len(queue) for queue in self.queues.values())
-            if left:
-                # Slots also fall free at other agents, and load reports
-                # come without a wake-up.
-                self.wake.wait(TICK_S)
+                    queue.remove_idle()
+                any_queued = any(len(queue) for queue in self.queues.values())
+            if any_queued:
+                # Slots freed by other agents and new load reports don't set
+                # the event, so the queues are also polled.
+                self.wake.wait(POLL_INTERVAL_S)
                 self.wake.set()
         self.refuse_all()
 
-    def drain(self, queue: Queue) -> None:
-        """Serve in fair order as far as there is room."""
+    def grant_queued(self, queue: Queue) -> None:
+        """Grant queued prompts in fair order while engines have room."""
         while (head := queue.head()) is not None:
             organisation, waiter = head
-            if not self.serve_head(queue, organisation, waiter):
+            if not self.try_grant_head(queue, organisation, waiter):
                 return
 
-    def serve_head(
+    def try_grant_head(
         self, queue: Queue, organisation: str, waiter: Waiter
     ) -> bool:
-        """Serve the head of the queue; false when there is no room."""
+        """Grant or refuse the queue's head; return false if it must wait."""
         try:
-            served = self.serve(queue, waiter)
+            resolved = self.try_grant(queue, waiter)
         except Exception:
-            # Guard: one thread serves all that wait.  An error over one
-            # request would end it, and every other would wait for ever.
-            log.exception("choice_failed", model=waiter.ask.model)
-            waiter.settle(refusals.not_placed())
-            served = True
-        if served:
+            # Guard: one thread serves all queues.  If an error while
+            # choosing for one prompt ended it, all others would wait
+            # forever.
+            log.exception("choice_failed", model=waiter.query.model)
+            waiter.resolve(refusals.not_placed())
+            resolved = True
+        if resolved:
             queue.pop(organisation)
-        return served
+        return resolved
 
     def refuse_late(self, queue: Queue) -> None:
-        """Refuse at once those whose deadline cannot be made any more."""
+        """Refuse queued prompts whose deadline can no longer be met."""
         for organisation, waiter in queue.items():
-            late_s = self.lateness_s(waiter, waiter.least_s)
+            late_s = self.lateness_s(waiter, waiter.min_first_token_s)
             if late_s <= 0:
                 continue
             queue.remove(organisation, waiter)
-            waiter.settle(self.too_late(waiter.least_s, late_s))
+            waiter.resolve(self.too_late(waiter.min_first_token_s, late_s))
 
     def refuse_all(self) -> None:
-        """Refuse those who wait at an agent that stops."""
+        """Refuse all queued prompts because the agent is stopping."""
         with self.lock:
             for queue in self.queues.values():
                 for organisation, waiter in queue.items():
                     queue.remove(organisation, waiter)
-                    waiter.settle(refusals.leaving())
+                    waiter.resolve(refusals.leaving())
--- a/src/briarseam/admission/fair_queue.py
+++ b/src/briarseam/admission/fair_queue.py
@@ -1,8 +1,9 @@
 """Start-time fair queueing over organisations, then priority and deadline.
 
-Each organisation has a virtual time that moves on by the cost of what it
-was served, over its weight.  Whoever is behind is served next, so a burst
-of one organisation waits behind itself and not in front of the others.
+Each organisation is a flow.  A grant advances the flow's finish tag by its
+cost divided by the organisation's weight, and the backlogged flow with the
+smallest start tag is served next, so a burst of one organisation delays only
+its own requests.
 """
 
 from __future__ import annotations
@@ -17,14 +18,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Rank:
-    """What orders an organisation's own waiting requests.
+    """Sort key of the queued requests of one organisation.
 
     Attributes
     ----------
     priority
-        0 high to 9 low.
+        0 (high) to 9 (low).
     deadline_at
-        Monotonic time after which a first token is of no use.
+        Monotonic time by which the first token is needed.
     """
 
     priority: int
@@ -34,117 +35,117 @@
 Item = typing.TypeVar("Item")
 
 
-class Lane(typing.Generic[Item]):
-    """The waiting requests of one organisation."""
+class Flow(typing.Generic[Item]):
+    """The queued requests of one organisation."""
 
     def __init__(self) -> None:
         self.heap: list[tuple[int, float, int, Item]] = []
-        self.finish = 0.0
+        self.finish_tag = 0.0
 
 
 class FairQueue(typing.Generic[Item]):
-    """Waiting requests; not safe for several threads.
+    """Queued requests of all organisations; not thread-safe.
 
     Parameters
     ----------
     weight_of
-        Weight of an organisation.
+        Returns the weight of an organisation.
     """
 
     def __init__(self, weight_of: typing.Callable[[str], float]) -> None:
         self.weight_of = weight_of
-        self.lanes: dict[str, Lane[Item]] = {}
-        self.virtual = 0.0
+        self.flows: dict[str, Flow[Item]] = {}
+        self.virtual_time = 0.0
         self.sequence = itertools.count()
         self.size = 0
 
     def __len__(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of queued requests."""
         return self.size
 
-    def waiting(self, organisation: str) -> int:
-        """Return how many of one organisation's requests wait."""
-        lane = self.lanes.get(organisation)
-        return len(lane.heap) if lane else 0
+    def queued_count(self, organisation: str) -> int:
+        """Return the number of queued requests of one organisation."""
+        flow = self.flows.get(organisation)
+        return len(flow.heap) if flow else 0
 
-    def active(self) -> list[str]:
-        """Return the organisations that have requests waiting."""
-        return [name for name, lane in self.lanes.items() if lane.heap]
+    def backlogged(self) -> list[str]:
+        """Return the organisations that have queued requests."""
+        return [name for name, flow in self.flows.items() if flow.heap]
 
     def push(self, organisation: str, rank: Rank, item: Item) -> None:
-        """Let a request wait."""
-        lane = self.lanes.setdefault(organisation, Lane())
+        """Queue a request."""
+        flow = self.flows.setdefault(organisation, Flow())
         entry = (rank.priority, rank.deadline_at, next(self.sequence), item)
-        heapq.heappush(lane.heap, entry)
+        heapq.heappush(flow.heap, entry)
         self.size += 1
 
     def head(self) -> tuple[str, Item] | None:
-        """Return whose turn it is, without taking it out."""
-        active = self.active()
-        if not active:
+        """Return the next request and its organisation; don't remove it."""
+        backlogged = self.backlogged()
+        if not backlogged:
             return None
-        organisation = min(active, key=self.start_of)
-        return organisation, self.lanes[organisation].heap[0][3]
+        organisation = min(backlogged, key=self.start_tag)
+        return organisation, self.flows[organisation].heap[0][3]
 
-    def start_of(self, organisation: str) -> float:
+    def start_tag(self, organisation: str) -> float:
         """Return the virtual time at which an organisation is served next.
 
-        One that was idle starts at the present and not where it left off:
-        saved-up idle time would let it starve the others afterwards.
+        A flow that was idle starts at the current virtual time and not at
+        its finish tag: credit for idle time would let it starve the others.
         """
-        return max(self.lanes[organisation].finish, self.virtual)
+        return max(self.flows[organisation].finish_tag, self.virtual_time)
 
     def pop(self, organisation: str) -> Item:
-        """Take out an organisation's first request."""
+        """Remove and return the first request of an organisation."""
         self.size -= 1
-        return heapq.heappop(self.lanes[organisation].heap)[3]
+        return heapq.heappop(self.flows[organisation].heap)[3]
 
     def charge(self, organisation: str, cost_s: float) -> None:
-        """Charge an organisation for a run that it was granted.
+        """Charge an organisation for a granted run.
 
         Parameters
         ----------
         organisation
-            Whose run.
+            The organisation that the run belongs to.
         cost_s
-            Slot time of the run.
+            Slot time of the run, in seconds.
         """
-        lane = self.lanes.setdefault(organisation, Lane())
+        flow = self.flows.setdefault(organisation, Flow())
         weight = max(self.weight_of(organisation), MIN_WEIGHT)
-        self.virtual = max(lane.finish, self.virtual)
-        lane.finish = self.virtual + cost_s / weight
+        self.virtual_time = max(flow.finish_tag, self.virtual_time)
+        flow.finish_tag = self.virtual_time + cost_s / weight
 
     def remove(self, organisation: str, item: Item) -> bool:
-        """Take out a request that gives up; tell whether it waited."""
-        lane = self.lanes.get(organisation)
-        if lane is None:
+        """Remove a request; return whether it was queued."""
+        flow = self.flows.get(organisation)
+        if flow is None:
             return False
-        kept = [entry for entry in lane.heap if entry[3] is not item]
-        if len(kept) == len(lane.heap):
+        remaining = [entry for entry in flow.heap if entry[3] is not item]
+        if len(remaining) == len(flow.heap):
             return False
-        heapq.heapify(kept)
-        lane.heap = kept
+        heapq.heapify(remaining)
+        flow.heap = remaining
         self.size -= 1
         return True
 
     def items(self) -> list[tuple[str, Item]]:
-        """Return all that wait, in no order."""
+        """Return all queued requests with their organisations, unordered."""
         return [
             (name, entry[3])
-            for name, lane in self.lanes.items()
-            for entry in lane.heap
+            for name, flow in self.flows.items()
+            for entry in flow.heap
         ]
 
-    def forget_idle(self) -> None:
-        """Drop lanes that are empty and not ahead of the present.
+    def remove_idle(self) -> None:
+        """Remove empty flows whose finish tag is not ahead of virtual time.
 
-        Without it every organisation ever seen would keep a lane; one that
-        is not ahead is served the same with a fresh lane.
+        A new flow is served the same as one of these; keeping them would use
+        memory for each organisation that ever sent a request.
         """
         idle = [
             name
-            for name, lane in self.lanes.items()
-            if not lane.heap and lane.finish <= self.virtual
+            for name, flow in self.flows.items()
+            if not flow.heap and flow.finish_tag <= self.virtual_time
         ]
         for name in idle:
-            del self.lanes[name]
+            del self.flows[name]
--- a/src/briarseam/admission/placing.py
+++ b/src/briarseam/admission/placing.py
@@ -1,4 +1,4 @@
-"""Placing admitted requests at endpoints, and following their runs."""
+"""Placement of admitted requests at endpoints, and tracking of their runs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from briarseam.admission import answer_id
 from briarseam.admission import dispatch
 from briarseam.admission import fair_queue
-from briarseam.admission import limits as limit_module
+from briarseam.admission import limits as organisation_limits
 from briarseam.admission import messages
 from briarseam.admission import refusals
 from briarseam.admission import retry_budgets
@@ -29,7 +29,7 @@
 RUN_ID_BYTES = 12
 MS = 1000.0
 Request = messages.Admit | messages.AdmitCall
-FAILED = (
+FAILED_RESULTS = (
     messages.RunResult.NOT_SENT,
     messages.RunResult.REFUSED,
     messages.RunResult.LOST_BEFORE_FIRST,
@@ -37,48 +37,49 @@
 
 
 class Chooser(dispatch.Engines, typing.Protocol):
-    """What placing needs from routing."""
+    """Routing, as the placer uses it."""
 
     def choose_service(
-        self, query: routing.CallQuery
+        self, ask: routing.CallQuery
     ) -> routing.Choice | routing.NoChoice:
         """Return the endpoint for a call."""
 
     def prepare(
         self, run_id: str, choice: routing.Choice, max_s: float
     ) -> cache.Imported:
-        """Import what the choice's plan says, before the run is granted."""
+        """Import the blocks of the choice's plan before the run begins."""
 
     def record_start(self, run_id: str, choice: routing.Choice) -> None:
-        """Count a run in."""
+        """Record the start of a run."""
 
     def record_first_token(self, run_id: str, cached_tokens: int) -> None:
-        """Learn from a run's first token."""
+        """Record the first token of a run."""
 
     def record_end(
         self, run_id: str, complete: bool, failed: bool = False
     ) -> None:
-        """Count a run out."""
+        """Record the end of a run."""
 
 
 @dataclasses.dataclass(frozen=True)
 class PlacerParts:
-    """What placing works with, wired by ``compose``.
+    """Dependencies of the placer, wired by ``compose``.
 
     Attributes
     ----------
     view
-        Present configuration.
+        Returns the current configuration.
     chooser
         Routing.
     dispatcher
-        Fair waiting in front of the engines.
+        Queues prompts for the engines.
     kept
         The kept cache.
     limits, budgets, schedule
-        Limits and retry budgets of organisations; when to return.
+        Limits and retry budgets of organisations; retry times of refused
+        requests.
     max_in_flight
-        Most requests running through this instance.
+        Limit on the requests that run through this instance.
     key
         Shared key, for answer ids.
     home
@@ -89,7 +90,7 @@
     chooser: Chooser
     dispatcher: dispatch.Dispatcher
     kept: kept_cache.KeptCache
-    limits: limit_module.Limits
+    limits: organisation_limits.Limits
     budgets: retry_budgets.RetryBudgets
     schedule: retry_schedule.RetrySchedule
     max_in_flight: int
@@ -98,7 +99,7 @@
 
 
 class Placer:
-    """Grants endpoints and keeps the table of granted runs."""
+    """Grants requests an endpoint and keeps the table of granted runs."""
 
     def __init__(self, parts: PlacerParts) -> None:
         self.parts = parts
@@ -109,28 +110,29 @@
         organisation: str,
         request: messages.Admit,
         release: orders.Offer | None,
-        only: str = "",
+        required_endpoint: str = "",
     ) -> messages.Granted:
         """Grant a prompt an engine.
 
         Parameters
         ----------
         organisation
-            Whose prompt.
+            The caller's organisation.
         request
-            What was asked.
+            The entry's request.
         release
-            Weight version and adapter the run must use, if it must.
-        only
-            The one engine that may get it; empty for any.
+            Weight version and adapter that the run must use; ``None`` for
+            any.
+        required_endpoint
+            The one engine that may get the prompt; empty for any.
 
         Raises
         ------
         verdict.RefusalError
-            With the final verdict, at once.
+            When the prompt is refused.
         """
         accepted_at = time.monotonic()
-        self.enter(organisation, request)
+        self.check_limits(organisation, request)
         run = self.new_run(organisation, request)
         run = dataclasses.replace(
             run,
@@ -138,10 +140,10 @@
             session=request.session,
             chain=request.chain,
         )
-        priority = self.priority(organisation, request.priority)
+        priority = self.bounded_priority(organisation, request.priority)
         deadline_at = accepted_at + request.deadline_ms / MS
         waiter = dispatch.Waiter(
-            ask=routing.PromptQuery(
+            query=routing.PromptQuery(
                 organisation=organisation,
                 session=request.session,
                 model=request.model,
@@ -151,16 +153,16 @@
                 adapter=release.adapter if release else "",
                 excluded=frozenset(request.lost),
                 refused=frozenset(request.refused),
-                required_endpoint=only,
+                required_endpoint=required_endpoint,
             ),
             rank=fair_queue.Rank(priority, deadline_at),
-            start=lambda choice: self.start(run, choice),
+            on_grant=lambda choice: self.register_run(run, choice),
         )
         try:
             choice = self.parts.dispatcher.place(waiter)
         except Exception:
-            # Whatever it was: a request counted in for ever would shrink
-            # its organisation's limit until the agent is restarted.
+            # A request that is never counted out would reduce its
+            # organisation's limit until the agent is restarted.
             self.parts.limits.leave(organisation)
             raise
         self.parts.chooser.prepare(
@@ -171,7 +173,7 @@
     def grant_prompt(
         self, run_id: str, choice: routing.Choice, priority: int
     ) -> messages.Granted:
-        """Return the grant of a prompt that has its engine."""
+        """Return the grant of a prompt that was given an engine."""
         run = self.runs.get(run_id)
         assert run is not None
         return messages.Granted(
@@ -198,9 +200,9 @@
         Raises
         ------
         verdict.RefusalError
-            With the final verdict, at once.
+            When the call is refused.
         """
-        self.enter(organisation, request)
+        self.check_limits(organisation, request)
         choice = self.parts.chooser.choose_service(
             routing.CallQuery(
                 organisation, request.service, frozenset(request.lost)
@@ -213,7 +215,7 @@
                 refusals.no_endpoint(choice.detail, wait_s)
             )
         run = self.new_run(organisation, request)
-        self.start(run, choice)
+        self.register_run(run, choice)
         return messages.Granted(
             run_id=run.run_id,
             answer_id="",
@@ -224,8 +226,14 @@
             timeout_ms=int(service.timeout_ms),
         )
 
-    def enter(self, organisation: str, request: Request) -> None:
-        """Check limits and, for a retry, its budget."""
+    def check_limits(self, organisation: str, request: Request) -> None:
+        """Count a request in, or refuse it for a limit or a retry budget.
+
+        Raises
+        ------
+        verdict.RefusalError
+            When a limit is exceeded or the retry budget is spent.
+        """
         if len(self.runs) >= self.parts.max_in_flight:
             wait_s = self.parts.schedule.assign()
             raise verdict.RefusalError(refusals.overloaded(wait_s))
@@ -236,23 +244,23 @@
         elif not request.lost:
             self.parts.budgets.earn(organisation)
         match self.parts.limits.enter(organisation):
-            case limit_module.Exceeded(detail, retry_after_s):
+            case organisation_limits.Exceeded(detail, retry_after_s):
                 wait_s = self.parts.schedule.assign(retry_after_s)
                 raise verdict.RefusalError(refusals.throttled(detail, wait_s))
 
-    def priority(self, organisation: str, wanted: int) -> int:
-        """Return a request's priority within its organisation's limit."""
-        found = self.parts.view().organisations.get(organisation)
-        return max(found.priority, wanted) if found else wanted
+    def bounded_priority(self, organisation: str, requested: int) -> int:
+        """Return the requested priority, bounded by the organisation's."""
+        settings = self.parts.view().organisations.get(organisation)
+        return max(settings.priority, requested) if settings else requested
 
-    def new_run(self, organisation: str, request: Request) -> state.Running:
-        """Return a fresh run, not at any endpoint yet.
+    def new_run(self, organisation: str, request: Request) -> state.Run:
+        """Return a new run that has no endpoint yet.
 
-        An attempt that was claimed names its run, so that an engine,
-        which refuses a run id it has seen, starts it once even if the
-        network should deliver it twice.
+        The run id of a claimed attempt is the attempt's name.  An engine
+        refuses a run id that it has seen, so it starts the attempt only once
+        even if the network delivers the request twice.
         """
-        return state.Running(
+        return state.Run(
             run_id=request.attempt or secrets.token_hex(RUN_ID_BYTES),
             endpoint="",
             organisation=organisation,
@@ -267,11 +275,11 @@
             granted_at=time.monotonic(),
         )
 
-    def start(self, run: state.Running, choice: routing.Choice) -> None:
-        """Count a run in at its endpoint."""
+    def register_run(self, run: state.Run, choice: routing.Choice) -> None:
+        """Add a run to the table and record its start with routing."""
         sealed = ""
         if run.model:
-            names = answer_id.AnswerId(
+            identity = answer_id.AnswerId(
                 run.organisation,
                 choice.endpoint,
                 run.run_id,
@@ -280,7 +288,7 @@
                 self.parts.home,
                 choice.adapter,
             )
-            sealed = answer_id.seal(names, self.parts.key)
+            sealed = answer_id.seal(identity, self.parts.key)
         self.runs.add(
             dataclasses.replace(
                 run,
@@ -293,27 +301,27 @@
         self.parts.chooser.record_start(run.run_id, choice)
 
     def record_first_token(self, message: messages.RunStarted) -> None:
-        """Take in that a run's first token has come."""
+        """Record the first token of a run."""
         self.parts.chooser.record_first_token(
             message.run_id, message.cached_tokens
         )
 
-    def end_run(self, message: messages.RunEnded) -> state.Running | None:
-        """Take in how a run ended; ``None`` when it had ended before."""
+    def end_run(self, message: messages.RunEnded) -> state.Run | None:
+        """Remove and return a run; ``None`` when it ended earlier."""
         run = self.runs.pop(message.run_id)
         if run is None:
             return None
-        whole = message.result is messages.RunResult.DONE
-        failed = message.result in FAILED
-        self.parts.chooser.record_end(run.run_id, whole, failed)
+        complete = message.result is messages.RunResult.DONE
+        failed = message.result in FAILED_RESULTS
+        self.parts.chooser.record_end(run.run_id, complete, failed)
         self.parts.limits.leave(run.organisation)
-        self.parts.dispatcher.note_end(whole)
-        if whole:
-            self.keep(run)
+        self.parts.dispatcher.record_end(complete)
+        if complete:
+            self.offer_to_kept_cache(run)
         return run
 
     def withdraw(self, granted: messages.Granted) -> None:
-        """Take a grant back that no entry was told of."""
+        """Revoke a grant that was not sent to an entry."""
         self.end_run(
             messages.RunEnded(
                 granted.run_id,
@@ -323,8 +331,8 @@
             )
         )
 
-    def keep(self, run: state.Running) -> None:
-        """Let the kept cache have what a finished run computed."""
+    def offer_to_kept_cache(self, run: state.Run) -> None:
+        """Offer the prefix that a completed run computed to the kept cache."""
         endpoint = self.parts.view().endpoints.get(run.endpoint)
         if endpoint is None or not run.chain:
             return
@@ -340,11 +348,11 @@
 
 
 def is_first_continuation(request: Request) -> bool:
-    """Tell whether an answer is continued for the first time.
+    """Return whether a request continues an answer for the first time.
 
-    An endpoint's death cuts all answers that it was giving; charged to the
-    budget of retries, which is for few, most of them would end there.
-    They are bounded by the endpoint's slots.
+    When an endpoint dies, all answers that it was giving are continued
+    elsewhere.  The retry budget is too small for them, and the endpoint's
+    slots already bound their number, so they are not charged to it.
     """
     match request:
         case messages.Admit(continues=answer_id, lost=lost):
--- a/src/briarseam/admission/retry_budgets.py
+++ b/src/briarseam/admission/retry_budgets.py
@@ -1,9 +1,8 @@
-"""Retry budgets: retries are a small part of first tries, or they stop.
+"""Retry budgets, which limit retries to a small share of first tries.
 
-When endpoints fail, each request that is tried again adds load where least
-is left.  An organisation earns a part of a retry with each first try and
-spends one with each retry; with nothing left the request is refused, and
-its caller told when to return.
+When endpoints fail, retries add load to the remaining ones.  An organisation
+earns a fraction of a retry with each first try and spends one with each
+retry; once its budget is spent, requests are refused with a retry time.
 """
 
 from __future__ import annotations
@@ -11,35 +10,37 @@
 import threading
 import typing
 
-MAX_SAVED = 10.0
-FIRST_SAVED = 3.0
+MAX_BALANCE = 10.0
+INITIAL_BALANCE = 3.0
 
 
 class RetryBudgets:
-    """Budgets by organisation; thread-safe.
+    """Retry budgets by organisation; thread-safe.
 
     Parameters
     ----------
     ratio
-        Retries earned with each first try.
+        Returns the retries earned with each first try.
     """
 
     def __init__(self, ratio: typing.Callable[[], float]) -> None:
         self.ratio = ratio
-        self.saved: dict[str, float] = {}
+        self.balances: dict[str, float] = {}
         self.lock = threading.Lock()
 
     def earn(self, organisation: str) -> None:
-        """Count a first try."""
+        """Add the share of a retry that a first try earns."""
         with self.lock:
-            saved = self.saved.get(organisation, FIRST_SAVED)
-            self.saved[organisation] = min(saved + self.ratio(), MAX_SAVED)
+            balance = self.balances.get(organisation, INITIAL_BALANCE)
+            self.balances[organisation] = min(
+                balance + self.ratio(), MAX_BALANCE
+            )
 
     def spend(self, organisation: str) -> bool:
-        """Take a retry from the budget; tell whether there was one."""
+        """Spend one retry; return false if the budget has none left."""
         with self.lock:
-            saved = self.saved.get(organisation, FIRST_SAVED)
-            if saved < 1.0:
+            balance = self.balances.get(organisation, INITIAL_BALANCE)
+            if balance < 1.0:
                 return False
-            self.saved[organisation] = saved - 1.0
+            self.balances[organisation] = balance - 1.0
             return True
--- a/src/briarseam/admission/state.py
+++ b/src/briarseam/admission/state.py
@@ -1,4 +1,4 @@
-"""Requests that were granted and have not ended."""
+"""The table of granted runs that have not ended."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Running:
+class Run:
     """One granted run.
 
     Attributes
     ----------
     run_id, endpoint, organisation
-        Which run, where, whose.
+        Id of the run, its endpoint and the caller's organisation.
     session
-        The caller's session, may be empty.
+        The caller's session; may be empty.
     model, version, adapter
-        What it uses; empty for service calls.
+        Model, weight version and adapter; empty for service calls.
     chain
-        Chain digests of the prompt's whole pieces.
+        Chain digests of the prompt's complete pieces.
     key, attempt
         Idempotency key and claim attempt; empty without a claim.
     answer_id
-        The caller's token for the answer.
+        The caller's token for the answer; empty for service calls.
     granted_at
-        Monotonic time, in seconds.
+        Monotonic time of the grant, in seconds.
     """
 
     run_id: str
@@ -43,28 +43,28 @@
 
 
 class RunTable:
-    """Granted runs by run id."""
+    """Granted runs by run id; thread-safe."""
 
     def __init__(self) -> None:
-        self.runs: dict[str, Running] = {}
+        self.runs: dict[str, Run] = {}
         self.lock = threading.Lock()
 
-    def add(self, run: Running) -> None:
-        """Remember a granted run."""
+    def add(self, run: Run) -> None:
+        """Add a granted run."""
         with self.lock:
             self.runs[run.run_id] = run
 
-    def get(self, run_id: str) -> Running | None:
-        """Return a run that has not ended."""
+    def get(self, run_id: str) -> Run | None:
+        """Return a run; ``None`` when it has ended."""
         return self.runs.get(run_id)
 
-    def pop(self, run_id: str) -> Running | None:
-        """Forget a run and return it; ``None`` when it ended before."""
+    def pop(self, run_id: str) -> Run | None:
+        """Remove and return a run; ``None`` when it ended earlier."""
         with self.lock:
             return self.runs.pop(run_id, None)
 
-    def pop_older(self, granted_before: float) -> list[Running]:
-        """Forget and return runs granted before a monotonic time."""
+    def pop_older(self, granted_before: float) -> list[Run]:
+        """Remove and return the runs granted before a monotonic time."""
         with self.lock:
             old = [
                 run
@@ -76,5 +76,5 @@
         return old
 
     def __len__(self) -> int:
-        """Return how many runs are under way."""
+        """Return the number of runs."""
         return len(self.runs)
--- a/tests/admission/test_dispatch.py
+++ b/tests/admission/test_dispatch.py
@@ -61,20 +61,20 @@
 
 
 def waiter(engines, organisation="north", deadline_s=30.0):
-    ask = routing.PromptQuery(organisation, "", "draft", (), 100)
+    query = routing.PromptQuery(organisation, "", "draft", (), 100)
 
     def start(choice):
         engines.free -= 1
 
     at = time.monotonic() + deadline_s
-    return dispatch.Waiter(ask, fair_queue.Rank(5, at), start)
+    return dispatch.Waiter(query, fair_queue.Rank(5, at), start)
 
 
 def place_in_thread(dispatcher, one, done):
     def place():
         try:
             dispatcher.place(one)
-            done.append(one.ask.organisation)
+            done.append(one.query.organisation)
         except verdict.RefusalError as error:
             done.append(error.given.reason)
 
@@ -98,7 +98,7 @@
     place_in_thread(dispatcher, waiter(engines), done)
     waiting.until(lambda: queued(dispatcher) == 1, what="one waits")
     engines.free += 1
-    dispatcher.note_end()
+    dispatcher.record_end()
     waiting.until(lambda: done == ["north"], what="the second is served")
 
 
@@ -115,7 +115,7 @@
     waiting.until(lambda: queued(dispatcher) == 21, what="the small waits")
     for served in range(1, 4):
         engines.free += 1
-        dispatcher.note_end()
+        dispatcher.record_end()
         waiting.until(lambda n=served: len(done) == n, what="one served")
     assert "small" in done
 
@@ -196,14 +196,14 @@
     waiting.until(lambda: queued(dispatcher) == 2, what="two wait")
     choose = engines.choose_engine
 
-    def choose_or_break(ask):
-        if ask.organisation == "broken":
-            raise KeyError(ask.model)
-        return choose(ask)
+    def choose_or_break(query):
+        if query.organisation == "broken":
+            raise KeyError(query.model)
+        return choose(query)
 
     engines.choose_engine = choose_or_break
     engines.free += 1
-    dispatcher.note_end()
+    dispatcher.record_end()
     waiting.until(lambda: len(done) == 2, what="both are settled")
     assert set(done) == {verdict.Reason.NO_ENDPOINT, "north"}
 
@@ -214,7 +214,7 @@
     """All engines are lost for a while and every caller is refused.  Told
     the same second, all would come back together and make a second peak.
     """
-    engines.choose_engine = lambda ask: routing.NoChoice("none", 1.0)
+    engines.choose_engine = lambda query: routing.NoChoice("none", 1.0)
     waits = []
     for _ in range(10):
         with pytest.raises(verdict.RefusalError) as refusal:
@@ -241,7 +241,7 @@
     waiting.until(lambda: queued(dispatcher) == 4, what="the small waits")
     for served in range(1, 4):
         engines.free += 1
-        dispatcher.note_end()
+        dispatcher.record_end()
         waiting.until(lambda n=served: len(done) == n, what="one served")
     dispatcher.stop()
     waiting.until(lambda: len(done) == 4, what="the last is refused")
@@ -255,5 +255,5 @@
     """
     before = dispatcher.schedule.rate_per_s
     for _ in range(200):
-        dispatcher.note_end(whole=False)
+        dispatcher.record_end(complete=False)
     assert dispatcher.schedule.rate_per_s == before
--- a/tests/admission/test_fair_queue.py
+++ b/tests/admission/test_fair_queue.py
@@ -104,6 +104,6 @@
                 assert queue.remove(organisation, item)
                 expected -= 1
     assert len(queue) == expected == len(queue.items())
-    queue.forget_idle()
-    ahead = [lane for lane in queue.lanes.values() if not lane.heap]
-    assert all(lane.finish > queue.virtual for lane in ahead)
+    queue.remove_idle()
+    ahead = [flow for flow in queue.flows.values() if not flow.heap]
+    assert all(flow.finish_tag > queue.virtual_time for flow in ahead)
--- a/tests/admission/test_limits.py
+++ b/tests/admission/test_limits.py
@@ -131,7 +131,7 @@
     schedule = retry_schedule.RetrySchedule(clock)
     for _ in range(300):
         clock.now_s += 0.05
-        schedule.note_end()
+        schedule.record_end()
     waits = [schedule.assign() for _ in range(200)]
     per_second = [
         sum(1 for wait in waits if second <= wait < second + 1)
--- a/tests/admission/test_retry_schedule.py
+++ b/tests/admission/test_retry_schedule.py
@@ -12,7 +12,7 @@
     schedule = retry_schedule.RetrySchedule(clock)
     for _ in range(300):
         clock.now_s += 0.1
-        schedule.note_end()
+        schedule.record_end()
     waits = [schedule.assign() for _ in range(40)]
     gaps = [b - a for a, b in zip(waits, waits[1:], strict=False)]
     assert all(0.15 < gap < 0.25 for gap in gaps)
@@ -23,4 +23,6 @@
     baseline spread as well, the second peak could not be seen.
     """
     schedule = retry_schedule.RetrySchedule(clocks.ManualClock(), lambda: True)
-    assert {schedule.assign() for _ in range(5)} == {retry_schedule.FIXED_S}
+    assert {schedule.assign() for _ in range(5)} == {
+        retry_schedule.FIXED_RETRY_S
+    }
