--- a/src/briarseam/admission/crash_calls.py
+++ b/src/briarseam/admission/crash_calls.py
@@ -111,7 +111,7 @@
         for agent in self.agents.owners_of(key, MAX_CALLED_AGENTS):
             if self.avoided_until.get(agent.name, 0.0) > time.monotonic():
                 continue
-            if agent.name == self.agents.me.name:
+            if agent.name == self.agents.local_agent.name:
                 return self.handle(message)
             try:
                 client = self.clients(agent.address)
@@ -142,7 +142,7 @@
         take down three endpoints.
         """
         agents = self.agents.owners_of(OWNER_KEY.format(copy.fingerprint), 2)
-        if agents[0].name == self.agents.me.name and len(agents) > 1:
+        if agents[0].name == self.agents.local_agent.name and len(agents) > 1:
             self.notify(agents[1], copy)
 
     def notify(self, agent: owners.Agent, message: codec.Message) -> None:
@@ -159,7 +159,7 @@
         key = OWNER_KEY.format(message.fingerprint)
         self.call_owner(key, message)
         agents = self.agents.owners_of(key, 2)
-        if agents[0].name == self.agents.me.name and len(agents) > 1:
+        if agents[0].name == self.agents.local_agent.name and len(agents) > 1:
             self.notify(agents[1], message)
 
     def release(self, message: messages.Release) -> None:
