--- a/src/briarseam/admission/answer_id.py
+++ b/src/briarseam/admission/answer_id.py
@@ -1,8 +1,8 @@
-"""Answer ids: authenticated tokens that say where an answer runs.
+"""Answer ids: authenticated tokens that identify the run of an answer.
 
-An answer id carries all that is needed to find the run again, so no
-process keeps a table and any entry can resume any answer.  Its MAC keeps
-a caller from naming another organisation's run.
+An answer id holds all that is needed to find the run, so that any entry can
+resume any answer without a table of runs.  Its MAC prevents a caller from
+naming a run of another organisation.
 """
 
 from __future__ import annotations
@@ -16,34 +16,34 @@
 import msgspec
 
 MAC_BYTES = 16
-LABEL = b"answer-id"
-# The alphabet has a dash, and a word that begins with one is an option on a
-# command line.
+MAC_LABEL = b"answer-id"
+# The base64url alphabet contains a dash, and a command line takes an argument
+# that begins with one for an option.
 PREFIX = "a"
 
 
 class AnswerIdError(Exception):
-    """Not an answer id that this system gave out."""
+    """The token is not an answer id that was sealed under this key."""
 
 
 @dataclasses.dataclass(frozen=True)
 class AnswerId:
-    """What an answer id says.
+    """The content of an answer id.
 
     Attributes
     ----------
     organisation
-        Whose answer it is.
+        Organisation that the answer belongs to.
     endpoint
-        Where it runs.
+        Endpoint that runs it.
     run_id
-        Its name there.
+        Id of the run at the endpoint.
     model, version
-        What produces it.
+        Model and weight version of the run.
     home
-        Address of the agent that granted it, which counts its resumes.
+        Address of the agent that granted the run, which counts its resumes.
     adapter
-        Adapter that it was begun with; empty for none.
+        Adapter of the run; empty for none.
     """
 
     organisation: str
@@ -64,29 +64,29 @@
 
 
 def unseal(token: str, key: bytes) -> AnswerId:
-    """Return what a token says.
+    """Return the content of a token.
 
     Raises
     ------
     AnswerIdError
-        When it was not sealed under ``key``.
+        When the token was not sealed under ``key``.
     """
     raw = decode(token)
     mac, payload = raw[:MAC_BYTES], raw[MAC_BYTES:]
     if not hmac.compare_digest(mac, compute_mac(payload, key)):
         raise AnswerIdError("not an answer id of this system")
     fields = msgspec.convert(msgpack.unpackb(payload), tuple[str, ...])
-    # A later release may add fields at the end.
+    # A later release may append fields.
     return AnswerId(*fields[: len(dataclasses.fields(AnswerId))])
 
 
 def decode(token: str) -> bytes:
-    """Return the MAC and payload of a token, unchecked.
+    """Return the MAC and payload of a token without checking the MAC.
 
     Raises
     ------
     AnswerIdError
-        When it has another form.
+        When the token has no prefix or is not base64.
     """
     text = token.removeprefix(PREFIX)
     if text == token:
@@ -100,5 +100,5 @@
 def compute_mac(payload: bytes, key: bytes) -> bytes:
     """Return the MAC of a payload."""
     mac = hashlib.blake2b(payload, key=key[:64], digest_size=MAC_BYTES)
-    mac.update(LABEL)
+    mac.update(MAC_LABEL)
     return mac.digest()
--- a/src/briarseam/admission/idempotency.py
+++ b/src/briarseam/admission/idempotency.py
@@ -1,8 +1,8 @@
 """Requests with an idempotency key, from their claim to their outcome.
 
-The entry names the attempt, so that it can end one whose grant it never
-got.  This agent holds the attempts it won until it hears how they ended;
-when it can no longer hear, it records that their outcome is lost.
+The entry names each attempt, so that it can abandon one whose grant it did
+not receive.  The agent holds the attempts that it claimed until their end is
+reported; if the report can no longer come, it records the outcome as lost.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 from briarseam.claims import messages as claims
 from briarseam.claims import records
 
-# An attempt that its entry has not ended by then is taken for lost: the
-# entry is frozen or forgot it.
-SLACK_S = 10.0
-PROMPT_BOUND_S = 600.0
-SWEEP_S = 0.25
-# An entry that has no connection for so long is gone.
-GRACE_S = 1.0
+# Time for the report of an attempt's end after the bound on its run; later
+# the entry is assumed to be frozen or to have lost the attempt.
+END_REPORT_MARGIN_S = 10.0
+MAX_PROMPT_S = 600.0
+REVIEW_INTERVAL_S = 0.25
+# An entry without a connection for this long is considered dead.
+ENTRY_GRACE_S = 1.0
 
 
 class Claims(typing.Protocol):
-    """What this module needs of the claims."""
+    """The claims, as this module uses them."""
 
     def claim(
         self, organisation: str, key: str, body_digest: bytes, attempt: str
     ) -> claims.Result:
-        """Ask for the right to run a key's request."""
+        """Claim a key for an attempt."""
 
     def settle(
         self,
@@ -44,17 +44,17 @@
         end: records.Outcome | verdict.NotRun | verdict.MayHaveRun,
         answer_id: str = "",
     ) -> None:
-        """Record how an attempt ended."""
+        """Record the end of an attempt."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Keyed:
-    """A request with a key, as an entry asks about it.
+class KeyedRequest:
+    """A request with an idempotency key, as an entry sent it.
 
     Attributes
     ----------
     organisation, key, body_digest, attempt
-        As claimed.
+        What is claimed.
     entry
         Name of the entry process.
     """
@@ -68,37 +68,38 @@
 
 @dataclasses.dataclass
 class Attempt:
-    """An attempt that was won and has not ended.
+    """An attempt that was claimed and has not ended.
 
     Attributes
     ----------
-    keyed
-        What it is about.
+    request
+        The request.
     sent
-        Whether its entry may have sent it since.
-    bound_at
-        Monotonic time after which its outcome is taken for lost.
+        Whether the entry may have sent it to an endpoint.
+    expires_at
+        Monotonic time after which its outcome is considered lost.
     answer_id
-        By which a prompt's answer may be had; empty before a grant.
+        Answer id of a granted prompt; empty before the grant.
     """
 
-    keyed: Keyed
+    request: KeyedRequest
     sent: bool
-    bound_at: float
+    expires_at: float
     answer_id: str = ""
 
 
 class Idempotency:
-    """The attempts that this agent's entries hold.
+    """The attempts that this agent claimed for its entries; thread-safe.
 
     Parameters
     ----------
     claims
         The claims.
     connected
-        Names of the entry processes that have a connection open.
+        Returns the names of the entry processes that have an open
+        connection.
     clock
-        Monotonic seconds.
+        Returns monotonic time in seconds.
     """
 
     def __init__(
@@ -109,72 +110,86 @@
     ) -> None:
         self.claims = claims
         self.entry_liveness = entry_liveness.EntryLiveness(
-            connected, GRACE_S, clock
+            connected, ENTRY_GRACE_S, clock
         )
         self.clock = clock
         self.lock = threading.Lock()
         self.attempts: dict[str, Attempt] = {}
-        self.reviews = repeating.Repeater("idempotency", self.review, SWEEP_S)
+        self.reviews = repeating.Repeater(
+            "idempotency", self.review, REVIEW_INTERVAL_S
+        )
 
     def start(self) -> None:
-        """Begin looking for attempts whose end was never told."""
+        """Start the periodic review."""
         self.reviews.start()
 
     def stop(self) -> None:
-        """Give up what is still held; call it before the claims stop."""
+        """Stop, and give up all attempts; call before the claims stop."""
         self.reviews.stop()
-        self.lose(lambda attempt: True)
+        self.give_up(lambda attempt: True)
 
     def review(self) -> None:
-        """Give up attempts whose end will not be told any more.
+        """Give up attempts whose end can no longer be reported.
 
-        An entry that died after its grant leaves its key claimed by an
-        agent that is alive; callers would be told "in progress" for good.
-        Should the entry live after all, what it reports still counts.
+        A key whose entry died after the grant stays claimed by a live agent,
+        and callers would get "in progress" forever.  If the entry is alive
+        after all, its report is still applied.
         """
         now = self.clock()
         with self.lock:
-            entries = {one.keyed.entry for one in self.attempts.values()}
-        gone = self.entry_liveness.gone(entries)
-        self.lose(
+            entries = {one.request.entry for one in self.attempts.values()}
+        dead_entries = self.entry_liveness.gone(entries)
+        self.give_up(
             lambda attempt: (
-                attempt.keyed.entry in gone or attempt.bound_at < now
+                attempt.request.entry in dead_entries
+                or attempt.expires_at < now
             )
         )
 
-    def take(self, keyed: Keyed, bound_s: float) -> messages.Replayed | None:
-        """Win the key for an attempt, or return what ran before.
+    def claim(
+        self, request: KeyedRequest, max_run_s: float
+    ) -> messages.Replayed | None:
+        """Claim the key for an attempt, or return the earlier outcome.
 
-        An attempt that this agent holds already is asked about again
-        because the endpoint it was granted certainly did not start it.
+        An entry sends an attempt that is held already again when the granted
+        endpoint certainly did not start it.
 
         Parameters
         ----------
-        keyed
+        request
             The request.
-        bound_s
-            Longest time until its entry tells its end.
+        max_run_s
+            Longest time until the entry reports the attempt's end, in
+            seconds.
+
+        Returns
+        -------
+        messages.Replayed or None
+            The earlier outcome; ``None`` when the attempt may run.
 
         Raises
         ------
         verdict.RefusalError
-            With the final verdict when the attempt may not run.
+            When the attempt may not run.
         """
-        if not keyed.attempt:
+        if not request.attempt:
             raise verdict.RefusalError(
                 verdict.NotRun(verdict.Reason.MALFORMED, "no attempt is named")
             )
-        bound_at = self.clock() + bound_s + SLACK_S
-        if self.again(keyed, bound_at):
+        expires_at = self.clock() + max_run_s + END_REPORT_MARGIN_S
+        if self.reuse_unsent(request, expires_at):
             return None
         result = self.claims.claim(
-            keyed.organisation, keyed.key, keyed.body_digest, keyed.attempt
+            request.organisation,
+            request.key,
+            request.body_digest,
+            request.attempt,
         )
         match result:
             case claims.Won():
                 with self.lock:
-                    self.attempts[keyed.attempt] = Attempt(
-                        keyed, True, bound_at
+                    self.attempts[request.attempt] = Attempt(
+                        request, True, expires_at
                     )
                 return None
             case claims.Finished(outcome):
@@ -188,47 +203,47 @@
                 return messages.Replayed(0, b"", False, answer_id, "unknown")
         raise verdict.RefusalError(claims.verdict_of(result))
 
-    def again(self, keyed: Keyed, bound_at: float) -> bool:
-        """Tell whether an attempt is held and was not sent so far."""
+    def reuse_unsent(self, request: KeyedRequest, expires_at: float) -> bool:
+        """Mark an unsent attempt as sent; return false if there is none."""
         with self.lock:
-            attempt = self.attempts.get(keyed.attempt)
-            if attempt is None or attempt.sent or attempt.keyed != keyed:
+            attempt = self.attempts.get(request.attempt)
+            if attempt is None or attempt.sent or attempt.request != request:
                 return False
             attempt.sent = True
-            attempt.bound_at = bound_at
+            attempt.expires_at = expires_at
             return True
 
-    def granted(self, keyed: Keyed, answer_id: str) -> None:
-        """Remember by what a granted prompt's answer may be had."""
+    def record_grant(self, request: KeyedRequest, answer_id: str) -> None:
+        """Record the answer id of a granted prompt."""
         with self.lock:
-            attempt = self.attempts.get(keyed.attempt)
+            attempt = self.attempts.get(request.attempt)
             if attempt is not None:
                 attempt.answer_id = answer_id
 
-    def not_granted(self, keyed: Keyed, given: verdict.NotRun) -> None:
-        """Free the key of an attempt that was won but got no endpoint."""
-        self.end(keyed.organisation, keyed.key, keyed.attempt, given)
+    def release(self, request: KeyedRequest, refusal: verdict.NotRun) -> None:
+        """Release the key of an attempt that was claimed but not granted."""
+        self.end(request.organisation, request.key, request.attempt, refusal)
 
-    def abandoned(self, organisation: str, key: str, attempt: str) -> None:
-        """Free the key of an attempt whose grant never reached its entry.
+    def abandon(self, organisation: str, key: str, attempt: str) -> None:
+        """Release the key of an attempt whose grant did not reach its entry.
 
-        The claim may still be on its way to the stream; the record of its
-        end makes it void there.
+        The claim may still be on its way to the log; the record of its end
+        voids it there.
         """
-        given = verdict.NotRun(verdict.Reason.AGENT_UNAVAILABLE)
-        self.end(organisation, key, attempt, given)
+        end = verdict.NotRun(verdict.Reason.AGENT_UNAVAILABLE)
+        self.end(organisation, key, attempt, end)
 
-    def ended(self, run: messages.RunEnded) -> None:
-        """Take in how an attempt's run ended.
+    def record_run_end(self, run: messages.RunEnded) -> None:
+        """Settle or release the attempt of a run that ended.
 
-        The message itself names the key, so an agent that was started
-        since can record what its predecessor granted.
+        The message names the key, so an agent that was restarted can settle
+        an attempt that its predecessor granted.
         """
         if not run.attempt:
             return
         match run.result:
             case messages.RunResult.NOT_SENT | messages.RunResult.REFUSED:
-                self.keep_unsent(run.attempt)
+                self.mark_unsent(run.attempt)
             case messages.RunResult.DONE | messages.RunResult.CANCELLED:
                 whole = run.whole and run.result is messages.RunResult.DONE
                 outcome = records.Outcome(
@@ -236,22 +251,22 @@
                 )
                 self.end(run.organisation, run.key, run.attempt, outcome)
             case _:
-                given = verdict.MayHaveRun(verdict.Reason.ENDPOINT_LOST)
+                end = verdict.MayHaveRun(verdict.Reason.ENDPOINT_LOST)
                 self.end(
                     run.organisation,
                     run.key,
                     run.attempt,
-                    given,
+                    end,
                     run.answer_id,
                 )
 
-    def keep_unsent(self, name: str) -> None:
-        """Keep an attempt for its entry to ask about again."""
+    def mark_unsent(self, attempt_name: str) -> None:
+        """Mark an attempt as unsent, so that its entry can retry it."""
         with self.lock:
-            attempt = self.attempts.get(name)
+            attempt = self.attempts.get(attempt_name)
             if attempt is not None:
                 attempt.sent = False
-                attempt.bound_at = self.clock() + SLACK_S
+                attempt.expires_at = self.clock() + END_REPORT_MARGIN_S
 
     def end(
         self,
@@ -261,29 +276,31 @@
         end: records.Outcome | verdict.NotRun | verdict.MayHaveRun,
         answer_id: str = "",
     ) -> None:
-        """Record an attempt's end and forget it."""
+        """Settle an attempt and stop holding it."""
         with self.lock:
             self.attempts.pop(attempt, None)
         self.claims.settle(organisation, key, attempt, end, answer_id)
 
-    def lose(self, concerned: typing.Callable[[Attempt], bool]) -> None:
-        """Record attempts as lost, or as not run if never sent."""
+    def give_up(self, condition: typing.Callable[[Attempt], bool]) -> None:
+        """Settle matching attempts as lost, or as not run if unsent."""
         with self.lock:
-            gone = [one for one in self.attempts.values() if concerned(one)]
-            for attempt in gone:
-                del self.attempts[attempt.keyed.attempt]
+            given_up = [
+                one for one in self.attempts.values() if condition(one)
+            ]
+            for attempt in given_up:
+                del self.attempts[attempt.request.attempt]
         reason = verdict.Reason.OUTCOME_UNKNOWN
-        for attempt in gone:
-            keyed = attempt.keyed
+        for attempt in given_up:
+            request = attempt.request
             end = (
                 verdict.MayHaveRun(reason)
                 if attempt.sent
                 else verdict.NotRun(reason)
             )
             self.claims.settle(
-                keyed.organisation,
-                keyed.key,
-                keyed.attempt,
+                request.organisation,
+                request.key,
+                request.attempt,
                 end,
                 attempt.answer_id,
             )
--- a/src/briarseam/admission/locating.py
+++ b/src/briarseam/admission/locating.py
@@ -1,4 +1,4 @@
-"""The agent's side of resuming answers: where they run, who reads them."""
+"""The agent's side of resuming answers: locating runs, counting resumes."""
 
 from __future__ import annotations
 
@@ -19,11 +19,13 @@
 
 HOME_TIMEOUT_S = 0.5
 Identify = typing.Callable[[str], str]
-Wrap = typing.Callable[[typing.Callable[[typing.Any], typing.Any]], typing.Any]
+HandlerWrapper = typing.Callable[
+    [typing.Callable[[typing.Any], typing.Any]], typing.Any
+]
 
 
 class PeerClient(typing.Protocol):
-    """What asking another agent takes; see ``briarseam.wire.client``."""
+    """A client of another agent; see ``briarseam.wire.client``."""
 
     def call(self, request: codec.Message, timeout_s: float) -> codec.Message:
         """Send a message and return the reply."""
@@ -31,35 +33,35 @@
 
 @dataclasses.dataclass(frozen=True)
 class Homes:
-    """The agents as homes of answers.
+    """Access to the home agents of answers, which granted their runs.
 
     Attributes
     ----------
-    me
+    own_address
         Address of this agent.
     client_of
         Returns a client of the agent at an address.
     """
 
-    me: str
+    own_address: str
     client_of: typing.Callable[[str], PeerClient]
 
 
 class Locator:
-    """Finds answers' runs and counts who reads them.
+    """Locates the runs of answers and counts their resumes.
 
     Parameters
     ----------
     homes
-        The agents.
+        Access to the home agents.
     view
-        Present configuration.
+        Returns the current configuration.
     key
         Shared key, under which answer ids are sealed.
     identify
         Returns a token's organisation or raises a refusal.
     is_running
-        Whether this agent granted a run that has not ended.
+        Returns whether this agent granted a run that has not ended.
     """
 
     def __init__(
@@ -77,58 +79,73 @@
         self.is_running = is_running
         self.resume_counts = resume_counts.ResumeCounts()
 
-    def register(self, router: server.Router, wrap: Wrap) -> None:
-        """Answer the entries' and the other agents' messages."""
+    def register(self, router: server.Router, wrap: HandlerWrapper) -> None:
+        """Register the handlers for messages of entries and agents."""
         router.on(messages.Locate, wrap(self.locate))
-        router.on(messages.Resumed, wrap(self.resumed))
+        router.on(messages.Resumed, wrap(self.count_local_resume))
         router.on(messages.MayCancel, wrap(self.may_cancel))
 
     def locate(self, message: messages.Locate) -> messages.Located:
-        """Return where an answer runs, to its own organisation only."""
+        """Return where an answer runs, for its own organisation only.
+
+        Raises
+        ------
+        verdict.RefusalError
+            When the answer id is unknown, or the answer is gone or cancelled.
+        """
         organisation = self.identify(message.token_digest)
-        found = self.unseal(message.answer_id, organisation)
-        endpoint = self.view().endpoints.get(found.endpoint)
+        answer = self.unseal(message.answer_id, organisation)
+        endpoint = self.view().endpoints.get(answer.endpoint)
         if endpoint is None:
             raise verdict.RefusalError(refusals.answer_gone())
-        generation = self.count_resume(found)
+        generation = self.count_resume(answer)
         if generation is None:
             raise verdict.RefusalError(refusals.answer_cancelled())
         return messages.Located(
             organisation=organisation,
-            run_id=found.run_id,
-            endpoint=found.endpoint,
+            run_id=answer.run_id,
+            endpoint=answer.endpoint,
             address=endpoint.address,
-            model=found.model,
-            version=found.version,
+            model=answer.model,
+            version=answer.version,
             generation=generation,
         )
 
     def unseal(self, token: str, organisation: str) -> answer_id.AnswerId:
-        """Return what an answer id says, to its own organisation only."""
+        """Return the content of an answer id of an organisation.
+
+        Raises
+        ------
+        verdict.RefusalError
+            When the id is forged or belongs to another organisation.
+        """
         try:
-            found = answer_id.unseal(token, self.key)
+            answer = answer_id.unseal(token, self.key)
         except answer_id.AnswerIdError as error:
             raise verdict.RefusalError(refusals.unknown_answer()) from error
-        if found.organisation != organisation:
+        if answer.organisation != organisation:
             raise verdict.RefusalError(refusals.unknown_answer())
-        return found
+        return answer
 
-    def count_resume(self, found: answer_id.AnswerId) -> int | None:
-        """Let the answer's home agent count a resume.
+    def count_resume(self, answer: answer_id.AnswerId) -> int | None:
+        """Have the answer's home agent count a resume; return its number.
 
-        With the home agent dead its entry cannot ask it whether to cancel
-        either, and then does not.
+        If the home agent is dead, the number is unknown.  The entry that
+        began the answer can't get permission to cancel it then either, so it
+        lets the run continue.
         """
-        message = messages.Resumed(found.run_id)
-        if found.home == self.homes.me:
-            return self.resumed(message).generation
-        reply = self.ask_home(found.home, message)
+        message = messages.Resumed(answer.run_id)
+        if answer.home == self.homes.own_address:
+            return self.count_local_resume(message).generation
+        reply = self.call_home(answer.home, message)
         if isinstance(reply, messages.ResumeCounted):
             return reply.generation
         return resume_counts.UNKNOWN
 
-    def resumed(self, message: messages.Resumed) -> messages.ResumeCounted:
-        """Count a resume of an answer whose home this agent is."""
+    def count_local_resume(
+        self, message: messages.Resumed
+    ) -> messages.ResumeCounted:
+        """Count a resume of an answer that this agent granted."""
         return messages.ResumeCounted(
             self.resume_counts.count_resume(message.run_id)
         )
@@ -136,31 +153,32 @@
     def may_cancel(
         self, message: messages.MayCancel
     ) -> messages.CancelAnswered:
-        """Tell an entry whether nobody resumed an answer since.
+        """Return whether a run may be cancelled: no later resume is known.
 
-        An agent that was started since the grant has counted nothing, and
-        one whose entry has died counts for nobody: neither may say yes.
+        An agent that restarted after the grant has lost the resume count,
+        and a run whose entry died is no longer tracked; in both cases
+        cancelling is not allowed.
         """
         try:
-            found = answer_id.unseal(message.answer_id, self.key)
+            answer = answer_id.unseal(message.answer_id, self.key)
         except answer_id.AnswerIdError:
             return messages.CancelAnswered(False)
-        if found.home == self.homes.me:
-            if not self.is_running(found.run_id):
+        if answer.home == self.homes.own_address:
+            if not self.is_running(answer.run_id):
                 return messages.CancelAnswered(False)
             allowed = self.resume_counts.cancel(
-                found.run_id, message.generation
+                answer.run_id, message.generation
             )
             return messages.CancelAnswered(allowed)
-        reply = self.ask_home(found.home, message)
+        reply = self.call_home(answer.home, message)
         if isinstance(reply, messages.CancelAnswered):
             return reply
         return messages.CancelAnswered(False)
 
-    def ask_home(
+    def call_home(
         self, home: str, message: codec.Message
     ) -> codec.Message | None:
-        """Return the home agent's reply; ``None`` when there is none."""
+        """Return the home agent's reply; ``None`` when it can't be had."""
         try:
             return self.homes.client_of(home).call(message, HOME_TIMEOUT_S)
         except (connection.WireError, ValueError):
--- a/src/briarseam/admission/owners.py
+++ b/src/briarseam/admission/owners.py
@@ -1,4 +1,4 @@
-"""Which agent answers for a prompt, found in little time among many."""
+"""Consistent hashing of prompts to the agents that own them."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 
 import xxhash
 
-# More points share the prompts more evenly and take longer to sort.
-POINTS = 16
+# More points distribute the prompts more evenly but take longer to sort.
+POINTS_PER_AGENT = 16
 
 
 @dataclasses.dataclass(frozen=True)
 class Agent:
-    """An agent that can be asked."""
+    """Name and address of an agent."""
 
     name: str
     address: str
 
 
 class HashRing:
-    """Agents around a ring of hashes; a key belongs to the next ones.
+    """Agents on a hash ring; a key belongs to the agents that follow it.
 
-    Ranking hundreds of agents for each prompt would take milliseconds; here
-    only a change of the agents takes long.
+    Ranking hundreds of agents for each prompt would take milliseconds; with
+    the ring only a change of the agents takes that long.
 
     Parameters
     ----------
     agents
-        By name.
+        Agents by name.
     """
 
     def __init__(self, agents: dict[str, Agent]) -> None:
@@ -36,20 +36,20 @@
         pairs = sorted(
             (xxhash.xxh3_64_intdigest(f"{name}\0{point}".encode()), name)
             for name in agents
-            for point in range(POINTS)
+            for point in range(POINTS_PER_AGENT)
         )
         self.hashes = [hashed for hashed, _ in pairs]
         self.names = [name for _, name in pairs]
 
     def owners_of(self, key: str, count: int) -> list[Agent]:
-        """Return the first agents of a key, at most ``count``."""
+        """Return the agents that own a key, at most ``count``."""
         start = bisect.bisect(
             self.hashes, xxhash.xxh3_64_intdigest(key.encode())
         )
-        found: dict[str, Agent] = {}
+        owners: dict[str, Agent] = {}
         for step in range(len(self.names)):
             name = self.names[(start + step) % len(self.names)]
-            found[name] = self.agents[name]
-            if len(found) == count:
+            owners[name] = self.agents[name]
+            if len(owners) == count:
                 break
-        return list(found.values())
+        return list(owners.values())
--- a/src/briarseam/admission/placing.py
+++ b/src/briarseam/admission/placing.py
@@ -163,7 +163,7 @@
         except Exception:
             # A request that is never counted out would reduce its
             # organisation's limit until the agent is restarted.
-            self.parts.limits.leave(organisation)
+            self.parts.limits.release(organisation)
             raise
         self.parts.chooser.prepare(
             run.run_id, choice, deadline_at - time.monotonic()
@@ -209,7 +209,7 @@
             )
         )
         if isinstance(choice, routing.NoChoice):
-            self.parts.limits.leave(organisation)
+            self.parts.limits.release(organisation)
             wait_s = self.parts.schedule.assign(choice.retry_after_s)
             raise verdict.RefusalError(
                 refusals.no_endpoint(choice.detail, wait_s)
@@ -243,7 +243,7 @@
                 raise verdict.RefusalError(refusals.retries_spent(wait_s))
         elif not request.lost:
             self.parts.budgets.earn(organisation)
-        match self.parts.limits.enter(organisation):
+        match self.parts.limits.acquire(organisation):
             case organisation_limits.Exceeded(detail, retry_after_s):
                 wait_s = self.parts.schedule.assign(retry_after_s)
                 raise verdict.RefusalError(refusals.throttled(detail, wait_s))
@@ -314,7 +314,7 @@
         complete = message.result is messages.RunResult.DONE
         failed = message.result in FAILED_RESULTS
         self.parts.chooser.record_end(run.run_id, complete, failed)
-        self.parts.limits.leave(run.organisation)
+        self.parts.limits.release(run.organisation)
         self.parts.dispatcher.record_end(complete)
         if complete:
             self.offer_to_kept_cache(run)
--- a/src/briarseam/admission/service.py
+++ b/src/briarseam/admission/service.py
@@ -1,4 +1,4 @@
-"""Admitting requests: who asks, may it run, where."""
+"""Admission of requests: authentication, claims, placement."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class AdmissionParts:
-    """What admission works with, wired by ``compose``.
+    """Dependencies of admission, wired by ``compose``.
 
     Attributes
     ----------
     view
-        Present configuration.
+        Returns the current configuration.
     gate
         Returns a refusal while this agent may not admit anything.
     placer
@@ -42,13 +42,14 @@
     key
         Shared key, for answer ids.
     idempotency
-        Requests with an idempotency key.
+        Handles requests with an idempotency key.
     homes
-        This agent and the others, as homes of answers.
+        Access to the home agents of answers.
     guard
-        Keeps crashing prompts from endpoints.
+        Keeps prompts that crash endpoints away from them.
     connected
-        Names of the entry processes that have a connection open.
+        Returns the names of the entry processes that have an open
+        connection.
     """
 
     view: typing.Callable[[], schema.View]
@@ -62,7 +63,7 @@
 
 
 class Admission:
-    """Answers the entries' questions about requests."""
+    """Handles the entries' messages about requests."""
 
     def __init__(self, parts: AdmissionParts) -> None:
         self.parts = parts
@@ -77,76 +78,82 @@
         )
 
     def start(self) -> None:
-        """Begin looking for entries that are gone."""
+        """Start watching for runs of dead entries."""
         self.orphans.start()
 
     def stop(self) -> None:
-        """Stop looking."""
+        """Stop watching."""
         self.orphans.stop()
 
     def register(self, router: server.Router) -> None:
-        """Answer the entries' messages."""
-        router.on(messages.Admit, answer_entry(self.noted(self.admit)))
+        """Register the handlers for the entries' messages."""
         router.on(
-            messages.AdmitCall, answer_entry(self.noted(self.admit_call))
+            messages.Admit, with_entry_name(self.tracking_grants(self.admit))
+        )
+        router.on(
+            messages.AdmitCall,
+            with_entry_name(self.tracking_grants(self.admit_call)),
+        )
+        router.on(messages.RunStarted, with_refusal_replies(self.run_started))
+        router.on(messages.RunEnded, with_refusal_replies(self.run_ended))
+        self.locator.register(router, with_refusal_replies)
+        router.on(
+            messages.AttemptAbandoned,
+            with_refusal_replies(self.abandon_attempt),
         )
-        router.on(messages.RunStarted, answer(self.run_started))
-        router.on(messages.RunEnded, answer(self.run_ended))
-        self.locator.register(router, answer)
-        router.on(messages.AttemptAbandoned, answer(self.abandoned))
 
-    def noted(
+    def tracking_grants(
         self, handle: typing.Callable[[typing.Any, str], Reply]
     ) -> typing.Callable[[typing.Any, str], Reply]:
-        """Return a handler that remembers which entry holds a grant."""
+        """Return a handler that records which entry holds a grant."""
 
         def handler(request: typing.Any, entry: str) -> Reply:
             reply = handle(request, entry)
             if isinstance(reply, messages.Granted):
-                self.orphans.note(reply, entry)
+                self.orphans.track(reply, entry)
             return reply
 
         return handler
 
     def admit(self, request: messages.Admit, entry: str = "") -> Reply:
-        """Decide about a prompt of an entry."""
+        """Grant, replay or refuse a prompt."""
         organisation = self.identify(request.token_digest, request.key)
         if not request.key:
             check_key_needed(not request.idempotent)
             return self.place(organisation, request)
-        return self.admit_once(
-            self.keyed(organisation, request, entry),
-            idempotency.PROMPT_BOUND_S,
+        return self.admit_keyed(
+            self.keyed_request(organisation, request, entry),
+            idempotency.MAX_PROMPT_S,
             lambda: self.place(organisation, request),
         )
 
-    def admit_once(
+    def admit_keyed(
         self,
-        keyed: idempotency.Keyed,
-        bound_s: float,
+        request: idempotency.KeyedRequest,
+        max_run_s: float,
         place: typing.Callable[[], messages.Granted],
     ) -> Reply:
-        """Decide about a request with a key: claim it, then place it."""
-        replayed = self.parts.idempotency.take(keyed, bound_s)
+        """Claim a request with a key, then place it."""
+        replayed = self.parts.idempotency.claim(request, max_run_s)
         if replayed is not None:
             return replayed
         try:
             grant = place()
         except verdict.RefusalError as error:
             if isinstance(error.given, verdict.NotRun):
-                self.parts.idempotency.not_granted(keyed, error.given)
+                self.parts.idempotency.release(request, error.given)
             raise
-        self.parts.idempotency.granted(keyed, grant.answer_id)
+        self.parts.idempotency.record_grant(request, grant.answer_id)
         return grant
 
-    def keyed(
+    def keyed_request(
         self,
         organisation: str,
         request: messages.Admit | messages.AdmitCall,
         entry: str,
-    ) -> idempotency.Keyed:
-        """Return what is claimed for a request."""
-        return idempotency.Keyed(
+    ) -> idempotency.KeyedRequest:
+        """Return the claim's data of a request."""
+        return idempotency.KeyedRequest(
             organisation,
             request.key,
             request.body_digest,
@@ -154,12 +161,14 @@
             entry,
         )
 
-    def abandoned(self, message: messages.AttemptAbandoned) -> messages.Noted:
-        """Take in that an entry will never send an attempt."""
+    def abandon_attempt(
+        self, message: messages.AttemptAbandoned
+    ) -> messages.Noted:
+        """Release the key of an attempt that the entry will never send."""
         view = self.parts.view()
         organisation = view.organisation_of(message.token_digest)
         if organisation is not None:
-            self.parts.idempotency.abandoned(
+            self.parts.idempotency.abandon(
                 organisation, message.key, message.attempt
             )
         return messages.Noted()
@@ -175,36 +184,44 @@
                 self.parts.guard, self.placer, organisation, request, release
             )
         except verdict.RefusalError as error:
-            self.check_release(request.model, release, error)
+            self.check_version_served(request.model, release, error)
             raise
 
-    def check_release(
+    def check_version_served(
         self,
         model: str,
         release: orders.Offer | None,
         error: verdict.RefusalError,
     ) -> None:
-        """Tell a continuation that nobody serves its version any more."""
-        nowhere = error.given.reason is verdict.Reason.NO_ENDPOINT
-        if nowhere and release is not None:
-            wanted = self.parts.view().models[model]
-            if release != orders.Offer(wanted.version, wanted.adapter):
+        """Refuse a continuation whose weight version is no longer served.
+
+        Raises
+        ------
+        verdict.RefusalError
+            When no endpoint serves the version and another one is current.
+        """
+        not_served = error.given.reason is verdict.Reason.NO_ENDPOINT
+        if not_served and release is not None:
+            current = self.parts.view().models[model]
+            if release != orders.Offer(current.version, current.adapter):
                 gone = refusals.version_gone(release.version)
                 raise verdict.RefusalError(gone) from error
 
     def admit_call(
         self, request: messages.AdmitCall, entry: str = ""
     ) -> Reply:
-        """Decide about a service call of an entry."""
+        """Grant, replay or refuse a service call."""
         organisation = self.identify(request.token_digest, request.key)
         if not request.key:
             service = self.service_of(request)
             check_key_needed(request.call in service.non_idempotent)
             return self.placer.place_call(organisation, request, service)
-        found = self.parts.view().services.get(request.service)
-        return self.admit_once(
-            self.keyed(organisation, request, entry),
-            found.timeout_ms / MS if found else idempotency.PROMPT_BOUND_S,
+        configured = self.parts.view().services.get(request.service)
+        return self.admit_keyed(
+            self.keyed_request(organisation, request, entry),
+            configured.timeout_ms / MS
+            if configured
+            else idempotency.MAX_PROMPT_S,
             lambda: self.placer.place_call(
                 organisation, request, self.service_of(request)
             ),
@@ -213,9 +230,14 @@
     def service_of(self, request: messages.AdmitCall) -> values.Service:
         """Return the service that is called.
 
-        A request with a key is refused for it only once its key is
-        claimed: an earlier attempt may have run before the service was
-        taken out of the configuration.
+        For a request with a key this is checked only after the claim: an
+        earlier attempt may have run before the service was removed from the
+        configuration.
+
+        Raises
+        ------
+        verdict.RefusalError
+            When the service is not configured.
         """
         service = self.parts.view().services.get(request.service)
         if service is None:
@@ -225,7 +247,13 @@
         return service
 
     def identify(self, token_digest: str, key: str = "") -> str:
-        """Return the organisation of a token, if requests may run now."""
+        """Return the organisation of a token, if requests may run now.
+
+        Raises
+        ------
+        verdict.RefusalError
+            When the gate is closed or no organisation has the token.
+        """
         refusal = self.parts.gate()
         if refusal is not None:
             raise verdict.RefusalError(
@@ -244,60 +272,60 @@
     def required_release(
         self, request: messages.Admit, organisation: str
     ) -> orders.Offer | None:
-        """Return what a continuation must keep, else nothing.
+        """Return the version and adapter that a continuation must use.
 
-        Tokens of another version or adapter would not go on from the
-        ones that the caller has.
+        Tokens of another version or adapter would not continue the ones that
+        the caller already has.  For other prompts ``None`` is returned.
         """
         if not request.continues:
             return None
-        found = self.locator.unseal(request.continues, organisation)
-        return orders.Offer(found.version, found.adapter)
+        answer = self.locator.unseal(request.continues, organisation)
+        return orders.Offer(answer.version, answer.adapter)
 
     def run_started(self, message: messages.RunStarted) -> messages.Noted:
-        """Take in that a run's first token has come."""
+        """Record the first token of a run."""
         self.placer.record_first_token(message)
         self.parts.guard.started(message.run_id)
         return messages.Noted()
 
     def run_ended(self, message: messages.RunEnded) -> messages.Noted:
-        """Take in how a run ended; a doubled report changes nothing."""
+        """Record the end of a run; a repeated report has no effect."""
         self.orphans.forget(message.run_id)
         self.placer.end_run(message)
         self.parts.guard.ended(message.run_id, message.result)
-        self.parts.idempotency.ended(message)
+        self.parts.idempotency.record_run_end(message)
         return messages.Noted()
 
 
-def answer(
+def with_refusal_replies(
     handle: typing.Callable[[typing.Any], typing.Any],
 ) -> server.Handler:
-    """Return a wire handler that sends a refusal as a message."""
+    """Return a wire handler that replies to a refusal with a message."""
 
     def handler(peer: connection.Identity, request: typing.Any) -> typing.Any:
         del peer
         try:
             return handle(request)
         except verdict.RefusalError as error:
-            return messages.refused(error.given)
+            return messages.refusal_message(error.given)
 
     return handler
 
 
-def answer_entry(
+def with_entry_name(
     handle: typing.Callable[[typing.Any, str], typing.Any],
 ) -> server.Handler:
-    """Return the same for one that needs to know which entry asks."""
+    """Return such a handler for a function that needs the entry's name."""
 
     def handler(peer: connection.Identity, request: typing.Any) -> typing.Any:
-        return answer(lambda message: handle(message, peer.name))(
-            peer, request
-        )
+        return with_refusal_replies(
+            lambda message: handle(message, peer.name)
+        )(peer, request)
 
     return handler
 
 
 def check_key_needed(needed: bool) -> None:
-    """Refuse a request that may not repeat and has no key."""
+    """Refuse a non-idempotent request without an idempotency key."""
     if needed:
         raise verdict.RefusalError(refusals.key_needed())
--- a/tests/admission/test_idempotency.py
+++ b/tests/admission/test_idempotency.py
@@ -11,7 +11,7 @@
 from briarseam.claims import messages as claims
 from briarseam.claims import records
 
-KEYED = idempotency.Keyed("north", "key", b"x", "a", "entry-1")
+KEYED = idempotency.KeyedRequest("north", "key", b"x", "a", "entry-1")
 BOUND_S = 5.0
 
 
@@ -61,7 +61,7 @@
     def lose() -> None:
         connected.clear()
         once.review()
-        clock[0] += idempotency.GRACE_S
+        clock[0] += idempotency.ENTRY_GRACE_S
         once.review()
 
     return lose
@@ -75,7 +75,7 @@
 
 def test_entry_that_died_leaves_its_attempt_lost(once, fake, lose_entry):
     """Callers are told "in progress" for good after an entry died."""
-    once.take(KEYED, BOUND_S)
+    once.claim(KEYED, BOUND_S)
     once.review()
     assert fake.settled == []
     lose_entry()
@@ -89,11 +89,11 @@
 
     The entry's connections were cut; it opens new ones and reports.
     """
-    once.take(KEYED, BOUND_S)
+    once.claim(KEYED, BOUND_S)
     connected.clear()
     once.review()
     connected.add("entry-1")
-    clock[0] += idempotency.GRACE_S
+    clock[0] += idempotency.ENTRY_GRACE_S
     once.review()
     connected.clear()
     once.review()
@@ -101,8 +101,8 @@
 
 
 def test_entry_that_died_before_sending_frees_the_key(once, fake, lose_entry):
-    once.take(KEYED, BOUND_S)
-    once.ended(ended(messages.RunResult.NOT_SENT))
+    once.claim(KEYED, BOUND_S)
+    once.record_run_end(ended(messages.RunResult.NOT_SENT))
     lose_entry()
     assert fake.ends() == [verdict.NotRun]
 
@@ -114,28 +114,28 @@
     the entry dies: were the attempt still taken for unsent, its key would
     be freed while the booking is made.
     """
-    once.take(KEYED, BOUND_S)
-    once.ended(ended(messages.RunResult.NOT_SENT))
-    once.take(KEYED, BOUND_S)
+    once.claim(KEYED, BOUND_S)
+    once.record_run_end(ended(messages.RunResult.NOT_SENT))
+    once.claim(KEYED, BOUND_S)
     assert fake.claimed == 1
     lose_entry()
     assert fake.ends() == [verdict.MayHaveRun]
 
 
 def test_attempt_that_may_be_sent_is_not_granted_again(once, fake):
-    once.take(KEYED, BOUND_S)
+    once.claim(KEYED, BOUND_S)
     fake.result = claims.InProgress(1.0)
     with pytest.raises(verdict.RefusalError) as raised:
-        once.take(KEYED, BOUND_S)
+        once.claim(KEYED, BOUND_S)
     assert isinstance(raised.value.given, verdict.MayHaveRun)
 
 
 def test_entry_that_is_frozen_leaves_its_attempt_lost(once, fake, clock):
-    once.take(KEYED, BOUND_S)
+    once.claim(KEYED, BOUND_S)
     clock[0] += BOUND_S
     once.review()
     assert fake.settled == []
-    clock[0] += idempotency.SLACK_S + 1
+    clock[0] += idempotency.END_REPORT_MARGIN_S + 1
     once.review()
     assert fake.ends() == [verdict.MayHaveRun]
 
@@ -154,18 +154,18 @@
     once, fake, result, end
 ):
     """An agent is replaced while a submission runs."""
-    once.ended(ended(result))
+    once.record_run_end(ended(result))
     assert fake.ends() == [end]
 
 
 def test_attempt_abandoned_by_its_entry_is_freed(once, fake):
-    once.abandoned("north", "key", "a")
+    once.abandon("north", "key", "a")
     assert fake.ends() == [verdict.NotRun]
 
 
 def test_won_attempt_without_endpoint_is_freed(once, fake):
-    once.take(KEYED, BOUND_S)
-    once.not_granted(KEYED, verdict.NotRun(verdict.Reason.NO_ENDPOINT))
+    once.claim(KEYED, BOUND_S)
+    once.release(KEYED, verdict.NotRun(verdict.Reason.NO_ENDPOINT))
     assert fake.ends() == [verdict.NotRun]
     assert once.attempts == {}
 
@@ -176,10 +176,10 @@
     The entry died as it relayed the answer; the next try finds the answer
     by its id.
     """
-    once.take(KEYED, BOUND_S)
-    once.granted(KEYED, "answer-1")
+    once.claim(KEYED, BOUND_S)
+    once.record_grant(KEYED, "answer-1")
     lose_entry()
     assert fake.answer_ids == ["answer-1"]
     fake.result = claims.Unknown("lost", "answer-1")
-    again = once.take(dataclasses.replace(KEYED, attempt="b"), BOUND_S)
-    assert again == messages.Replayed(0, b"", False, "answer-1", "unknown")
+    replayed = once.claim(dataclasses.replace(KEYED, attempt="b"), BOUND_S)
+    assert replayed == messages.Replayed(0, b"", False, "answer-1", "unknown")
--- a/tests/admission/test_orphans.py
+++ b/tests/admission/test_orphans.py
@@ -28,7 +28,7 @@
         made.forget(run.run_id)
 
     made = orphans.Orphans(lambda: frozenset(connected), end, lambda: clock[0])
-    made.note(
+    made.track(
         messages.Granted("run", "", "", "north", "engine-0", "address"),
         "entry",
     )
@@ -45,7 +45,7 @@
     watched.review()
     connected.clear()
     watched.review()
-    clock[0] += orphans.GRACE_S
+    clock[0] += orphans.ENTRY_GRACE_S
     watched.review()
     watched.review()
     assert ended == ["run"]
@@ -57,7 +57,7 @@
     connected.clear()
     watched.review()
     connected.add("entry")
-    clock[0] += orphans.GRACE_S
+    clock[0] += orphans.ENTRY_GRACE_S
     watched.review()
     connected.clear()
     watched.review()
@@ -65,6 +65,6 @@
 
 
 def test_run_whose_end_was_missed_is_counted_out(watched, clock, ended):
-    clock[0] += orphans.BOUND_S
+    clock[0] += orphans.MAX_RUN_S
     watched.review()
     assert ended == ["run"]
