--- a/src/briarseam/admission/__init__.py
+++ b/src/briarseam/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Admission: who may run now, and who is refused at once."""
+"""Admission: which requests may run, where, and which are refused."""
--- a/src/briarseam/admission/limits.py
+++ b/src/briarseam/admission/limits.py
@@ -1,10 +1,10 @@
-"""Limits per organisation, kept over all agents without a call per request.
+"""Limits per organisation, enforced over all agents without remote calls.
 
-An agent gets an equal part of each limit.  One whose demand comes near to
-its part tells the others on the heartbeats, and those that told share what
-the silent ones leave, by demand.  A part that was told is kept for a while
-after its agent was last heard, so that a cut makes the rest careful and not
-generous.
+Each agent gets an equal share of each limit.  An agent whose demand comes
+near to its share publishes it on the heartbeats, and these agents divide what
+the silent ones do not use in proportion to demand.  A published demand is
+kept for a while after the agent was last heard from, so that a network
+partition makes the other agents use less and not more.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 from briarseam.configuration import schema
 from briarseam.configuration import values
 
-HOLD_S = 10.0
+DEMAND_TTL_S = 10.0
 HALF_LIFE_S = 2.0
-# What one request adds to a rate that halves in a half-life.
-GAIN_PER_S = math.log(2) / HALF_LIFE_S
-TOLD_AT_MOST = 8
-# An agent is silent while it uses less than this part of its equal share.
-SILENT_PART = 0.5
+# Requests per second that one request adds to the decaying average.
+DEMAND_PER_REQUEST = math.log(2) / HALF_LIFE_S
+MAX_PUBLISHED = 8
+# An agent publishes no demand below this part of its equal share.
+SILENT_SHARE = 0.5
 BURST_S = 1.0
 MIN_BURST = 1.0
 
@@ -43,9 +43,9 @@
     Attributes
     ----------
     detail
-        Which one.
+        The exceeded limit, as one sentence.
     retry_after_s
-        When the limit has room again.
+        Seconds until the limit allows a request again.
     """
 
     detail: str
@@ -53,29 +53,29 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Told:
-    """Another agent's demands by organisation number, and when heard."""
+class PeerDemands:
+    """Demands of another agent by name hash, and when they were received."""
 
     demands: dict[int, float]
-    heard_at: float
+    received_at: float
 
 
 @dataclasses.dataclass
 class Usage:
-    """What one organisation does at this agent.
+    """Usage of one organisation at this agent.
 
     Attributes
     ----------
     running
-        Requests under way.
+        Number of running requests.
     tokens
-        What is left in the bucket, in requests; full before the first.
+        Content of the token bucket, in requests; full before the first.
     filled_at
-        When that was worked out.
+        Time of the last refill of the bucket.
     demand_per_s
-        Requests a second, averaged, refused ones too.
+        Average requests per second, refused ones included.
     demand_at
-        When that was worked out.
+        Time of the last update of the average.
     """
 
     running: int = 0
@@ -85,8 +85,8 @@
     demand_at: float = 0.0
 
 
-def number_of(organisation: str) -> int:
-    """Return the short form of a name that rides on heartbeats."""
+def hash_name(organisation: str) -> int:
+    """Return the hash that stands for an organisation in heartbeats."""
     return xxhash.xxh32_intdigest(organisation.encode())
 
 
@@ -96,28 +96,29 @@
     Parameters
     ----------
     view
-        Present configuration.
-    members
-        How many agents share the limits, this one included.
+        Returns the current configuration.
+    agent_count
+        Returns the number of agents that share the limits, this one
+        included.
     clock
-        Monotonic seconds.
+        Returns monotonic time in seconds.
     """
 
     def __init__(
         self,
         view: typing.Callable[[], schema.View],
-        members: typing.Callable[[], int],
+        agent_count: typing.Callable[[], int],
         clock: typing.Callable[[], float],
     ) -> None:
         self.view = view
-        self.members = members
+        self.agent_count = agent_count
         self.clock = clock
         self.usages: dict[str, Usage] = {}
-        self.told: dict[str, Told] = {}
+        self.peer_demands: dict[str, PeerDemands] = {}
         self.lock = threading.Lock()
 
-    def enter(self, organisation: str) -> Allowed | Exceeded:
-        """Count a request in if the limits allow it."""
+    def acquire(self, organisation: str) -> Allowed | Exceeded:
+        """Count a request as running if the limits allow it."""
         limits = self.view().organisations.get(organisation)
         if limits is None:
             return Exceeded("this organisation is not configured", 0.0)
@@ -126,137 +127,140 @@
             usage = self.usages.setdefault(
                 organisation, Usage(filled_at=now, demand_at=now)
             )
-            self.note_demand(usage, now)
-            part = self.part(organisation, usage)
-            exceeded = check_running(limits, usage, part)
-            exceeded = exceeded or check_rate(limits, usage, part, now)
+            self.record_demand(usage, now)
+            share = self.local_share(organisation, usage)
+            exceeded = check_running(limits, usage, share)
+            exceeded = exceeded or check_rate(limits, usage, share, now)
             if exceeded:
                 return exceeded
             usage.running += 1
             return Allowed()
 
-    def leave(self, organisation: str) -> None:
-        """Count a request out."""
+    def release(self, organisation: str) -> None:
+        """Count a request as ended."""
         with self.lock:
             usage = self.usages.get(organisation)
             if usage is not None and usage.running > 0:
                 usage.running -= 1
 
-    def note_demand(self, usage: Usage, now: float) -> None:
-        """Add one request to an exponentially fading rate."""
-        usage.demand_per_s = self.demand(usage, now) + GAIN_PER_S
+    def record_demand(self, usage: Usage, now: float) -> None:
+        """Add one request to the exponentially decaying average."""
+        usage.demand_per_s = self.demand(usage, now) + DEMAND_PER_REQUEST
         usage.demand_at = now
 
     def demand(self, usage: Usage, now: float) -> float:
-        """Return an organisation's present demand here."""
+        """Return an organisation's demand at this agent, per second."""
         age = (now - usage.demand_at) / HALF_LIFE_S
         return usage.demand_per_s * math.exp2(-age)
 
-    def part(self, organisation: str, usage: Usage) -> float:
-        """Return the part of the limits that this agent may use."""
+    def local_share(self, organisation: str, usage: Usage) -> float:
+        """Return the share of the limits that this agent may use."""
         now = self.clock()
-        count = max(self.members(), 1)
-        number = number_of(organisation)
+        count = max(self.agent_count(), 1)
+        name_hash = hash_name(organisation)
         others = [
-            one.demands[number]
-            for one in self.told.values()
-            if number in one.demands and now - one.heard_at < HOLD_S
+            one.demands[name_hash]
+            for one in self.peer_demands.values()
+            if name_hash in one.demands
+            and now - one.received_at < DEMAND_TTL_S
         ]
-        equal = 1.0 / count
-        mine = self.demand(usage, now)
+        equal_share = 1.0 / count
+        own_demand = self.demand(usage, now)
         silent = max(count - 1 - len(others), 0)
-        shared = max(1.0 - silent * equal * SILENT_PART, 0.0)
-        total = mine + sum(others)
-        if total <= 0:
-            return equal
-        return max(shared * mine / total, equal * SILENT_PART)
+        shared_part = max(1.0 - silent * equal_share * SILENT_SHARE, 0.0)
+        total_demand = own_demand + sum(others)
+        if total_demand <= 0:
+            return equal_share
+        return max(
+            shared_part * own_demand / total_demand, equal_share * SILENT_SHARE
+        )
 
     def provide(self) -> bytes:
         """Return this agent's section of a heartbeat.
 
-        Only those near their equal share are told, and of them the few
-        largest: telling all 960 organisations to 31 peers each second
-        would cost more bytes than control may use.
+        It holds only the largest demands that are near their equal share:
+        publishing 960 organisations to 31 peers each second would exceed the
+        bandwidth that control traffic may use.
         """
-        self.forget_idle()
+        self.remove_stale()
         now = self.clock()
-        count = max(self.members(), 1)
-        near: list[tuple[float, str]] = []
+        count = max(self.agent_count(), 1)
+        candidates: list[tuple[float, str]] = []
         with self.lock:
             for name, usage in self.usages.items():
                 demand = self.demand(usage, now)
                 limits = self.view().organisations.get(name)
-                if limits and is_near(limits, usage, demand, count):
-                    near.append((demand, name))
-        near.sort(reverse=True)
+                if limits and is_near_share(limits, usage, demand, count):
+                    candidates.append((demand, name))
+        candidates.sort(reverse=True)
         demands = {
-            number_of(name): round(demand, 2)
-            for demand, name in near[:TOLD_AT_MOST]
+            hash_name(name): round(demand, 2)
+            for demand, name in candidates[:MAX_PUBLISHED]
         }
         return msgspec.msgpack.encode(demands)
 
     def consume(self, member: str, data: bytes) -> None:
-        """Take in another agent's section."""
+        """Apply the section of another agent's heartbeat."""
         demands = msgspec.msgpack.decode(data, type=dict[int, float])
-        self.told[member] = Told(demands, self.clock())
+        self.peer_demands[member] = PeerDemands(demands, self.clock())
 
-    def forget_idle(self) -> None:
-        """Drop what has done or told nothing for a while.
+    def remove_stale(self) -> None:
+        """Remove idle usages and outdated demands of other agents.
 
-        Instances are replaced all day under new names; without this an
-        agent that lives long would remember all of them.
+        Instances are replaced under new names throughout the day; without
+        this the memory of a long-running agent would grow with each of them.
         """
         now = self.clock()
         with self.lock:
-            idle = [
+            stale = [
                 name
                 for name, usage in self.usages.items()
-                if not usage.running and now - usage.demand_at > HOLD_S
+                if not usage.running and now - usage.demand_at > DEMAND_TTL_S
             ]
-            for name in idle:
+            for name in stale:
                 del self.usages[name]
-        for member, told in list(self.told.items()):
-            if now - told.heard_at > HOLD_S:
-                self.told.pop(member, None)
+        for member, received in list(self.peer_demands.items()):
+            if now - received.received_at > DEMAND_TTL_S:
+                self.peer_demands.pop(member, None)
 
 
-def is_near(
+def is_near_share(
     limits: values.Organisation, usage: Usage, demand: float, count: int
 ) -> bool:
-    """Tell whether an organisation comes near to its equal share here."""
-    part = SILENT_PART / count
-    over_rate = limits.requests_per_s * part
-    over_running = limits.max_running * part
+    """Return whether an organisation is near its equal share here."""
+    share = SILENT_SHARE / count
+    rate_threshold = limits.requests_per_s * share
+    running_threshold = limits.max_running * share
     return bool(
-        (limits.requests_per_s and demand > over_rate)
-        or (limits.max_running and usage.running > over_running)
+        (limits.requests_per_s and demand > rate_threshold)
+        or (limits.max_running and usage.running > running_threshold)
     )
 
 
 def check_running(
-    limits: values.Organisation, usage: Usage, part: float
+    limits: values.Organisation, usage: Usage, share: float
 ) -> Exceeded | None:
-    """Check the requests running at once."""
+    """Check the limit on running requests."""
     if not limits.max_running:
         return None
-    allowed = max(round(limits.max_running * part), 1)
+    allowed = max(round(limits.max_running * share), 1)
     if usage.running < allowed:
         return None
-    # One of its own runs has to end first; how long that takes the return
-    # schedule knows better than this.
+    # One of the organisation's runs has to end first; the retry schedule
+    # has the better estimate of when.
     return Exceeded("too many requests of this organisation are running", 0.0)
 
 
 def check_rate(
-    limits: values.Organisation, usage: Usage, part: float, now: float
+    limits: values.Organisation, usage: Usage, share: float, now: float
 ) -> Exceeded | None:
-    """Check the rate, with a bucket of a second's worth."""
+    """Check the request rate with a token bucket."""
     if not limits.requests_per_s:
         return None
-    rate = limits.requests_per_s * part
+    rate = limits.requests_per_s * share
     burst = max(rate * BURST_S, MIN_BURST)
-    filled = usage.tokens + (now - usage.filled_at) * rate
-    usage.tokens = min(filled, burst)
+    tokens = usage.tokens + (now - usage.filled_at) * rate
+    usage.tokens = min(tokens, burst)
     usage.filled_at = now
     if usage.tokens < 1.0:
         wait_s = (1.0 - usage.tokens) / max(rate, 1e-6)
--- a/src/briarseam/admission/messages.py
+++ b/src/briarseam/admission/messages.py
@@ -12,51 +12,52 @@
 @codec.message("admit")
 @dataclasses.dataclass(frozen=True)
 class Admit:
-    """Ask whether a prompt may run, and where.
+    """Request to run a prompt.
 
     Attributes
     ----------
     token_digest
-        blake2b-16 hex of the caller's bearer token.
+        blake2b-16 of the caller's bearer token, in hexadecimal.
     model
-        Model asked for.
+        The requested model.
     session
-        The caller's session name, may be empty.
+        The caller's session name; may be empty.
     chain
-        Chain digests of the prompt's whole pieces, see
+        Chain digests of the prompt's complete pieces, see
         ``briarseam.cache.pieces``.
     prompt_tokens
         Length of the prompt.
     max_tokens
-        Most tokens of the answer.
+        Limit on the tokens of the answer.
     priority
-        0 high to 9 low.
+        0 (high) to 9 (low).
     deadline_ms
-        The caller wants its first token within this.
+        Time within which the caller needs its first token.
     idempotent
-        Whether the prompt may run again.
+        Whether the prompt may run more than once.
     key
         Idempotency key; empty for idempotent prompts.
     body_digest
-        blake2b-16 of the request body, to tell a reused key.
+        blake2b-16 of the request body, to detect a reused key.
     continues
-        Answer id of a run that was lost, when this asks for its
-        continuation; else empty.
+        Answer id of a lost run that this request continues; else empty.
     passed_on
-        Tokens of that answer the caller already has.
+        Tokens of that answer that the caller already has.
     lost
         Endpoints that were lost while running this request, or did not
         start it.
     refused
-        Those of ``lost`` that refused it: they live and may take it later.
+        Those of ``lost`` that refused it: they are alive and may take it
+        later.
     attempt
-        Fresh name that the entry gives its try of a request with a key;
-        the same again when the endpoint of a grant did not start it.
+        New name that the entry gives its try of a request with a key; the
+        same is sent again when the granted endpoint did not start it.
     request
         Name of the caller's request on the time line; the same for all
-        its tries.
+        tries.
     prompt_digest
-        blake2b-16 of the prompt's tokens; names what crashes endpoints.
+        blake2b-16 of the prompt's tokens, by which the crash guard
+        identifies it.
     """
 
     token_digest: str
@@ -82,15 +83,14 @@
 @codec.message("admit-call")
 @dataclasses.dataclass(frozen=True)
 class AdmitCall:
-    """Ask whether a call to a plain service may run, and where.
+    """Request to run a call to a plain service.
 
     Attributes
     ----------
     token_digest, key, body_digest, deadline_ms, lost, attempt, request
-        As in :class:`Admit`; the key is empty for idempotent calls
-        without one.
+        As in :class:`Admit`; the key may be empty for idempotent calls.
     service, call
-        What is called.
+        The service and the call.
     """
 
     token_digest: str
@@ -107,29 +107,29 @@
 @codec.message("granted")
 @dataclasses.dataclass(frozen=True)
 class Granted:
-    """Send the request to this endpoint now.
+    """The request may run: the entry sends it to this endpoint at once.
 
     Attributes
     ----------
     run_id
-        Fresh name of this run at the endpoint.
+        New id of the run at the endpoint.
     answer_id
-        Authenticated token by which any entry resumes the answer; empty
+        Authenticated token with which any entry resumes the answer; empty
         for service calls.
     attempt
         Claim attempt to settle at the end; empty without a claim.
     organisation
         The caller's organisation.
     endpoint, address
-        Where to send it.
+        Name and address of the endpoint.
     version, adapter
-        Weight version and adapter the run must use.
+        Weight version and adapter that the run must use.
     priority
-        Priority after the organisation's limit.
+        Priority, bounded by the organisation's.
     salt
         Cache salt of the organisation at the endpoint.
     timeout_ms
-        Bound on the wait for the endpoint's first byte.
+        Timeout for the endpoint's first byte.
     """
 
     run_id: str
@@ -148,7 +148,7 @@
 @codec.message("refused")
 @dataclasses.dataclass(frozen=True)
 class Refused:
-    """The request gets this final answer, at once.
+    """The request is refused with this verdict.
 
     Attributes
     ----------
@@ -159,7 +159,7 @@
     detail
         One sentence for the caller.
     retry_after_s
-        When to ask again; ``None`` when never.
+        Seconds after which to retry; ``None`` for never.
     """
 
     ran: str
@@ -171,20 +171,21 @@
 @codec.message("replayed")
 @dataclasses.dataclass(frozen=True)
 class Replayed:
-    """The key's request ran before; this was its outcome.
+    """The key's request ran before with this outcome.
 
     Attributes
     ----------
     status
         HTTP status of the first answer.
     body
-        Its body as far as it was kept.
+        Body of the first answer, as far as it was kept.
     whole
-        Whether ``body`` is all of it.
+        Whether ``body`` is complete.
     answer_id
         Answer id of the first run, for prompts.
     ran
-        ``"yes"``, or ``"unknown"`` when only its endpoint may tell.
+        ``"yes"``, or ``"unknown"`` when only the endpoint may know the
+        outcome.
     """
 
     status: int
@@ -195,7 +196,7 @@
 
 
 class RunResult(enum.StrEnum):
-    """How a granted run ended, as its entry saw it."""
+    """Result of a granted run, as reported by its entry."""
 
     DONE = "done"
     NOT_SENT = "not-sent"
@@ -215,9 +216,9 @@
     run_id
         The run.
     cached_tokens
-        Prompt tokens the endpoint did not compute again.
+        Prompt tokens that the endpoint reused from its cache.
     first_token_ms
-        From the entry's accept to the first token.
+        Time from the entry's accept to the first token.
     """
 
     run_id: str
@@ -228,22 +229,22 @@
 @codec.message("run-ended")
 @dataclasses.dataclass(frozen=True)
 class RunEnded:
-    """A granted run is over; its entry reports once.
+    """The entry's report of the end of a granted run.
 
     Attributes
     ----------
     run_id, attempt, endpoint
         As granted.
     result
-        How it ended.
+        Result of the run.
     tokens
-        Tokens passed on.
+        Tokens passed on to the caller.
     status
-        HTTP status given to the caller, for replays.
+        HTTP status sent to the caller, for replays.
     body
-        What a replay should return, capped by the entry.
+        Body for replays, truncated by the entry.
     whole
-        Whether ``body`` is all of it.
+        Whether ``body`` is complete.
     organisation, key
         What the attempt claimed; empty without an attempt.
     answer_id
@@ -263,7 +264,7 @@
     answer_id: str = ""
 
     def is_final(self) -> bool:
-        """Tell whether this ends an attempt for good."""
+        """Return whether the attempt has ended and can't be sent again."""
         unsent = (RunResult.NOT_SENT, RunResult.REFUSED)
         return bool(self.attempt) and self.result not in unsent
 
@@ -271,12 +272,12 @@
 @codec.message("attempt-abandoned")
 @dataclasses.dataclass(frozen=True)
 class AttemptAbandoned:
-    """The entry got no reply about an attempt and will never send it.
+    """The entry received no reply for an attempt and will never send it.
 
     Attributes
     ----------
     token_digest, key, attempt
-        As in the message that was not answered.
+        As in the message without a reply.
     """
 
     token_digest: str
@@ -287,13 +288,13 @@
 @codec.message("noted")
 @dataclasses.dataclass(frozen=True)
 class Noted:
-    """Reply that carries nothing but that the message was taken in."""
+    """Acknowledgement of a message, without content."""
 
 
 @codec.message("locate")
 @dataclasses.dataclass(frozen=True)
 class Locate:
-    """Ask where the answer with this id runs."""
+    """Query for the run of the answer with this id."""
 
     token_digest: str
     answer_id: str
@@ -302,14 +303,14 @@
 @codec.message("located")
 @dataclasses.dataclass(frozen=True)
 class Located:
-    """The run behind an answer id.
+    """The run of an answer id.
 
     Attributes
     ----------
     organisation, run_id, endpoint, address, model, version
-        The run, where and of what.
+        The run with its organisation, endpoint, model and weight version.
     generation
-        Number of this resume; -1 when nobody could count it.
+        Number of this resume; -1 when the home agent did not count it.
     """
 
     organisation: str
@@ -324,7 +325,7 @@
 @codec.message("resumed")
 @dataclasses.dataclass(frozen=True)
 class Resumed:
-    """Tell an answer's home agent that it is being resumed."""
+    """Report of a resume to the answer's home agent."""
 
     run_id: str
 
@@ -332,7 +333,7 @@
 @codec.message("resume-counted")
 @dataclasses.dataclass(frozen=True)
 class ResumeCounted:
-    """The resume's number; ``None`` when the run was given up before."""
+    """The resume's number; ``None`` when the run was cancelled before."""
 
     generation: int | None
 
@@ -340,14 +341,15 @@
 @codec.message("may-cancel")
 @dataclasses.dataclass(frozen=True)
 class MayCancel:
-    """Ask whether a run may be cancelled as nobody reads its answer.
+    """Query whether a run without a reader may be cancelled.
 
     Attributes
     ----------
     answer_id
         The answer.
     generation
-        Of the resume whose caller went away; 0 for the first request.
+        Number of the resume whose caller disconnected; 0 for the first
+        request.
     """
 
     answer_id: str
@@ -357,13 +359,13 @@
 @codec.message("cancel-answered")
 @dataclasses.dataclass(frozen=True)
 class CancelAnswered:
-    """Whether it may; then it can't be resumed any more."""
+    """Whether the run may be cancelled; if so, it can't be resumed."""
 
     allowed: bool
 
 
-def refused(given: verdict.Verdict) -> Refused:
-    """Return the message that carries a verdict to the entry."""
+def refusal_message(given: verdict.Verdict) -> Refused:
+    """Return the message that carries a verdict to an entry."""
     return Refused(
         ran=verdict.ran_word(given),
         reason=given.reason.value,
--- a/src/briarseam/admission/refusals.py
+++ b/src/briarseam/admission/refusals.py
@@ -1,4 +1,4 @@
-"""The refusals of admission, each with its verdict and when to return."""
+"""The refusals of admission, with verdict, detail and retry time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def unknown_token() -> verdict.NotRun:
-    """Refuse a caller that no organisation knows."""
+    """Refuse a token that belongs to no organisation."""
     return verdict.NotRun(
         verdict.Reason.UNAUTHENTICATED, "no organisation has this token"
     )
@@ -29,7 +29,7 @@
 
 
 def key_needed() -> verdict.NotRun:
-    """Refuse a request that may not repeat and has no key."""
+    """Refuse a non-idempotent request without an idempotency key."""
     return verdict.NotRun(
         verdict.Reason.KEY_INVALID,
         "this call may not repeat: send an Idempotency-Key, a UUIDv7",
@@ -37,12 +37,12 @@
 
 
 def no_endpoint(detail: str, retry_after_s: float) -> verdict.NotRun:
-    """Refuse what no endpoint can take."""
+    """Refuse a request that no endpoint can take."""
     return verdict.NotRun(verdict.Reason.NO_ENDPOINT, detail, retry_after_s)
 
 
 def not_placed() -> verdict.NotRun:
-    """Refuse what could not be placed for an error in this agent."""
+    """Refuse a request whose placement failed with an internal error."""
     return verdict.NotRun(
         verdict.Reason.NO_ENDPOINT,
         "an error kept this instance from choosing an endpoint",
@@ -51,7 +51,7 @@
 
 
 def too_late(first_token_s: float, retry_after_s: float) -> verdict.NotRun:
-    """Refuse what would miss its deadline."""
+    """Refuse a prompt that would miss its deadline."""
     return verdict.NotRun(
         verdict.Reason.DEADLINE,
         f"the first token is expected after {first_token_s:.2f} s",
@@ -60,7 +60,7 @@
 
 
 def overloaded(retry_after_s: float) -> verdict.NotRun:
-    """Refuse when as much waits here as may."""
+    """Refuse a request because this instance is at its limit."""
     return verdict.NotRun(
         verdict.Reason.OVERLOADED,
         "too many requests wait or run at this instance",
@@ -69,12 +69,12 @@
 
 
 def throttled(detail: str, retry_after_s: float) -> verdict.NotRun:
-    """Refuse what is over its organisation's limits."""
+    """Refuse a request that exceeds its organisation's limits."""
     return verdict.NotRun(verdict.Reason.THROTTLED, detail, retry_after_s)
 
 
 def retries_spent(retry_after_s: float) -> verdict.NotRun:
-    """Refuse a retry that the organisation's budget does not allow."""
+    """Refuse a retry because the organisation's retry budget is spent."""
     return verdict.NotRun(
         verdict.Reason.ENDPOINT_LOST,
         "the endpoint was lost, and too many requests are being retried",
@@ -83,21 +83,24 @@
 
 
 def leaving() -> verdict.NotRun:
-    """Refuse what waits at an agent that stops."""
+    """Refuse a queued request because the agent is stopping."""
     return verdict.NotRun(
         verdict.Reason.LEAVING, "this instance stops; use another", 0.0
     )
 
 
 def unknown_answer() -> verdict.NotRun:
-    """Refuse a forged answer id and another's with the same words."""
+    """Refuse an answer id that is forged or of another organisation.
+
+    Both get the same detail, so that it does not reveal which ids exist.
+    """
     return verdict.NotRun(
         verdict.Reason.MALFORMED, "this answer id is not known"
     )
 
 
 def answer_gone() -> verdict.Ran:
-    """Refuse an answer whose endpoint is not there any more."""
+    """Refuse an answer whose endpoint was removed."""
     return verdict.Ran(
         verdict.Reason.ANSWER_GONE,
         "the endpoint of this answer is not configured any more",
@@ -105,7 +108,7 @@
 
 
 def version_gone(version: str) -> verdict.Ran:
-    """Refuse to continue an answer whose weight version is not served."""
+    """Refuse a continuation whose weight version is no longer served."""
     return verdict.Ran(
         verdict.Reason.VERSION_GONE,
         f"no endpoint serves weight version {version} any more",
@@ -113,7 +116,7 @@
 
 
 def answer_cancelled() -> verdict.Ran:
-    """Refuse an answer that was given up as nobody read it."""
+    """Refuse an answer that was cancelled because no caller read it."""
     return verdict.Ran(
         verdict.Reason.ANSWER_GONE,
         "the answer was cancelled, as its caller was away for too long",
@@ -121,11 +124,11 @@
 
 
 def for_keyed_request(key: str, given: verdict.Verdict) -> verdict.Verdict:
-    """Return a refusal that is true of a key's request.
+    """Return a refusal with "may have run" for a request with a key.
 
-    A resend under a key is the same request as the first one.  Whoever
-    cannot consult the key's records cannot say that it did not run: the
-    caller would submit anew under another key, and twice.
+    An earlier try under the same key may have run, and without the key's
+    records that is unknown.  A caller that is told "not run" would submit
+    the request again under another key, and it would run twice.
     """
     if not key or not isinstance(given, verdict.NotRun):
         return given
@@ -137,7 +140,7 @@
 
 
 def condemned(endpoints: str, retry_after_s: float) -> verdict.NotRun:
-    """Refuse a prompt with which endpoints died."""
+    """Refuse a prompt that is condemned because endpoints died with it."""
     return verdict.NotRun(
         verdict.Reason.CONDEMNED,
         f"endpoints died while they ran this prompt: {endpoints}",
@@ -146,7 +149,7 @@
 
 
 def suspect_waits(retry_after_s: float) -> verdict.NotRun:
-    """Refuse a prompt that may run at one place only, which is not free."""
+    """Refuse a suspect prompt, which runs at one endpoint at a time."""
     return verdict.NotRun(
         verdict.Reason.OVERLOADED,
         "an endpoint died while it ran this prompt, or it runs already;"
--- a/src/briarseam/admission/request_metrics.py
+++ b/src/briarseam/admission/request_metrics.py
@@ -1,7 +1,7 @@
-"""Metrics of requests, counted where messages pass an agent.
+"""Metrics of requests, counted from the messages that an agent handles.
 
-Tokens are counted for each organisation by itself and never summed over
-them here.
+Tokens are counted for each organisation separately and never summed over
+organisations.
 """
 
 from __future__ import annotations
@@ -27,22 +27,22 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Granted:
-    """What the end of a run is counted with."""
+class GrantedRun:
+    """What is needed of a run to count its start and end."""
 
     organisation: str
     prompt_tokens: int
 
 
 class RequestMetrics:
-    """Counts what an agent decides and how its runs go.
+    """Counts an agent's decisions and the progress of its runs.
 
     Parameters
     ----------
     registry
-        Where the metrics are registered.
+        Registry of the metrics.
     clock
-        Monotonic seconds.
+        Returns monotonic time in seconds.
     """
 
     def __init__(
@@ -88,29 +88,29 @@
         )
         self.local = threading.local()
         self.lock = threading.Lock()
-        self.runs: collections.OrderedDict[str, Granted] = (
+        self.runs: collections.OrderedDict[str, GrantedRun] = (
             collections.OrderedDict()
         )
 
     def asked(self, request: codec.Message) -> None:
-        """See a message before it is handled, in the handler's thread."""
+        """Count a message before it is handled, in the handler's thread."""
         match request:
             case messages.Admit() | messages.AdmitCall():
-                self.local.began = self.clock()
+                self.local.started_at = self.clock()
             case messages.RunStarted():
                 self.count_start(request)
             case messages.RunEnded():
                 self.count_end(request)
 
     def answered(self, request: codec.Message, reply: codec.Message) -> None:
-        """See a message's reply."""
+        """Count the reply to a message, in the handler's thread."""
         if not isinstance(request, messages.Admit | messages.AdmitCall):
             return
-        self.admit_us.record_s(self.clock() - self.local.began)
+        self.admit_us.record_s(self.clock() - self.local.started_at)
         match reply:
             case messages.Granted():
                 self.decisions.labelled(GRANTED).add()
-                self.remember(request, reply)
+                self.track_run(request, reply)
             case messages.Replayed():
                 self.decisions.labelled(REPLAYED).add()
             case messages.Refused():
@@ -119,22 +119,22 @@
             case _:
                 self.decisions.labelled(FAILED).add()
 
-    def remember(
+    def track_run(
         self,
         request: messages.Admit | messages.AdmitCall,
         grant: messages.Granted,
     ) -> None:
-        """Remember a run until it ends; the oldest makes room."""
+        """Track a run until it ends; beyond the limit drop the oldest."""
         tokens = 0
         if isinstance(request, messages.Admit):
             tokens = request.prompt_tokens
         with self.lock:
-            self.runs[grant.run_id] = Granted(grant.organisation, tokens)
+            self.runs[grant.run_id] = GrantedRun(grant.organisation, tokens)
             if len(self.runs) > MAX_RUNS:
                 self.runs.popitem(last=False)
 
     def count_start(self, started: messages.RunStarted) -> None:
-        """Count a first token."""
+        """Count the first token of a run."""
         run = self.runs.get(started.run_id)
         if run is None:
             return
@@ -144,7 +144,7 @@
         self.reused_tokens.labelled(run.organisation).add(reused)
 
     def count_end(self, ended: messages.RunEnded) -> None:
-        """Count an end, once however often it is reported."""
+        """Count the end of a run; ignore repeated reports."""
         with self.lock:
             run = self.runs.pop(ended.run_id, None)
         if run is None:
--- a/tests/admission/test_limits.py
+++ b/tests/admission/test_limits.py
@@ -41,7 +41,7 @@
 
 def offer(agent, count):
     """Offer requests; return how many were allowed."""
-    allowed = [agent.enter("north") for _ in range(count)]
+    allowed = [agent.acquire("north") for _ in range(count)]
     return sum(isinstance(one, limits.Allowed) for one in allowed)
 
 
@@ -96,7 +96,7 @@
     cell = build(2, max_running=8)
     agent = cell.agents["agent-0"]
     assert offer(agent, 8) == 6
-    agent.leave("north")
+    agent.release("north")
     assert offer(agent, 2) == 1
 
 
@@ -118,7 +118,7 @@
     agent.view = lambda: view
     for name in names:
         for _ in range(3):
-            agent.enter(name)
+            agent.acquire(name)
     assert len(agent.provide()) < 200
 
 
@@ -175,6 +175,6 @@
     cell = build(1)
     (agent,) = cell.agents.values()
     agent.consume("old", agent.provide())
-    cell.clock.now_s += limits.HOLD_S + 1
+    cell.clock.now_s += limits.DEMAND_TTL_S + 1
     agent.provide()
-    assert not agent.told
+    assert not agent.peer_demands
