--- a/tests/admission/test_answer_id.py
+++ b/tests/admission/test_answer_id.py
@@ -8,23 +8,23 @@
 
 
 def sealed(number, organisation="north"):
-    names = answer_id.AnswerId(
+    identity = answer_id.AnswerId(
         organisation, "engine", f"run-{number}", "draft", "v1"
     )
-    return answer_id.seal(names, KEY)
+    return answer_id.seal(identity, KEY)
 
 
-def test_an_id_can_be_given_to_a_command():
-    """An operator pastes a caller's answer id after ``--request``.  One id
-    in 64 began with a dash and was taken for an option.
+def test_id_does_not_look_like_an_option():
+    """Without the prefix, one id in 64 begins with a dash, and a command
+    line takes it for an option.
     """
     assert not any(sealed(n).startswith("-") for n in range(500))
 
 
-def test_an_id_says_what_was_sealed():
-    """Any entry resumes an answer from its id alone."""
-    found = answer_id.unseal(sealed(7), KEY)
-    assert (found.organisation, found.run_id) == ("north", "run-7")
+def test_unsealed_id_has_the_sealed_content():
+    """Any entry can resume an answer from its id alone."""
+    answer = answer_id.unseal(sealed(7), KEY)
+    assert (answer.organisation, answer.run_id) == ("north", "run-7")
 
 
 @pytest.mark.parametrize(
@@ -38,12 +38,12 @@
     ],
 )
 def test_a_forged_id_is_refused(forge):
-    """A caller changes an id to reach another organisation's answer."""
+    """A changed id could name an answer of another organisation."""
     with pytest.raises(answer_id.AnswerIdError):
         answer_id.unseal(forge(sealed(7)), KEY)
 
 
 def test_an_id_of_another_key_is_refused():
-    """An id comes from another deployment."""
+    """Ids of another deployment are sealed under another key."""
     with pytest.raises(answer_id.AnswerIdError):
         answer_id.unseal(sealed(7), b"x" * 32)
--- a/tests/admission/test_dispatch.py
+++ b/tests/admission/test_dispatch.py
@@ -16,7 +16,7 @@
 
 
 class Engines:
-    """Engines with so many slots, counted by hand."""
+    """Engines with a number of free slots that the test sets."""
 
     def __init__(self, slots, first_token_s=0.1):
         self.free = slots
@@ -70,11 +70,11 @@
     return dispatch.Waiter(query, fair_queue.Rank(5, at), start)
 
 
-def place_in_thread(dispatcher, one, done):
+def place_in_thread(dispatcher, queued_waiter, done):
     def place():
         try:
-            dispatcher.place(one)
-            done.append(one.query.organisation)
+            dispatcher.place(queued_waiter)
+            done.append(queued_waiter.query.organisation)
         except verdict.RefusalError as error:
             done.append(error.given.reason)
 
@@ -87,11 +87,9 @@
     return sum(len(queue) for queue in dispatcher.queues.values())
 
 
-def test_what_has_no_slot_waits_and_is_served_when_one_ends(
-    dispatcher, engines
-):
-    """The only slot is taken.  The next caller waits and gets it as soon
-    as the first run ends, without asking again.
+def test_queued_prompt_is_granted_when_a_run_ends(dispatcher, engines):
+    """A prompt that finds the only slot busy is queued and granted as soon
+    as the first run ends.
     """
     dispatcher.place(waiter(engines))
     done = []
@@ -102,9 +100,9 @@
     waiting.until(lambda: done == ["north"], what="the second is served")
 
 
-def test_a_small_organisation_passes_a_burst(dispatcher, engines):
-    """A large organisation has twenty requests waiting when a small one
-    sends its only one.  It is served before the rest of the burst.
+def test_burst_does_not_delay_another_organisation(dispatcher, engines):
+    """A large organisation has twenty queued prompts when a small one sends
+    its only prompt, which is granted before the rest of the burst.
     """
     dispatcher.place(waiter(engines, "large"))
     done = []
@@ -120,11 +118,9 @@
     assert "small" in done
 
 
-def test_a_deadline_that_cannot_be_made_is_refused_at_once(
-    dispatcher, engines
-):
-    """The prediction says two seconds and the caller needs its token in
-    one.  It hears so now, not when the second is over.
+def test_unattainable_deadline_is_refused_at_once(dispatcher, engines):
+    """A prompt with a predicted time to first token of 2 s and a deadline
+    of 1 s is refused without waiting for the deadline.
     """
     engines.first_token_s = 2.0
     with pytest.raises(verdict.RefusalError) as refusal:
@@ -138,8 +134,8 @@
 def test_a_queue_too_long_for_the_deadline_is_refused_at_once(
     dispatcher, engines
 ):
-    """One slot, runs of a second, and ten wait already.  A caller that
-    needs its token within three seconds would wait eleven for nothing.
+    """With one slot, runs of 1 s and ten queued prompts, the expected wait
+    is 11 s, so a prompt with a deadline of 3 s is refused.
     """
     dispatcher.place(waiter(engines))
     done = []
@@ -152,9 +148,7 @@
 
 
 def test_a_full_queue_refuses(engines):
-    """As many wait as may.  The next caller is told to come back, and
-    nothing of it is kept.
-    """
+    """A prompt beyond ``max_queued`` is refused and not queued."""
     dispatcher = build(engines, max_queued=1)
     dispatcher.start()
     dispatcher.place(waiter(engines))
@@ -168,9 +162,9 @@
     waiting.until(lambda: len(done) == 1, what="the one is refused")
 
 
-def test_a_stopping_agent_refuses_those_who_wait(dispatcher, engines):
-    """An agent stops while a caller waits in its queue.  The caller is
-    told at once, as not run, so that it can use another instance.
+def test_stopping_agent_refuses_queued_prompts(dispatcher, engines):
+    """When an agent stops, its queued prompts are refused at once, so that
+    their callers can use another instance.
     """
     dispatcher.place(waiter(engines))
     done = []
@@ -182,11 +176,9 @@
     )
 
 
-def test_an_error_over_one_request_does_not_end_the_service(
-    dispatcher, engines
-):
-    """Two callers wait.  Choosing for the first fails with an error of our
-    own; it is refused, and the second is served when its turn comes.
+def test_error_while_choosing_does_not_end_the_thread(dispatcher, engines):
+    """Two prompts are queued, and choosing an engine for the first raises an
+    exception.  It is refused, and the second is still granted.
     """
     dispatcher.place(waiter(engines))
     done = []
@@ -196,23 +188,21 @@
     waiting.until(lambda: queued(dispatcher) == 2, what="two wait")
     choose = engines.choose_engine
 
-    def choose_or_break(query):
+    def choose_or_fail(query):
         if query.organisation == "broken":
             raise KeyError(query.model)
         return choose(query)
 
-    engines.choose_engine = choose_or_break
+    engines.choose_engine = choose_or_fail
     engines.free += 1
     dispatcher.record_end()
     waiting.until(lambda: len(done) == 2, what="both are settled")
     assert set(done) == {verdict.Reason.NO_ENDPOINT, "north"}
 
 
-def test_callers_of_a_model_without_an_engine_return_spread_out(
-    dispatcher, engines
-):
-    """All engines are lost for a while and every caller is refused.  Told
-    the same second, all would come back together and make a second peak.
+def test_retry_times_are_spread_without_an_engine(dispatcher, engines):
+    """While all engines are lost every caller is refused.  With the same
+    retry time for all, they would return together in a second peak.
     """
     engines.choose_engine = lambda query: routing.NoChoice("none", 1.0)
     waits = []
@@ -224,9 +214,9 @@
     assert waits[-1] - waits[0] > 1.0
 
 
-def test_without_fair_queueing_a_burst_comes_first(engines):
-    """The baseline of the fairness figure: one lane in order of priority
-    and deadline.  If it were fair as well, the figure would say nothing.
+def test_arrival_queueing_serves_a_burst_first(engines):
+    """The baseline of the fairness benchmark is a single flow in order of
+    priority and deadline; it must not be fair itself.
     """
     dispatcher = build(engines)
     policy = values.RoutingPolicy(queueing="arrival")
@@ -248,10 +238,10 @@
     assert done[:3] == ["large"] * 3
 
 
-def test_runs_that_fail_do_not_count_as_service(dispatcher):
-    """Engines refuse everything for a while: hundreds of runs end within a
-    second, none of them served.  Refused callers who were told to return
-    at that rate would all be back at once when the engines are.
+def test_failed_runs_do_not_change_the_service_rate(dispatcher):
+    """While engines refuse everything, hundreds of runs fail within a
+    second.  Were they counted as service, refused callers would be told to
+    return at that rate, all at once when the engines recover.
     """
     before = dispatcher.schedule.rate_per_s
     for _ in range(200):
--- a/tests/admission/test_fair_queue.py
+++ b/tests/admission/test_fair_queue.py
@@ -11,7 +11,7 @@
 
 
 def serve(queue, count, cost_s=1.0):
-    """Serve that many requests; return whose they were."""
+    """Serve a number of requests; return their organisations."""
     served = []
     for _ in range(count):
         organisation, _ = queue.head()
@@ -22,9 +22,9 @@
 
 
 def test_a_burst_does_not_delay_a_small_organisation():
-    """A chain sends a hundred requests at once, then a single kitchen
-    sends one.  In order of arrival the kitchen would wait for all hundred;
-    here it is among the next two.
+    """One organisation queues a hundred requests, then another queues one.
+    In order of arrival it would wait for all hundred; here it is among the
+    next two.
     """
     queue = fair_queue.FairQueue(lambda name: 1.0)
     for number in range(100):
@@ -34,9 +34,9 @@
     assert "kitchen" in serve(queue, 2)
 
 
-def test_weights_divide_what_is_served():
-    """Two organisations with weights 3 and 1 have much waiting; of forty
-    served, about thirty are the first's.
+def test_service_is_proportional_to_weights():
+    """With weights 3 and 1 and both organisations backlogged, the first gets
+    about thirty of forty grants.
     """
     weights = {"large": 3.0, "small": 1.0}
     queue = fair_queue.FairQueue(weights.__getitem__)
@@ -47,9 +47,9 @@
     assert 28 <= served.count("large") <= 32
 
 
-def test_idle_time_is_not_saved_up():
-    """An organisation that was quiet for long sends a burst.  It must not
-    be served alone until it has caught up with the time it was away.
+def test_idle_time_earns_no_credit():
+    """An organisation that was idle sends a burst.  With credit for the idle
+    time it would be served alone until the credit is used up.
     """
     queue = fair_queue.FairQueue(lambda name: 1.0)
     for number in range(100):
@@ -61,9 +61,9 @@
     assert 9 <= served.count("busy") <= 11
 
 
-def test_priority_then_deadline_order_an_organisations_own():
-    """One organisation's requests wait: the urgent one goes first, and of
-    equals the one with the earlier deadline.
+def test_own_requests_are_ordered_by_priority_then_deadline():
+    """Within an organisation the higher priority goes first, then the
+    earlier deadline.
     """
     queue = fair_queue.FairQueue(lambda name: 1.0)
     queue.push("a", rank(5, 30.0), "late")
@@ -83,10 +83,9 @@
         max_size=200,
     )
 )
-def test_nothing_is_lost_and_no_lane_is_left(steps):
-    """Any mix of arrivals, service and giving up: everything that came
-    was served, gave up or still waits, and idle organisations leave no
-    memory behind.
+def test_no_request_is_lost_and_idle_flows_are_removed(steps):
+    """For any mix of pushes, grants and removals each request was served, was
+    removed or is still queued, and idle organisations use no memory.
     """
     queue = fair_queue.FairQueue(lambda name: 1.0)
     expected = 0
--- a/tests/admission/test_idempotency.py
+++ b/tests/admission/test_idempotency.py
@@ -11,8 +11,8 @@
 from briarseam.claims import messages as claims
 from briarseam.claims import records
 
-KEYED = idempotency.KeyedRequest("north", "key", b"x", "a", "entry-1")
-BOUND_S = 5.0
+REQUEST = idempotency.KeyedRequest("north", "key", b"x", "a", "entry-1")
+MAX_RUN_S = 5.0
 
 
 @dataclasses.dataclass
@@ -50,19 +50,19 @@
 
 
 @pytest.fixture
-def once(fake, clock, connected) -> idempotency.Idempotency:
+def tracker(fake, clock, connected) -> idempotency.Idempotency:
     return idempotency.Idempotency(
         fake, lambda: frozenset(connected), lambda: clock[0]
     )
 
 
 @pytest.fixture
-def lose_entry(once, clock, connected) -> typing.Callable[[], None]:
+def lose_entry(tracker, clock, connected) -> typing.Callable[[], None]:
     def lose() -> None:
         connected.clear()
-        once.review()
+        tracker.review()
         clock[0] += idempotency.ENTRY_GRACE_S
-        once.review()
+        tracker.review()
 
     return lose
 
@@ -73,70 +73,72 @@
     )
 
 
-def test_entry_that_died_leaves_its_attempt_lost(once, fake, lose_entry):
-    """Callers are told "in progress" for good after an entry died."""
-    once.claim(KEYED, BOUND_S)
-    once.review()
+def test_attempt_of_dead_entry_is_settled_as_lost(tracker, fake, lose_entry):
+    """Otherwise callers would get "in progress" forever."""
+    tracker.claim(REQUEST, MAX_RUN_S)
+    tracker.review()
     assert fake.settled == []
     lose_entry()
     assert fake.ends() == [verdict.MayHaveRun]
 
 
 def test_entry_that_connects_again_keeps_its_attempt(
-    once, fake, clock, connected
+    tracker, fake, clock, connected
 ):
-    """A caller is told "unknown" though its submission's entry lives.
+    """An entry whose connections were cut opens new ones and still reports.
 
-    The entry's connections were cut; it opens new ones and reports.
+    Its caller must not get "unknown" meanwhile.
     """
-    once.claim(KEYED, BOUND_S)
+    tracker.claim(REQUEST, MAX_RUN_S)
     connected.clear()
-    once.review()
+    tracker.review()
     connected.add("entry-1")
     clock[0] += idempotency.ENTRY_GRACE_S
-    once.review()
+    tracker.review()
     connected.clear()
-    once.review()
+    tracker.review()
     assert fake.settled == []
 
 
-def test_entry_that_died_before_sending_frees_the_key(once, fake, lose_entry):
-    once.claim(KEYED, BOUND_S)
-    once.record_run_end(ended(messages.RunResult.NOT_SENT))
+def test_unsent_attempt_of_dead_entry_releases_its_key(
+    tracker, fake, lose_entry
+):
+    tracker.claim(REQUEST, MAX_RUN_S)
+    tracker.record_run_end(ended(messages.RunResult.NOT_SENT))
     lose_entry()
     assert fake.ends() == [verdict.NotRun]
 
 
-def test_granted_again_after_not_sent_counts_as_sent(once, fake, lose_entry):
-    """A booking runs twice.
+def test_attempt_granted_again_counts_as_sent(tracker, fake, lose_entry):
+    """Guards against a request that runs twice.
 
-    Its first endpoint could not be reached, the second got it, and then
-    the entry dies: were the attempt still taken for unsent, its key would
-    be freed while the booking is made.
+    The first endpoint is unreachable, the second gets the request, and then
+    the entry dies.  Were the attempt still marked as unsent, its key would
+    be released while the request runs.
     """
-    once.claim(KEYED, BOUND_S)
-    once.record_run_end(ended(messages.RunResult.NOT_SENT))
-    once.claim(KEYED, BOUND_S)
+    tracker.claim(REQUEST, MAX_RUN_S)
+    tracker.record_run_end(ended(messages.RunResult.NOT_SENT))
+    tracker.claim(REQUEST, MAX_RUN_S)
     assert fake.claimed == 1
     lose_entry()
     assert fake.ends() == [verdict.MayHaveRun]
 
 
-def test_attempt_that_may_be_sent_is_not_granted_again(once, fake):
-    once.claim(KEYED, BOUND_S)
+def test_attempt_that_may_be_sent_is_not_granted_again(tracker, fake):
+    tracker.claim(REQUEST, MAX_RUN_S)
     fake.result = claims.InProgress(1.0)
     with pytest.raises(verdict.RefusalError) as raised:
-        once.claim(KEYED, BOUND_S)
+        tracker.claim(REQUEST, MAX_RUN_S)
     assert isinstance(raised.value.given, verdict.MayHaveRun)
 
 
-def test_entry_that_is_frozen_leaves_its_attempt_lost(once, fake, clock):
-    once.claim(KEYED, BOUND_S)
-    clock[0] += BOUND_S
-    once.review()
+def test_attempt_of_frozen_entry_is_settled_as_lost(tracker, fake, clock):
+    tracker.claim(REQUEST, MAX_RUN_S)
+    clock[0] += MAX_RUN_S
+    tracker.review()
     assert fake.settled == []
     clock[0] += idempotency.END_REPORT_MARGIN_S + 1
-    once.review()
+    tracker.review()
     assert fake.ends() == [verdict.MayHaveRun]
 
 
@@ -150,36 +152,37 @@
     ],
     ids=lambda value: getattr(value, "value", ""),
 )
-def test_end_is_recorded_also_for_a_predecessors_grant(
-    once, fake, result, end
+def test_end_of_a_grant_before_a_restart_is_recorded(
+    tracker, fake, result, end
 ):
-    """An agent is replaced while a submission runs."""
-    once.record_run_end(ended(result))
+    """An agent is replaced while a run that it granted is in progress."""
+    tracker.record_run_end(ended(result))
     assert fake.ends() == [end]
 
 
-def test_attempt_abandoned_by_its_entry_is_freed(once, fake):
-    once.abandon("north", "key", "a")
+def test_key_of_abandoned_attempt_is_released(tracker, fake):
+    tracker.abandon("north", "key", "a")
     assert fake.ends() == [verdict.NotRun]
 
 
-def test_won_attempt_without_endpoint_is_freed(once, fake):
-    once.claim(KEYED, BOUND_S)
-    once.release(KEYED, verdict.NotRun(verdict.Reason.NO_ENDPOINT))
+def test_key_of_attempt_without_endpoint_is_released(tracker, fake):
+    tracker.claim(REQUEST, MAX_RUN_S)
+    tracker.release(REQUEST, verdict.NotRun(verdict.Reason.NO_ENDPOINT))
     assert fake.ends() == [verdict.NotRun]
-    assert once.attempts == {}
+    assert tracker.attempts == {}
 
 
-def test_lost_prompt_is_asked_of_its_endpoint(once, fake, lose_entry):
-    """A skipper's briefing is lost though its endpoint still has it.
+def test_lost_prompt_is_replayed_by_its_answer_id(tracker, fake, lose_entry):
+    """The entry dies while it relays an answer that the endpoint still has.
 
-    The entry died as it relayed the answer; the next try finds the answer
-    by its id.
+    The next try gets the answer id, by which the answer can be resumed.
     """
-    once.claim(KEYED, BOUND_S)
-    once.record_grant(KEYED, "answer-1")
+    tracker.claim(REQUEST, MAX_RUN_S)
+    tracker.record_grant(REQUEST, "answer-1")
     lose_entry()
     assert fake.answer_ids == ["answer-1"]
     fake.result = claims.Unknown("lost", "answer-1")
-    replayed = once.claim(dataclasses.replace(KEYED, attempt="b"), BOUND_S)
+    replayed = tracker.claim(
+        dataclasses.replace(REQUEST, attempt="b"), MAX_RUN_S
+    )
     assert replayed == messages.Replayed(0, b"", False, "answer-1", "unknown")
--- a/tests/admission/test_limits.py
+++ b/tests/admission/test_limits.py
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass
 class Cell:
-    """Agents that share limits; sections pass when a test says so."""
+    """Agents that share limits; the test triggers the heartbeats."""
 
     clock: clocks.ManualClock
     agents: dict
@@ -28,7 +28,7 @@
                     peer.consume(name, agent.provide())
 
 
-def build(count, **changes):
+def build_cell(count, **changes):
     clock = clocks.ManualClock()
     organisation = values.Organisation(token_digest=DIGEST, **changes)
     view = schema.View(organisations={"north": organisation})
@@ -39,78 +39,77 @@
     return Cell(clock, agents)
 
 
-def offer(agent, count):
-    """Offer requests; return how many were allowed."""
+def send_requests(agent, count):
+    """Send requests to an agent; return how many were allowed."""
     allowed = [agent.acquire("north") for _ in range(count)]
     return sum(isinstance(one, limits.Allowed) for one in allowed)
 
 
-def run(cell, seconds, offers, cut=frozenset()):
-    """Let seconds pass with so many offers a second at each agent."""
+def run_for(cell, seconds, rates, cut=frozenset()):
+    """Send requests at a rate per agent; return how many were allowed."""
     allowed = 0
     for _ in range(seconds * 10):
         cell.clock.now_s += 0.1
-        for name, per_s in offers.items():
-            allowed += offer(cell.agents[name], per_s // 10)
+        for name, per_s in rates.items():
+            allowed += send_requests(cell.agents[name], per_s // 10)
         cell.exchange(cut)
     return allowed
 
 
-def test_the_cell_keeps_a_rate_that_comes_in_at_one_agent():
-    """All of an organisation's callers use one entry.  Its agent may use
-    most of the limit, since the others tell of no demand; together they
-    never give out more than the limit.
+def test_rate_limit_holds_with_demand_at_one_agent():
+    """All requests of an organisation come to one agent.  It may use most of
+    the limit, as the others publish no demand, but never more than it.
     """
-    cell = build(4, requests_per_s=40.0)
-    run(cell, 10, {"agent-0": 100})
-    allowed = run(cell, 10, {"agent-0": 100})
+    cell = build_cell(4, requests_per_s=40.0)
+    run_for(cell, 10, {"agent-0": 100})
+    allowed = run_for(cell, 10, {"agent-0": 100})
     assert 200 <= allowed <= 400
 
 
-def test_the_cell_keeps_a_rate_that_comes_in_everywhere():
-    """An organisation's burst arrives at all four agents, 400 a second
-    under a limit of 40.  No more than the limit passes.
+def test_rate_limit_holds_with_demand_at_all_agents():
+    """A burst of 400 requests per second over four agents is limited to the
+    organisation's 40 per second.
     """
-    cell = build(4, requests_per_s=40.0)
-    offers = {name: 100 for name in cell.agents}
-    run(cell, 5, offers)
-    assert 320 <= run(cell, 10, offers) <= 420
+    cell = build_cell(4, requests_per_s=40.0)
+    rates = {name: 100 for name in cell.agents}
+    run_for(cell, 5, rates)
+    assert 320 <= run_for(cell, 10, rates) <= 420
 
 
-def test_a_cut_makes_the_rest_careful():
-    """One of two agents is cut off under load.  Each side must not take
-    the whole limit because the other has gone quiet: for the hold time
-    the two together stay within it.
+def test_rate_limit_holds_during_a_partition():
+    """One of two agents is partitioned under load.  Neither may use the
+    complete limit because the other is silent: until the published demand
+    expires, both together stay within it.
     """
-    cell = build(2, requests_per_s=40.0)
-    offers = {name: 100 for name in cell.agents}
-    run(cell, 5, offers)
-    allowed = run(cell, 5, offers, cut=frozenset({"agent-1"}))
+    cell = build_cell(2, requests_per_s=40.0)
+    rates = {name: 100 for name in cell.agents}
+    run_for(cell, 5, rates)
+    allowed = run_for(cell, 5, rates, cut=frozenset({"agent-1"}))
     assert allowed <= 5 * 40 + 20
 
 
-def test_running_requests_are_limited_and_freed():
-    """An organisation may run eight at once over two agents; the ninth
-    waits for one to end.
+def test_running_requests_are_limited():
+    """With a limit of eight running requests over two agents, one agent
+    allows six, and another one only after one of them ended.
     """
-    cell = build(2, max_running=8)
+    cell = build_cell(2, max_running=8)
     agent = cell.agents["agent-0"]
-    assert offer(agent, 8) == 6
+    assert send_requests(agent, 8) == 6
     agent.release("north")
-    assert offer(agent, 2) == 1
+    assert send_requests(agent, 2) == 1
 
 
 def test_an_organisation_without_limits_is_never_refused():
-    """No limit configured means none, however many come."""
-    cell = build(1)
-    assert offer(cell.agents["agent-0"], 1000) == 1000
+    """An organisation without configured limits is unlimited."""
+    cell = build_cell(1)
+    assert send_requests(cell.agents["agent-0"], 1000) == 1000
 
 
 def test_the_section_of_a_heartbeat_stays_small():
-    """Hundreds of organisations are busy at one agent.  What it tells
-    its peers each second must not grow with them.
+    """The section that an agent sends its peers each second must not grow
+    with the number of busy organisations.
     """
-    cell = build(2, requests_per_s=1.0)
+    cell = build_cell(2, requests_per_s=1.0)
     agent = cell.agents["agent-0"]
     names = {f"org-{number}" for number in range(500)}
     organisation = values.Organisation(DIGEST, requests_per_s=1.0)
@@ -122,10 +121,10 @@
     assert len(agent.provide()) < 200
 
 
-def test_returns_are_spaced_by_what_is_served():
-    """An outage refuses two hundred callers at once.  With the same
-    Retry-After they would all be back in one moment; here they return at
-    no more than the rate at which requests had been finishing.
+def test_retry_times_are_spaced_by_the_service_rate():
+    """Two hundred callers are refused at once in an outage.  With the same
+    Retry-After they would all return at one moment; the schedule lets them
+    return no faster than requests were completing.
     """
     clock = clocks.ManualClock()
     schedule = retry_schedule.RetrySchedule(clock)
@@ -141,9 +140,9 @@
     assert waits == sorted(waits)
 
 
-def test_returns_never_lie_further_than_a_minute():
-    """Thousands are refused in a row.  Nobody is sent away for longer
-    than a minute.
+def test_retry_times_are_bounded():
+    """Even with thousands of refusals in a row no retry time exceeds the
+    limit of a minute.
     """
     schedule = retry_schedule.RetrySchedule(clocks.ManualClock())
     waits = [schedule.assign() for _ in range(5000)]
@@ -157,9 +156,9 @@
         pytest.param(100, 10, id="a-part-of-first-tries"),
     ],
 )
-def test_retries_are_a_part_of_first_tries(first_tries, allowed):
-    """An endpoint fails each request.  Its organisation's retries stop at
-    the budget; without one, each request would be run several times.
+def test_retries_are_limited_to_a_share_of_first_tries(first_tries, allowed):
+    """When an endpoint fails each request, retries stop at the
+    organisation's budget; without one, each request would run several times.
     """
     budgets = retry_budgets.RetryBudgets(lambda: 0.1)
     for _ in range(first_tries):
@@ -168,11 +167,11 @@
     assert sum(spent) == allowed
 
 
-def test_what_replaced_agents_told_is_not_remembered():
-    """Instances are replaced all day under new names.  An agent that lives
-    for weeks must not keep what each of them once told.
+def test_demand_of_replaced_agents_is_removed():
+    """Instances are replaced under new names throughout the day.  An agent
+    that runs for weeks must not keep the demand of each of them.
     """
-    cell = build(1)
+    cell = build_cell(1)
     (agent,) = cell.agents.values()
     agent.consume("old", agent.provide())
     cell.clock.now_s += limits.DEMAND_TTL_S + 1
--- a/tests/admission/test_once.py
+++ b/tests/admission/test_once.py
@@ -9,7 +9,7 @@
 from briarseam.testing import deployment
 from briarseam.testing import waiting
 
-COME_BACK = ("not-current", "in-progress", "log-unavailable")
+RETRYABLE = ("not-current", "in-progress", "log-unavailable")
 SUBMISSION = {"kitchen": "Havnens"}
 
 
@@ -30,19 +30,19 @@
 
 
 def submit(running, key, body=SUBMISSION, instance=0, organisation="north"):
-    """Submit, and again while told that nothing ran yet."""
+    """Submit a call, and retry while the refusal is temporary."""
 
     def attempt() -> caller.CallResult | None:
         result = running.caller(organisation, instance).call(
             deployment.SERVICE, deployment.CALL, {**body, "key": key}, key
         )
-        again = result.body.get("reason") in COME_BACK
+        again = result.body.get("reason") in RETRYABLE
         return None if again else result
 
     return waiting.until(attempt)
 
 
-def runs(running, key) -> int:
+def run_count(running, key) -> int:
     return sum(
         service.runs.get(key, 0) for service in running.services.values()
     )
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("other", [0, 1], ids=["same entry", "other entry"])
 def test_submission_sent_again_is_replayed(running, other):
-    """A caller loses the answer to a submission and sends it again."""
+    """A caller that lost the answer to a submission sends it again."""
     key = caller.new_key()
     first = submit(running, key)
     again = submit(running, key, instance=other)
@@ -58,14 +58,14 @@
     assert again == caller.CallResult(200, first.body, again.headers)
     assert "Idempotent-Replayed" not in first.headers
     assert again.headers["Idempotent-Replayed"] == "true"
-    assert runs(running, key) == 1
+    assert run_count(running, key) == 1
 
 
-def test_keys_of_two_organisations_do_not_meet(running):
+def test_keys_of_two_organisations_are_independent(running):
     key = caller.new_key()
     submit(running, key, organisation="north")
     submit(running, key, organisation="south")
-    assert runs(running, key) == 2
+    assert run_count(running, key) == 2
 
 
 @pytest.mark.parametrize(
@@ -73,11 +73,11 @@
     [("", 400), ("renewal-7", 400), (caller.new_key(0.0), 422)],
     ids=["none", "not a UUIDv7", "older than the window"],
 )
-def test_key_that_cannot_be_taken_is_refused(running, key, status):
+def test_invalid_or_expired_key_is_refused(running, key, status):
     result = submit(running, key)
     assert result.status == status
     assert result.body["ran"] == ("unknown" if status == 422 else "no")
-    assert runs(running, key) == 0
+    assert run_count(running, key) == 0
 
 
 def test_key_with_another_body_is_refused(running):
@@ -85,7 +85,7 @@
     submit(running, key)
     other = submit(running, key, {"kitchen": "Torvets"})
     assert (other.status, other.body["ran"]) == (422, "no")
-    assert runs(running, key) == 1
+    assert run_count(running, key) == 1
 
 
 @pytest.mark.parametrize(
@@ -93,11 +93,11 @@
     [("close_before", 0), ("close_after", 1)],
     ids=["before its effect", "after its effect"],
 )
-def test_answer_lost_is_unknown_and_never_run_again(running, switch, count):
-    """The authority gets a renewal twice.
+def test_lost_answer_is_unknown_and_not_run_again(running, switch, count):
+    """Guards against a submission that runs twice.
 
-    The service's connection is cut, with or without its effect; the
-    caller sends the submission again to another entry.
+    The service's connection is cut before or after the call takes effect,
+    and the caller sends the submission again to another entry.
     """
     for service in running.services.values():
         service.set(**{switch: 1})
@@ -106,11 +106,13 @@
     again = submit(running, key, instance=1)
     assert first.body["ran"] == "unknown"
     assert again.body["reason"] == "outcome-unknown"
-    assert runs(running, key) == count
+    assert run_count(running, key) == count
 
 
-def test_refusal_of_the_service_leaves_the_key_free(running):
-    """A submission can never be filed after the service was overloaded."""
+def test_refusal_by_the_service_releases_the_key(running):
+    """Otherwise a submission that an overloaded service refused could never
+    be sent again.
+    """
     for service in running.services.values():
         service.set(status=503)
     key = caller.new_key()
@@ -119,11 +121,11 @@
         service.set(status=0)
     assert first.body["ran"] == "no"
     assert submit(running, key).status == 200
-    assert runs(running, key) == 1
+    assert run_count(running, key) == 1
 
 
-def test_prompt_that_may_not_repeat_is_replayed(running):
-    """A booking made by a prompt is sent again by its caller."""
+def test_non_idempotent_prompt_is_replayed(running):
+    """A caller sends a prompt with side effects again."""
     key = caller.new_key()
     body = deployment.prompt_body("book the 06:10 transfer", idempotent=False)
     first = running.caller().ask(body, key)
@@ -140,11 +142,11 @@
     assert sum(len(counts) for counts in started) == 1
 
 
-def test_log_outage_refuses_at_once_and_frees_the_key(running):
-    """The log is away as a submission comes in.
+def test_log_outage_refuses_at_once_and_releases_the_key(running):
+    """A submission arrives while the log is unavailable.
 
-    Nothing is sent.  An earlier try under the key may have run where this
-    instance cannot see it, so its caller is told to keep the key.
+    Nothing is sent.  An earlier try under the key may have run without this
+    instance's knowledge, so the caller is told to send the same key again.
     """
     key = caller.new_key()
     submit(running, caller.new_key())
@@ -169,14 +171,14 @@
         )
     )
     assert again.status == 200
-    assert runs(running, key) == 1
-    # Each shard's follower backs off by itself; the tests that come after
-    # this one start from a system that is whole again.
+    assert run_count(running, key) == 1
+    # Each shard's follower backs off separately; the following tests need
+    # all of them to have recovered.
     waiting.until(lambda: all_shards_follow(running), what="all follow")
 
 
 def all_shards_follow(running):
-    """Tell whether every followed shard reaches the log again."""
+    """Return whether the follower of every shard reaches the log."""
     return all(
         shard.follower.available
         for instance in running.instances
@@ -184,17 +186,17 @@
     )
 
 
-def is_run(result: caller.CallResult) -> bool:
-    """Tell whether a call ran; fail if nobody can tell."""
+def has_run(result: caller.CallResult) -> bool:
+    """Return whether a call ran; fail if that is unknown."""
     assert result.status == 200 or result.body["ran"] == "no"
     return result.status == 200
 
 
 def is_refused(address: str) -> bool:
-    """Tell whether connections are refused.
+    """Return whether connections are refused.
 
-    A service that stops may still take a connection and then close it:
-    whether it ran the call nobody knows, and the call is not passed on.
+    A stopping service may still accept a connection and then close it.
+    Whether it ran the call is unknown then, and the call is not retried.
     """
     host, _, port = address.rpartition(":")
     try:
@@ -204,16 +206,16 @@
     return False
 
 
-def test_endpoint_that_cannot_be_reached_is_passed_over(running):
-    """One of two services is down; its submissions go to the other.
+def test_unreachable_endpoint_is_skipped(running):
+    """One of two services is down, and its submissions go to the other.
 
-    Passing one over takes from the organisation's retry budget; a caller
-    beyond it is told "not run" and when to come back.
+    Each of these retries is charged to the organisation's retry budget; once
+    that is spent, callers get "not run" and a retry time.
     """
-    gone = running.services["service-0"]
-    gone.stop()
-    waiting.until(lambda: is_refused(gone.address))
+    stopped = running.services["service-0"]
+    stopped.stop()
+    waiting.until(lambda: is_refused(stopped.address))
     for _ in range(4):
         key = caller.new_key()
-        waiting.until(lambda key=key: is_run(submit(running, key)))
-        assert runs(running, key) == 1
+        waiting.until(lambda key=key: has_run(submit(running, key)))
+        assert run_count(running, key) == 1
--- a/tests/admission/test_orphans.py
+++ b/tests/admission/test_orphans.py
@@ -22,7 +22,7 @@
 
 
 @pytest.fixture
-def watched(clock, connected, ended) -> orphans.Orphans:
+def tracker(clock, connected, ended) -> orphans.Orphans:
     def end(run: messages.RunEnded) -> None:
         ended.append(run.run_id)
         made.forget(run.run_id)
@@ -35,36 +35,34 @@
     return made
 
 
-def test_run_of_an_entry_that_died_is_counted_out(
-    watched, clock, connected, ended
-):
-    """An organisation reaches its limit with runs that nobody has.
+def test_run_of_dead_entry_is_ended(tracker, clock, connected, ended):
+    """The end of runs of a killed entry is never reported.
 
-    Its entry was killed; the agent never hears how its runs ended.
+    Without a review they would count against their organisation's limits.
     """
-    watched.review()
+    tracker.review()
     connected.clear()
-    watched.review()
+    tracker.review()
     clock[0] += orphans.ENTRY_GRACE_S
-    watched.review()
-    watched.review()
+    tracker.review()
+    tracker.review()
     assert ended == ["run"]
 
 
 def test_entry_that_connects_again_keeps_its_run(
-    watched, clock, connected, ended
+    tracker, clock, connected, ended
 ):
     connected.clear()
-    watched.review()
+    tracker.review()
     connected.add("entry")
     clock[0] += orphans.ENTRY_GRACE_S
-    watched.review()
+    tracker.review()
     connected.clear()
-    watched.review()
+    tracker.review()
     assert ended == []
 
 
-def test_run_whose_end_was_missed_is_counted_out(watched, clock, ended):
+def test_run_without_end_report_is_ended(tracker, clock, ended):
     clock[0] += orphans.MAX_RUN_S
-    watched.review()
+    tracker.review()
     assert ended == ["run"]
--- a/tests/admission/test_owners.py
+++ b/tests/admission/test_owners.py
@@ -5,7 +5,7 @@
 from briarseam.admission import owners
 
 
-def ring(count: int) -> owners.HashRing:
+def make_ring(count: int) -> owners.HashRing:
     return owners.HashRing(
         {
             f"instance-{number}": owners.Agent(
@@ -19,24 +19,26 @@
 KEYS = [f"prompt-{number}" for number in range(2000)]
 
 
-def test_agents_share_the_prompts():
-    owned = collections.Counter(
-        ring(8).owners_of(key, 1)[0].name for key in KEYS
+def test_prompts_are_distributed_over_agents():
+    counts = collections.Counter(
+        make_ring(8).owners_of(key, 1)[0].name for key in KEYS
     )
-    assert len(owned) == 8
-    assert max(owned.values()) < 3 * len(KEYS) / 8
+    assert len(counts) == 8
+    assert max(counts.values()) < 3 * len(KEYS) / 8
 
 
-def test_only_prompts_of_an_agent_that_went_move():
-    """One replaced instance makes all prompts in flight forgotten."""
-    before, after = ring(8), ring(7)
+def test_removing_an_agent_moves_only_its_prompts():
+    """Otherwise replacing one instance would lose the state of all prompts
+    in flight.
+    """
+    before, after = make_ring(8), make_ring(7)
     for key in KEYS:
         old = before.owners_of(key, 1)[0]
         if old.name != "instance-7":
             assert after.owners_of(key, 1)[0] == old
 
 
-def test_others_follow_the_first():
-    found = ring(5).owners_of("key", 3)
-    assert len({agent.name for agent in found}) == 3
-    assert len(ring(2).owners_of("key", 3)) == 2
+def test_owners_are_distinct_and_limited_to_the_agents():
+    owning = make_ring(5).owners_of("key", 3)
+    assert len({agent.name for agent in owning}) == 3
+    assert len(make_ring(2).owners_of("key", 3)) == 2
--- a/tests/admission/test_placing.py
+++ b/tests/admission/test_placing.py
@@ -8,9 +8,9 @@
 from briarseam.testing import words
 
 
-def test_an_instance_takes_no_more_than_it_may(tmp_path):
-    """An instance is set to run two requests at once.  A third caller is
-    told at once to come back, and the first two get their answers.
+def test_requests_beyond_max_in_flight_are_refused(tmp_path):
+    """With a limit of two running requests the third is refused at once with
+    a retry time, and the first two get their answers.
     """
     with deployment.Deployment(tmp_path) as running:
         placer = running.instances[0].agent.serving.placer
--- a/tests/admission/test_retry_schedule.py
+++ b/tests/admission/test_retry_schedule.py
@@ -4,9 +4,9 @@
 from tests import clocks
 
 
-def test_refused_callers_are_spread_over_what_can_be_served():
-    """Ten runs a second have been ending.  Forty callers are refused in
-    one moment; they must come back over seconds, at half that rate.
+def test_refused_callers_are_spread_at_half_the_service_rate():
+    """With ten runs ending per second, forty callers refused at one moment
+    are told to return at half that rate.
     """
     clock = clocks.ManualClock()
     schedule = retry_schedule.RetrySchedule(clock)
@@ -18,9 +18,9 @@
     assert all(0.15 < gap < 0.25 for gap in gaps)
 
 
-def test_the_fixed_baseline_tells_all_the_same():
-    """The bench compares the schedule with one fixed second.  Were the
-    baseline spread as well, the second peak could not be seen.
+def test_fixed_baseline_assigns_the_same_time():
+    """The benchmark compares the schedule with a fixed retry time.  If that
+    were spread as well, the second peak would not show.
     """
     schedule = retry_schedule.RetrySchedule(clocks.ManualClock(), lambda: True)
     assert {schedule.assign() for _ in range(5)} == {
