--- a/src/briarseam/admission/dispatch.py
+++ b/src/briarseam/admission/dispatch.py
@@ -162,7 +162,8 @@
         Raises
         ------
         verdict.RefusalError
-            As soon as the prompt can't get an engine before its deadline.
+            When the queue is full, or as soon as the prompt can't get an
+            engine before its deadline.
         """
         with self.lock:
             queue = self.queue(waiter.query.model)
--- a/src/briarseam/admission/limits.py
+++ b/src/briarseam/admission/limits.py
@@ -227,7 +227,7 @@
 def is_near_share(
     limits: values.Organisation, usage: Usage, demand: float, count: int
 ) -> bool:
-    """Return whether an organisation is near its equal share here."""
+    """Return whether an organisation is near its equal local share."""
     share = SILENT_SHARE / count
     rate_threshold = limits.requests_per_s * share
     running_threshold = limits.max_running * share
--- a/src/briarseam/admission/placing.py
+++ b/src/briarseam/admission/placing.py
@@ -40,7 +40,7 @@
     """Routing, as the placer uses it."""
 
     def choose_service(
-        self, ask: routing.CallQuery
+        self, query: routing.CallQuery
     ) -> routing.Choice | routing.NoChoice:
         """Return the endpoint for a call."""
 
@@ -132,7 +132,7 @@
             When the prompt is refused.
         """
         accepted_at = time.monotonic()
-        self.check_limits(organisation, request)
+        self.acquire_limits(organisation, request)
         run = self.new_run(organisation, request)
         run = dataclasses.replace(
             run,
@@ -202,7 +202,7 @@
         verdict.RefusalError
             When the call is refused.
         """
-        self.check_limits(organisation, request)
+        self.acquire_limits(organisation, request)
         choice = self.parts.chooser.choose_service(
             routing.CallQuery(
                 organisation, request.service, frozenset(request.lost)
@@ -226,7 +226,7 @@
             timeout_ms=int(service.timeout_ms),
         )
 
-    def check_limits(self, organisation: str, request: Request) -> None:
+    def acquire_limits(self, organisation: str, request: Request) -> None:
         """Count a request in, or refuse it for a limit or a retry budget.
 
         Raises
--- a/tests/admission/test_placing.py
+++ b/tests/admission/test_placing.py
@@ -18,16 +18,16 @@
         for engine in running.engines.values():
             engine.set(token_s=0.05)
 
-        def ask(number):
+        def send_prompt(number):
             body = deployment.prompt_body(
                 words.prompt(100, number), max_tokens=40
             )
             return running.caller().ask(body)
 
         with concurrent.futures.ThreadPoolExecutor(2) as pool:
-            first = [pool.submit(ask, number) for number in range(2)]
+            first = [pool.submit(send_prompt, number) for number in range(2)]
             waiting.until(lambda: len(placer.runs) == 2, what="two run")
-            refused = ask(3)
+            refused = send_prompt(3)
             answers = [one.result() for one in first]
     assert refused.status == 503
     assert refused.problem["reason"] == "overloaded"
