--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -77,7 +77,7 @@
 class Members:
     """A cell of one."""
 
-    me = members.Me("me", "a", "127.0.0.1:1")
+    local_member = members.LocalAgent("me", "a", "127.0.0.1:1")
 
     def live(self) -> tuple[typing.Any, ...]:
         """Return the live members."""
--- a/bench/membership_node.py
+++ b/bench/membership_node.py
@@ -62,7 +62,9 @@
     router = server.Router()
     listener = server.Server("127.0.0.1:0", me, KEY, router)
     membership = service.Membership(
-        state.Me(args.name, "bench", listener.address, ("127.0.0.1:1",)),
+        state.LocalAgent(
+            args.name, "bench", listener.address, ("127.0.0.1:1",)
+        ),
         instances.InstanceList(args.list),
         KEY,
         heartbeat_interval_s=args.interval_s,
@@ -94,7 +96,9 @@
 
 def count(membership: service.Membership, listener: server.Server) -> Counters:
     """Return the process's counters."""
-    outgoing = [peer.connection for peer in membership.peers.values()]
+    outgoing = [
+        sender.connection for sender in membership.heartbeat_senders.values()
+    ]
     with listener.lock:
         incoming = list(listener.open)
     open_now = [each for each in (*outgoing, *incoming) if each is not None]
--- a/bench/state_memory.py
+++ b/bench/state_memory.py
@@ -107,7 +107,7 @@
         numbers = range(cell * CELL_SIZE, min((cell + 1) * CELL_SIZE, count))
         stamp = membership.CellStamp(1, 1)
         abouts = tuple(map(about, numbers))
-        directory.take(
+        directory.apply(
             [membership.CellSummary(f"zone-{cell}/0", stamp, abouts)]
         )
     members = directory.members("zone-x/0")
--- a/src/briarseam/compose/agent.py
+++ b/src/briarseam/compose/agent.py
@@ -104,12 +104,12 @@
         """
         return drain.Drain(
             announce=self.membership.announce_leaving,
-            told=self.membership.told,
+            published=self.membership.is_published,
             in_flight=self.in_flight,
             settle=lambda: self.in_flight() == 0,
             linger_s=lambda: self.entries.linger_s,
             bound_s=self.stop_bound_s,
-            hurry=hurry,
+            interrupted=hurry,
         ).run()
 
     def in_flight(self) -> int:
@@ -206,7 +206,7 @@
         noting.NotedClaims(claim_service, ring), lambda: server.connected()
     )
     lookups = lookup.Lookup(
-        member_service.everyone,
+        member_service.all_members,
         lambda digest: reader.view().organisation_of(digest),
         settings.agent.lookup_ttl_s,
     )
@@ -268,7 +268,7 @@
         return gate() is None and all(map(order_service.tally, models))
 
     local_entries = entries.LocalEntries(
-        member_service, lookups.ttl_s + member_service.spread_s, ready
+        member_service, lookups.ttl_s + member_service.propagation_s, ready
     )
     states = status.StatusService(
         member_service,
--- a/src/briarseam/compose/entry.py
+++ b/src/briarseam/compose/entry.py
@@ -75,12 +75,12 @@
         self.parts.in_flight.move_to(inflight.Stage.LEAVING)
         return drain.Drain(
             announce=self.presence.leave,
-            told=self.presence.leaving_told,
+            published=self.presence.leaving_published,
             in_flight=lambda: self.parts.in_flight.count,
             settle=self.parts.in_flight.refuse_if_idle,
             linger_s=lambda: self.presence.linger_s,
             bound_s=self.stop_bound_s,
-            hurry=hurry,
+            interrupted=hurry,
         ).run()
 
     def stop(self) -> None:
--- a/src/briarseam/compose/kept.py
+++ b/src/briarseam/compose/kept.py
@@ -40,13 +40,15 @@
         return clients(address).call(request, timeout_s)
 
     ports = kept_cache.Ports(
-        holders=owners.Owners(member_service.me.name, lookups.layout),
+        holders=owners.Owners(
+            member_service.local_member.name, lookups.layout
+        ),
         call=call,
         # Every agent takes an equal part of each link, so that together
         # they never go over its budget without a word between them.
         # Suspects count: while one may be alive on the other side of a
         # cut, its part is not given away.
-        link_share=lambda: 1.0 / max(len(member_service.everyone()), 1),
+        link_share=lambda: 1.0 / max(len(member_service.all_members()), 1),
         session_hash=session_hash,
     )
     kept = kept_cache.KeptCache(
--- a/src/briarseam/compose/membership.py
+++ b/src/briarseam/compose/membership.py
@@ -29,7 +29,7 @@
     Its entries are named once they report themselves.
     """
     return membership.Membership(
-        members.Me(
+        members.LocalAgent(
             name=settings.instance.name,
             zone=settings.instance.zone,
             agent_address=str(settings.instance.agent_address),
@@ -84,17 +84,17 @@
     registry.reading(
         "membership_fresh",
         "1 while a peer has answered within the limit, else 0",
-        lambda: int(service.fresh()),
+        lambda: int(service.is_fresh()),
     )
     registry.reading(
         "membership_heartbeats_answered",
         "Heartbeats that were answered, since start",
-        lambda: service.hearing.beats_answered,
+        lambda: service.replies.heartbeats_answered,
     )
     registry.reading(
         "membership_heartbeats_failed",
         "Heartbeats that were not, since start",
-        lambda: service.hearing.beats_failed,
+        lambda: service.replies.heartbeats_failed,
     )
     registry.reading(
         "instance_list_bytes",
--- a/src/briarseam/compose/node_calls.py
+++ b/src/briarseam/compose/node_calls.py
@@ -110,7 +110,7 @@
     def name(self) -> str:
         """Return the name of this cell; empty before peers are met."""
         service = self.instances.service
-        return "" if service is None else service.me.cell
+        return "" if service is None else service.local_member.cell
 
     def size(self) -> int:
         """Return how many instances this cell has."""
--- a/src/briarseam/compose/node_draining.py
+++ b/src/briarseam/compose/node_draining.py
@@ -66,13 +66,13 @@
         bound_s = self.shutdown.bound_s()
         outcome = drain.Drain(
             announce=self.announce_leaving,
-            told=self.instances.told,
+            published=self.instances.told,
             in_flight=lambda: self.in_flight.count,
             settle=self.in_flight.refuse_if_idle,
             linger_s=lambda: min(LINGER_S, bound_s / 2),
             bound_s=bound_s,
-            asked_s=self.shutdown.begun_s,
-            hurry=hurry,
+            stop_requested_s=self.shutdown.begun_s,
+            interrupted=hurry,
             clock=clocks.boot_clock,
         ).run()
         if isinstance(outcome, drain.CutOff):
--- a/src/briarseam/compose/node_instances.py
+++ b/src/briarseam/compose/node_instances.py
@@ -45,7 +45,7 @@
 
     def all(self) -> collections.abc.Sequence[members.Member]:
         """Return all known instances, this one included."""
-        return () if self.service is None else self.service.everyone()
+        return () if self.service is None else self.service.all_members()
 
     def all_names(self) -> list[str]:
         """Return the names of all known instances."""
@@ -72,18 +72,18 @@
 
     def heard(self) -> list[str]:
         """Return who is heard, by any cell; empty with no fresh view."""
-        if self.service is None or not self.service.fresh():
+        if self.service is None or not self.service.is_fresh():
             return []
         return self.all_names()
 
     def told(self) -> bool:
         """Tell whether all peers know what this instance says of itself."""
-        return self.service is None or self.service.told()
+        return self.service is None or self.service.is_published()
 
     def tell_at_once(self) -> None:
         """Send the next heartbeats now."""
         if self.service is not None:
-            self.service.tell_at_once()
+            self.service.publish_now()
 
     def is_leader_candidate(self) -> bool:
         """Tell whether this instance should take part in giving orders."""
--- a/src/briarseam/compose/node_peers.py
+++ b/src/briarseam/compose/node_peers.py
@@ -89,7 +89,7 @@
         return None
     rows.agreed = secret
     service = membership.Membership(
-        members.Me(
+        members.LocalAgent(
             name=settings.instance.name,
             zone=settings.instance.region,
             agent_address=str(settings.listen.peers),
@@ -101,7 +101,7 @@
         heartbeat_interval_s=HEARTBEAT_S,
         suspect_after_s=SUSPECT_AFTER_S,
         list_interval_s=LISTING_INTERVAL_S,
-        tally=tally,
+        malformed_counter=tally,
         loop=loop,
     )
     for section in told:
--- a/src/briarseam/compose/orders.py
+++ b/src/briarseam/compose/orders.py
@@ -57,7 +57,7 @@
     def everyone() -> set[str]:
         return {
             member.name
-            for member in member_service.everyone()
+            for member in member_service.all_members()
             if member.state is members.MemberState.ALIVE
         } | {me}
 
--- a/src/briarseam/compose/serving.py
+++ b/src/briarseam/compose/serving.py
@@ -119,7 +119,7 @@
         )
     )
     cache_events = residents.Residents(
-        view, chooser.prefixes, sources.kept.metrics, members.me.zone
+        view, chooser.prefixes, sources.kept.metrics, members.local_member.zone
     )
     schedule = retry_schedule.RetrySchedule(
         time.monotonic, lambda: view().routing.returning == "fixed"
--- a/src/briarseam/membership/directory.py
+++ b/src/briarseam/membership/directory.py
@@ -76,7 +76,7 @@
         self.revision = 0
         self.answer = Answer(-1, frozenset(), "", b"", ())
 
-    def take(
+    def apply(
         self, summaries: typing.Iterable[messages.CellSummary]
     ) -> tuple[messages.CellSummary, ...]:
         """Take in summaries; return those that were news."""
--- a/src/briarseam/membership/drain.py
+++ b/src/briarseam/membership/drain.py
@@ -60,7 +60,7 @@
     ----------
     announce
         Tells the peers, or the agent, that this process is leaving.
-    told
+    published
         Whether all who give out lookups know it.
     in_flight
         Requests under way.
@@ -73,20 +73,20 @@
         other cells.
     bound_s
         Longest drain; what is in flight then is cut off.
-    asked_s
+    stop_requested_s
         When the process was asked to stop, by the clock; now unless given.
-    hurry
+    interrupted
         Whether to give up waiting now, as an operator asks with SIGINT.
     """
 
     announce: typing.Callable[[], None]
-    told: typing.Callable[[], bool]
+    published: typing.Callable[[], bool]
     in_flight: typing.Callable[[], int]
     settle: typing.Callable[[], bool]
     linger_s: typing.Callable[[], float]
     bound_s: float = DEFAULT_BOUND_S
-    asked_s: float | None = None
-    hurry: typing.Callable[[], bool] = lambda: False
+    stop_requested_s: float | None = None
+    interrupted: typing.Callable[[], bool] = lambda: False
     clock: typing.Callable[[], float] = time.monotonic
     sleep: typing.Callable[[float], None] = time.sleep
 
@@ -96,10 +96,14 @@
         # Counted from when it was noticed, as after a start or a suspension,
         # the bound would come after that, and what is served until then
         # would be lost.
-        started = self.clock() if self.asked_s is None else self.asked_s
+        started = (
+            self.clock()
+            if self.stop_requested_s is None
+            else self.stop_requested_s
+        )
         log.info("draining", in_flight=self.in_flight())
         self.announce()
-        self.wait(self.told, started + min(TELL_BOUND_S, self.bound_s))
+        self.wait(self.published, started + min(TELL_BOUND_S, self.bound_s))
         # A peer may have answered a lookup just before it was told.
         served_until = self.clock() + self.linger_s()
         end = started + self.bound_s
@@ -110,7 +114,7 @@
     def wait(self, condition: typing.Callable[[], bool], until: float) -> bool:
         """Wait for a condition until a time, or a hurry; tell if it held."""
         while not condition():
-            if self.clock() >= until or self.hurry():
+            if self.clock() >= until or self.interrupted():
                 return False
             self.sleep(POLL_S)
         return True
--- a/src/briarseam/membership/endpoints.py
+++ b/src/briarseam/membership/endpoints.py
@@ -133,7 +133,7 @@
         log.info(
             "endpoints_leaving", endpoints=sorted(left.name for left in read)
         )
-        self.membership.tell_at_once()
+        self.membership.publish_now()
 
     def provide(self) -> bytes:
         """Return what this agent read itself."""
--- a/src/briarseam/membership/entries.py
+++ b/src/briarseam/membership/entries.py
@@ -104,7 +104,9 @@
         if before is None or before.state is not here.state:
             log.info("entry_state", entry=here.address, now=here.state)
         self.review()
-        return messages.EntryNoted(self.membership.told(), self.linger_s)
+        return messages.EntryNoted(
+            self.membership.is_published(), self.linger_s
+        )
 
     def review(self) -> None:
         """Drop silent entries; tell the membership which ones serve."""
--- a/src/briarseam/membership/gossip.py
+++ b/src/briarseam/membership/gossip.py
@@ -129,7 +129,7 @@
         # older view with a later one would hide members from other cells.
         with self.table.lock:
             due = self.renewed_own()
-            news = self.directory.take(due)
+            news = self.directory.apply(due)
         self.note_news(news)
 
     def renewed_own(self) -> tuple[messages.CellSummary, ...]:
@@ -201,7 +201,7 @@
             return False
         if not isinstance(reply, messages.CellsNews):
             return False
-        self.note_news(self.directory.take(reply.summaries))
+        self.note_news(self.directory.apply(reply.summaries))
         self.directory.take_stamps(reply.stamps)
         self.directory.told_lost = frozenset(reply.lost)
         return True
@@ -211,7 +211,7 @@
     ) -> messages.CellsNews:
         """Answer an exchange."""
         del peer
-        self.note_news(self.directory.take(asked.news))
+        self.note_news(self.directory.apply(asked.news))
         self.directory.take_stamps(asked.stamps)
         return self.directory.news_for(asked)
 
--- a/src/briarseam/membership/peer.py
+++ b/src/briarseam/membership/peer.py
@@ -15,7 +15,7 @@
 
 if typing.TYPE_CHECKING:
     from briarseam.membership import calling as callings
-    from briarseam.membership import hearing as hearings
+    from briarseam.membership import replies as reply_handlers
     from briarseam.membership import sections as heartbeat_sections
     from briarseam.membership import table as tables
     from briarseam.wire import codec
@@ -46,7 +46,7 @@
         Returns the digest of the agents heard.
     sections
         What of other slices rides along.
-    hearing
+    replies
         Takes in the answers.
     interval_s
         Returns the seconds between two heartbeats.
@@ -60,7 +60,7 @@
     about: typing.Callable[[], messages.About]
     digest: typing.Callable[[], int]
     sections: heartbeat_sections.Sections
-    hearing: hearings.Hearing
+    replies: reply_handlers.ReplyHandler
     interval_s: typing.Callable[[], float]
     clock: tables.Clock
 
@@ -141,12 +141,12 @@
         else:
             self.beats += 1
             self.failures = 0
-            self.parts.hearing.count_beat(True)
+            self.parts.replies.count_beat(True)
 
     def note_failure(self) -> None:
         """Begin anew with the next heartbeat."""
         self.failures += 1
-        self.parts.hearing.count_beat(False)
+        self.parts.replies.count_beat(False)
         self.disconnect()
 
     async def pause(self) -> None:
@@ -197,21 +197,21 @@
         sent_at: float,
     ) -> None:
         """Take in the reply to a heartbeat sent at ``sent_at``."""
-        hearing = self.parts.hearing
+        replies = self.parts.replies
         self.sent.update(beat.sections)
         if isinstance(beat, messages.Introduction):
             self.sent_about = beat.about
         match reply:
             case messages.Introduced(about=about, digest=digest):
-                hearing.take_about(about, sent_at)
+                replies.take_about(about, sent_at)
                 await self.learn_peers(connection, digest)
             case messages.Alive(incarnation=incarnation, digest=digest):
-                hearing.take_alive(self.name, incarnation, sent_at)
+                replies.take_alive(self.name, incarnation, sent_at)
                 await self.learn_peers(connection, digest)
             case messages.UnknownAgent():
                 self.full_at = 0.0
             case messages.Superseded():
-                hearing.take_superseded()
+                replies.take_superseded()
                 self.full_at = 0.0
             case _:
                 raise connections.WireError("expected a heartbeat's answer")
@@ -277,4 +277,4 @@
         peers = await connection.receive(self.parts.calling.reply_timeout_s)
         if isinstance(peers, messages.Peers):
             self.asked_digest = digest
-            self.parts.hearing.take_peers(peers)
+            self.parts.replies.take_peers(peers)
--- a/src/briarseam/membership/presence.py
+++ b/src/briarseam/membership/presence.py
@@ -42,7 +42,7 @@
         self.address = address
         self.interval_s = interval_s
         self.state = messages.EntryState.SERVING
-        self.told = False
+        self.published = False
         self.linger_s = DEFAULT_LINGER_S
         self.lock = threading.Lock()
         self.stopping = threading.Event()
@@ -72,7 +72,7 @@
                 return
             if isinstance(reply, messages.EntryNoted):
                 self.linger_s = reply.linger_s
-                self.told = reply.told and state is not (
+                self.published = reply.told and state is not (
                     messages.EntryState.SERVING
                 )
 
@@ -81,11 +81,11 @@
         self.state = messages.EntryState.LEAVING
         self.report()
 
-    def leaving_told(self) -> bool:
+    def leaving_published(self) -> bool:
         """Ask again whether all agents know that this entry is leaving."""
-        if not self.told:
+        if not self.published:
             self.report()
-        return self.told
+        return self.published
 
     def close(self) -> None:
         """Tell the agent that this entry is gone, and stop reporting."""
--- a/src/briarseam/membership/hearing.py
+++ b/src/briarseam/membership/replies.py
@@ -11,7 +11,7 @@
     from briarseam.membership import table as tables
 
 
-class Hearing:
+class ReplyHandler:
     """Takes in answers, each with when its heartbeat was sent.
 
     Parameters
@@ -27,8 +27,8 @@
     ) -> None:
         self.table = table
         self.freshness = freshness
-        self.beats_answered = 0
-        self.beats_failed = 0
+        self.heartbeats_answered = 0
+        self.heartbeats_failed = 0
         self.lock = threading.Lock()
 
     def take_about(self, about: messages.About, sent_at: float) -> None:
@@ -57,6 +57,6 @@
         """Count a heartbeat by whether it was answered."""
         with self.lock:
             if answered:
-                self.beats_answered += 1
+                self.heartbeats_answered += 1
             else:
-                self.beats_failed += 1
+                self.heartbeats_failed += 1
--- a/src/briarseam/membership/seeds.py
+++ b/src/briarseam/membership/seeds.py
@@ -10,13 +10,13 @@
 
 if typing.TYPE_CHECKING:
     from briarseam.membership import calling as callings
-    from briarseam.membership import hearing as hearings
+    from briarseam.membership import replies as reply_handlers
 
 
 def ask(
     addresses: typing.Iterable[str],
     calling: callings.Calling,
-    hearing: hearings.Hearing,
+    replies: reply_handlers.ReplyHandler,
 ) -> None:
     """Ask each address whom it hears; one that is away is passed over."""
     for address in addresses:
@@ -26,4 +26,4 @@
         except connections.WireError:
             continue
         if isinstance(reply, messages.Peers):
-            hearing.take_peers(reply)
+            replies.take_peers(reply)
--- a/src/briarseam/membership/service.py
+++ b/src/briarseam/membership/service.py
@@ -14,10 +14,10 @@
 from briarseam.membership import cells
 from briarseam.membership import freshness
 from briarseam.membership import gossip
-from briarseam.membership import hearing
 from briarseam.membership import listing
 from briarseam.membership import messages
 from briarseam.membership import peer as peers
+from briarseam.membership import replies
 from briarseam.membership import sections
 from briarseam.membership import seeds as seed_calls
 from briarseam.membership import state
@@ -72,7 +72,7 @@
         Monotonic clock.
     stamps
         The process's hybrid clock, which rides on every frame.
-    tally
+    malformed_counter
         Notes what of heartbeats can't be read.
     loop
         Runs the heartbeats; one of its own unless given.
@@ -80,7 +80,7 @@
 
     def __init__(
         self,
-        me: state.Me,
+        me: state.LocalAgent,
         instances: platform.InstanceSource,
         key: bytes,
         seeds: tuple[str, ...] = (),
@@ -90,7 +90,7 @@
         list_interval_s: float = listing.INTERVAL_S,
         clock: tables.Clock = time.monotonic,
         stamps: connections.Clock | None = None,
-        tally: malformed.Tally | None = None,
+        malformed_counter: malformed.Tally | None = None,
         loop: event_loop.EventLoop | None = None,
     ) -> None:
         self.settings = me
@@ -102,7 +102,7 @@
         self.suspect_after_s = suspect_after_s
         # A change is pushed from cell to cell within a beat or less, and
         # the agents there ask for it after the next; one spare.
-        self.spread_s = SPREAD_BEATS * heartbeat_interval_s
+        self.propagation_s = SPREAD_BEATS * heartbeat_interval_s
         self.clock = clock
         self.identity = connections.Identity("agent", me.name)
         self.calling = calling.Calling(
@@ -116,10 +116,10 @@
         self.list_reader = listing.ListReader(instances, list_interval_s)
         self.list_reader.add(self.table.take_listing)
         self.sections = sections.Sections(
-            heartbeat_interval_s / TICKS_PER_INTERVAL, clock, tally
+            heartbeat_interval_s / TICKS_PER_INTERVAL, clock, malformed_counter
         )
-        self.hearing = hearing.Hearing(self.table, self.freshness)
-        self.peers: dict[str, peers.Peer] = {}
+        self.replies = replies.ReplyHandler(self.table, self.freshness)
+        self.heartbeat_senders: dict[str, peers.Peer] = {}
         self.clients: dict[str, clients.Client] = {}
         self.lock = threading.Lock()
         self.watching = repeating.Repeater(
@@ -180,7 +180,7 @@
                 about=self.about,
                 digest=lambda: self.digest,
                 sections=self.sections,
-                hearing=self.hearing,
+                replies=self.replies,
                 interval_s=lambda: self.heartbeat_interval_s,
                 clock=self.clock,
             ),
@@ -189,7 +189,7 @@
     # What the other slices ask.
 
     @property
-    def me(self) -> state.Member:
+    def local_member(self) -> state.Member:
         """Return this agent as a member."""
         return state.Member(
             name=self.settings.name,
@@ -207,7 +207,7 @@
         """Return this cell's members that are not gone, with this agent."""
         return self.snapshot
 
-    def everyone(self) -> tuple[state.Member, ...]:
+    def all_members(self) -> tuple[state.Member, ...]:
         """Return the members of all cells, those of this one first.
 
         The same tuple is returned as long as nothing but the time since
@@ -224,9 +224,9 @@
             member for member in self.snapshot if member.state in wanted
         )
 
-    def fresh(self) -> bool:
+    def is_fresh(self) -> bool:
         """Tell whether this agent's view is recent."""
-        return self.freshness.is_fresh(bool(self.peers))
+        return self.freshness.is_fresh(bool(self.heartbeat_senders))
 
     def announce_leaving(self) -> None:
         """Tell all peers now that this agent will be gone soon."""
@@ -234,9 +234,9 @@
             return
         self.leaving = True
         log.info("leaving", name=self.settings.name)
-        self.tell_at_once()
+        self.publish_now()
 
-    def told(self) -> bool:
+    def is_published(self) -> bool:
         """Tell whether all live peers have what this agent says of itself.
 
         A stopping instance's last lookups are given out before its peers
@@ -252,7 +252,7 @@
                 for name, found in self.table.records.items()
                 if found.silent_s(now) <= self.suspect_after_s
             }
-        threads = dict(self.peers)
+        threads = dict(self.heartbeat_senders)
         if heard - threads.keys():
             return False
         return all(
@@ -266,7 +266,7 @@
         if addresses == self.entry_addresses:
             return
         self.entry_addresses = addresses
-        self.tell_at_once()
+        self.publish_now()
 
     def add_section(
         self, name: str, provide: sections.Provide, consume: sections.Consume
@@ -319,7 +319,7 @@
         self.confirming.stop()
         self.list_reader.stop()
         self.gossip.stop()
-        for peer in list(self.peers.values()):
+        for peer in list(self.heartbeat_senders.values()):
             peer.stop()
         if self.owns_loop:
             self.loop.stop()
@@ -361,7 +361,7 @@
             suspicion.review(self.table)
             self.freshness.note_tick()
             self.digest = self.table.digest(self.incarnation)
-            self.snapshot = (self.me, *self.table.members())
+            self.snapshot = (self.local_member, *self.table.members())
             others = self.gossip.directory.members(self.table.my_cell())
             wide = views.renew(self.wide, self.snapshot, others)
             changed = wide is not self.wide
@@ -373,25 +373,25 @@
         """Begin heartbeats to each new peer; end those to forgotten ones."""
         with self.table.lock:
             wanted = set(self.table.records)
-        for name in wanted - set(self.peers):
+        for name in wanted - set(self.heartbeat_senders):
             peer = self.build_peer(name)
-            self.peers[name] = peer
+            self.heartbeat_senders[name] = peer
             peer.start()
-        for name in set(self.peers) - wanted:
-            self.peers.pop(name).stop()
+        for name in set(self.heartbeat_senders) - wanted:
+            self.heartbeat_senders.pop(name).stop()
 
-    def tell_at_once(self) -> None:
+    def publish_now(self) -> None:
         """Send the next heartbeats now."""
         self.sections.renew()
         self.review()
-        for peer in list(self.peers.values()):
+        for peer in list(self.heartbeat_senders.values()):
             peer.tell_now()
 
     def confirm(self) -> None:
         """Ask others about suspects; ask seeds while no peer is heard."""
         suspicion.confirm(self.table, self.ask)
         if len(self.snapshot) <= 1:
-            seed_calls.ask(self.seeds, self.calling, self.hearing)
+            seed_calls.ask(self.seeds, self.calling, self.replies)
 
     def ask(self, name: str, request: codec.Message) -> codec.Message:
         """Call a member and return its reply."""
--- a/src/briarseam/membership/state.py
+++ b/src/briarseam/membership/state.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Me:
+class LocalAgent:
     """The agent itself, as its settings name it.
 
     Attributes
@@ -51,12 +51,12 @@
     Attributes
     ----------
     name, zone, agent_address, entry_addresses
-        As in :class:`Me`.
+        As in :class:`LocalAgent`.
     cell
         ``ZONE/PART``.
     state
         How it looks from here.
-    heard_s_ago
+    silent_s
         Seconds since it was last heard directly, as of the snapshot.
     incarnation
         Higher after each start of the process.
@@ -70,7 +70,7 @@
     agent_address: str
     entry_addresses: tuple[str, ...]
     state: MemberState
-    heard_s_ago: float = 0.0
+    silent_s: float = 0.0
     incarnation: int = 0
     sections: typing.Mapping[str, bytes] = dataclasses.field(
         default_factory=dict, hash=False
@@ -129,7 +129,7 @@
             agent_address=self.agent_address,
             entry_addresses=self.entry_addresses,
             state=self.state,
-            heard_s_ago=self.silent_s(now),
+            silent_s=self.silent_s(now),
             incarnation=self.incarnation,
             sections=types.MappingProxyType(dict(self.sections)),
         )
--- a/src/briarseam/membership/table.py
+++ b/src/briarseam/membership/table.py
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        me: state.Me,
+        me: state.LocalAgent,
         cell_of: cells.CellOf,
         suspect_after_s: float,
         clock: Clock,
--- a/src/briarseam/status/service.py
+++ b/src/briarseam/status/service.py
@@ -94,7 +94,7 @@
 
     def own(self) -> messages.AgentStatus:
         """Return this agent's row."""
-        me = self.membership.me
+        me = self.membership.local_member
         stale_s = self.sources.staleness_s()
         return messages.AgentStatus(
             name=me.name,
@@ -137,11 +137,11 @@
                     zone=member.zone,
                     cell=member.cell,
                     state=member.state.value,
-                    age_s=round(member.heard_s_ago, 3),
+                    age_s=round(member.silent_s, 3),
                     reached=False,
                 ),
             )
-        known.pop(self.membership.me.name, None)
+        known.pop(self.membership.local_member.name, None)
         return list(known.values())
 
     def ask(self, known: Known) -> messages.AgentStatus:
--- a/tests/compose/test_node_calls.py
+++ b/tests/compose/test_node_calls.py
@@ -45,7 +45,7 @@
 
 def calls(me="a1", reply=None):
     service = types.SimpleNamespace(
-        me=member(me, "a"),
+        local_member=member(me, "a"),
         members=lambda: MEMBERS[:2],
         client=lambda name: Peer(reply),
         identity=connection.Identity("agent", me),
--- a/tests/compose/test_node_instances.py
+++ b/tests/compose/test_node_instances.py
@@ -19,10 +19,10 @@
 
 def service(everyone, cell, fresh=True):
     return types.SimpleNamespace(
-        everyone=lambda: [member(name) for name in everyone],
+        all_members=lambda: [member(name) for name in everyone],
         members=lambda: [member(name) for name in cell],
         live=lambda: [member(name) for name in cell],
-        fresh=lambda: fresh,
+        is_fresh=lambda: fresh,
     )
 
 
--- a/tests/membership/conftest.py
+++ b/tests/membership/conftest.py
@@ -37,7 +37,9 @@
             helpers.KEY,
             router,
         )
-        me = state.Me(name, zone, listener.address, (f"entry-of-{name}",))
+        me = state.LocalAgent(
+            name, zone, listener.address, (f"entry-of-{name}",)
+        )
         options.setdefault("heartbeat_interval_s", helpers.INTERVAL_S)
         options.setdefault("suspect_after_s", helpers.SUSPECT_AFTER_S)
         options.setdefault("list_interval_s", helpers.INTERVAL_S)
--- a/tests/membership/nodes.py
+++ b/tests/membership/nodes.py
@@ -76,7 +76,9 @@
 
         A peer that sent its introduction first is a member before that.
         """
-        return waiting.until(lambda: self.membership.peers.get(name))
+        return waiting.until(
+            lambda: self.membership.heartbeat_senders.get(name)
+        )
 
     def stop(self) -> None:
         self.membership.stop()
--- a/tests/membership/test_answering.py
+++ b/tests/membership/test_answering.py
@@ -36,7 +36,7 @@
 @pytest.fixture
 def site() -> Site:
     clock = clocks.ManualClock()
-    me = state.Me(ME.name, ME.zone, ME.address, ME.entries)
+    me = state.LocalAgent(ME.name, ME.zone, ME.address, ME.entries)
     table = tables.Table(me, cells.whole_zone, SUSPECT_AFTER_S, clock)
     consumed: list[tuple[str, bytes]] = []
     carried = sections.Sections(1.0, clock)
--- a/tests/membership/test_drain.py
+++ b/tests/membership/test_drain.py
@@ -16,7 +16,7 @@
     hurry_at: float = float("inf")
     now: float = 0.0
     announced: int = 0
-    asked_s: float | None = None
+    stop_requested_s: float | None = None
 
     def sleep(self, seconds: float) -> None:
         self.now += seconds
@@ -27,13 +27,13 @@
     def drain(self, bound_s: float = 100.0) -> drain.Outcome:
         return drain.Drain(
             announce=self.announce,
-            told=lambda: self.now >= self.told_at,
+            published=lambda: self.now >= self.told_at,
             in_flight=lambda: int(self.now < self.idle_at),
             settle=lambda: self.now >= self.idle_at,
             linger_s=lambda: LINGER_S,
             bound_s=bound_s,
-            asked_s=self.asked_s,
-            hurry=lambda: self.now >= self.hurry_at,
+            stop_requested_s=self.stop_requested_s,
+            interrupted=lambda: self.now >= self.hurry_at,
             clock=lambda: self.now,
             sleep=self.sleep,
         ).run()
@@ -89,7 +89,7 @@
     later.  Counted from then, its bound comes after its supervisor has
     killed it, with all that it serves.
     """
-    daemon = Daemon(now=5.0, asked_s=1.0, idle_at=float("inf"))
+    daemon = Daemon(now=5.0, stop_requested_s=1.0, idle_at=float("inf"))
     outcome = daemon.drain(bound_s=7.0)
     assert isinstance(outcome, drain.CutOff)
     assert 8.0 <= daemon.now < 8.2
@@ -97,6 +97,6 @@
 
 def test_order_to_stop_that_is_long_past_ends_the_drain_at_once() -> None:
     """An instance was suspended; its supervisor's patience is over."""
-    daemon = Daemon(now=60.0, asked_s=1.0, idle_at=float("inf"))
+    daemon = Daemon(now=60.0, stop_requested_s=1.0, idle_at=float("inf"))
     daemon.drain(bound_s=7.0)
     assert daemon.now < 60.2
--- a/tests/membership/test_entries.py
+++ b/tests/membership/test_entries.py
@@ -32,7 +32,7 @@
         self.presence = presence.Presence(wire, ADDRESS, interval_s=0.05)
 
     def addresses(self) -> tuple[str, ...]:
-        return self.node.membership.me.entry_addresses
+        return self.node.membership.local_member.entry_addresses
 
 
 @pytest.fixture
@@ -67,9 +67,9 @@
     waiting.until(lambda: named_by(peer) == {ADDRESS})
     peer.cut.add("a")
     instance.presence.leave()
-    assert not instance.presence.told
+    assert not instance.presence.published
     peer.cut.clear()
-    waiting.until(instance.presence.leaving_told)
+    waiting.until(instance.presence.leaving_published)
     assert named_by(peer) == set()
 
 
@@ -92,7 +92,7 @@
         reply = usual(sender, beat)
         if not early:
             instance.presence.leave()
-            early.append(instance.presence.told)
+            early.append(instance.presence.published)
         return reply
 
     handlers[messages.Introduction] = leave_meanwhile
@@ -102,7 +102,7 @@
     )
     waiting.until(lambda: early)
     assert early == [False]
-    waiting.until(instance.presence.leaving_told)
+    waiting.until(instance.presence.leaving_published)
     assert named_by(peer) == set()
 
 
@@ -112,10 +112,10 @@
     """
     instance.presence.report()
     membership = instance.node.membership
-    assert membership.told()
+    assert membership.is_published()
     new = messages.About("b", "rumoi", "127.0.0.1:1", (), 1, False)
     membership.table.take_about(new, membership.clock())
-    assert not membership.told()
+    assert not membership.is_published()
 
 
 def named_by(node: helpers.Node) -> set[str]:
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -21,7 +21,9 @@
 
 def everyone(node: helpers.Node) -> dict[str, state.MemberState]:
     """Return the states of all members that a node knows."""
-    return {member.name: member.state for member in node.membership.everyone()}
+    return {
+        member.name: member.state for member in node.membership.all_members()
+    }
 
 
 def start_two_zones(start: Start) -> list[helpers.Node]:
@@ -66,7 +68,7 @@
         assert node.names() in ({"a", "b"}, {"c", "d", "e"})
         entries = {
             address
-            for member in node.membership.everyone()
+            for member in node.membership.all_members()
             for address in member.entry_addresses
         }
         assert entries == {f"entry-of-{name}" for name in "abcde"}
@@ -116,13 +118,16 @@
     waiting.until(
         lambda: all(set(everyone(node)) == set(names) for node in nodes)
     )
-    own_cells = [node.membership.me.cell for node in nodes]
+    own_cells = [node.membership.local_member.cell for node in nodes]
     expected = [own_cells.count(cell) - 1 for cell in own_cells]
     assert all(peers < len(names) - 1 for peers in expected)
     # A node may know all by an introduction while it still begins to send
     # heartbeats to its peers.
     waiting.until(
-        lambda: [len(node.membership.peers) for node in nodes] == expected
+        lambda: (
+            [len(node.membership.heartbeat_senders) for node in nodes]
+            == expected
+        )
     )
 
 
@@ -142,8 +147,8 @@
     has gone since.
     """
     known = directory.Directory(clocks.ManualClock())
-    assert known.take([summary("x/0", 2, "a")])
-    assert not known.take([summary("x/0", 1, "a", "b")])
+    assert known.apply([summary("x/0", 2, "a")])
+    assert not known.apply([summary("x/0", 1, "a", "b")])
     assert [member.name for member in known.members("y/0")] == ["a"]
 
 
@@ -151,7 +156,7 @@
     """A cell is cut off and later heard again with the same members."""
     clock = clocks.ManualClock()
     known = directory.Directory(clock)
-    known.take([summary("x/0", 1, "a")])
+    known.apply([summary("x/0", 1, "a")])
     before = known.digest()
     clock.now_s += directory.LOST_AFTER_S + 1
     assert [member.state for member in known.members("y/0")] == [SUSPECT]
@@ -167,9 +172,9 @@
     """
     clock = clocks.ManualClock()
     known = directory.Directory(clock)
-    known.take([summary("x/0", 1, "a", "b")])
+    known.apply([summary("x/0", 1, "a", "b")])
     clock.now_s += directory.LOST_AFTER_S + 1
-    known.take([summary("x/1", 2, "a")])
+    known.apply([summary("x/1", 2, "a")])
     members = {member.name: member for member in known.members("y/0")}
     assert members["a"].cell == "x/1"
     assert members["a"].state is ALIVE
@@ -184,7 +189,7 @@
     future = 2**60
     node.membership.gossip.stop()
     known = node.membership.gossip.directory
-    known.take([summary("rumoi/0", future, "old")])
+    known.apply([summary("rumoi/0", future, "old")])
     node.membership.gossip.write_own()
     written = known.summary("rumoi/0")
     assert written.stamp.version > future
--- a/tests/membership/test_many_peers.py
+++ b/tests/membership/test_many_peers.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from briarseam.membership import hearing
 from briarseam.membership import messages
+from briarseam.membership import replies
 from briarseam.membership import service
 from briarseam.membership import state
 from briarseam.testing import waiting
@@ -78,7 +78,7 @@
     me = connections.Identity("agent", "me")
     listener = server.Server("127.0.0.1:0", me, helpers.KEY, router, loop=loop)
     membership = service.Membership(
-        state.Me("me", "rumoi", listener.address, ()),
+        state.LocalAgent("me", "rumoi", listener.address, ()),
         listing,
         helpers.KEY,
         heartbeat_interval_s=0.5,
@@ -108,22 +108,24 @@
     Whatever takes in an answer may have a fault; heartbeats go on.
     """
     failures = [ZeroDivisionError()]
-    take_about = hearing.Hearing.take_about
+    take_about = replies.ReplyHandler.take_about
 
     def fail_once(self, about, sent_at):
         if failures:
             raise failures.pop()
         take_about(self, about, sent_at)
 
-    monkeypatch.setattr(hearing.Hearing, "take_about", fail_once)
+    monkeypatch.setattr(replies.ReplyHandler, "take_about", fail_once)
     one, other = start("a"), start("b")
     waiting.until(lambda: one.names() == other.names() == {"a", "b"})
     assert failures == []
     pairs = [(one, "b"), (other, "a")]
-    before = [node.membership.peers[name].beats for node, name in pairs]
+    before = [
+        node.membership.heartbeat_senders[name].beats for node, name in pairs
+    ]
     waiting.until(
         lambda: all(
-            node.membership.peers[name].beats > count
+            node.membership.heartbeat_senders[name].beats > count
             for (node, name), count in zip(pairs, before, strict=True)
         )
     )
--- a/tests/membership/test_service.py
+++ b/tests/membership/test_service.py
@@ -37,7 +37,7 @@
     }
     assert entries == {"entry-of-a", "entry-of-b", "entry-of-c"}
     for node in nodes:
-        waiting.until(node.membership.fresh)
+        waiting.until(node.membership.is_fresh)
 
 
 def test_unlisted_agent_is_heard_through_a_seed(start: Start) -> None:
@@ -66,7 +66,7 @@
     b.membership.announce_leaving()
     waiting.until(lambda: a.names() == {"a"}, timeout_s=10)
     assert a.state_of("b") is LEAVING
-    assert b.membership.me.state is LEAVING
+    assert b.membership.local_member.state is LEAVING
 
 
 def test_listed_as_leaving_is_not_live(
@@ -136,7 +136,7 @@
     earlier = new.membership.incarnation - 1
     old = start("b", listed=False, seeds=(a_address,), incarnation=earlier)
     waiting.until(lambda: old.membership.freshness.superseded)
-    assert not old.membership.fresh()
+    assert not old.membership.is_fresh()
     record = a.membership.table.records["b"]
     assert record.incarnation == new.membership.incarnation
 
@@ -149,13 +149,13 @@
     a = start("a", clock=clock)
     b = start("b")
     waiting.until(lambda: a.names() == b.names() == {"a", "b"})
-    waiting.until(a.membership.fresh)
+    waiting.until(a.membership.is_fresh)
     b.cut.add("a")
     clock.skipped_s += 60
-    assert not a.membership.fresh()
+    assert not a.membership.is_fresh()
     waiting.until(lambda: a.state_of("b") is SUSPECT)
     b.cut.clear()
-    waiting.until(a.membership.fresh, timeout_s=10)
+    waiting.until(a.membership.is_fresh, timeout_s=10)
     waiting.until(lambda: a.names() == {"a", "b"})
 
 
@@ -182,7 +182,7 @@
     handlers[messages.Heartbeat] = answer_before_the_freeze
     waiting.until(lambda: a.peer("b").failures)
     assert clock.skipped_s == 60
-    assert not a.membership.fresh()
+    assert not a.membership.is_fresh()
 
 
 def test_sections_ride_on_heartbeats(start: Start) -> None:
--- a/tests/membership/test_split.py
+++ b/tests/membership/test_split.py
@@ -12,7 +12,7 @@
 
 def firsts(node: helpers.Node) -> set[str]:
     """Return where a node sends callers first."""
-    lookup = lookups.Lookup(node.membership.everyone, lambda digest: None)
+    lookup = lookups.Lookup(node.membership.all_members, lambda digest: None)
     return {lookup.where("org", name).addresses[0] for name in SESSIONS}
 
 
@@ -42,7 +42,7 @@
                 ),
                 timeout_s=15,
             )
-            assert nodes[name].membership.fresh()
+            assert nodes[name].membership.is_fresh()
     helpers.join(*nodes.values())
     waiting.until(
         lambda: all(
--- a/tests/membership/test_table.py
+++ b/tests/membership/test_table.py
@@ -14,7 +14,7 @@
     """
     cells = {"a": "north", "b": "north"}
     table = tables.Table(
-        state.Me("a", "north", "127.0.0.1:1"),
+        state.LocalAgent("a", "north", "127.0.0.1:1"),
         lambda name, zone: cells[name],
         1.6,
         clocks.ManualClock(),
