--- a/src/briarseam/admission/crash_messages.py
+++ b/src/briarseam/admission/crash_messages.py
@@ -11,7 +11,7 @@
 @codec.message("prompt-held")
 @dataclasses.dataclass(frozen=True)
 class Hold:
-    """Tells a prompt's owner that a run of it is granted an endpoint.
+    """Notifies a prompt's owner that a run of it is granted an endpoint.
 
     Attributes
     ----------
@@ -66,7 +66,7 @@
 @codec.message("prompt-released")
 @dataclasses.dataclass(frozen=True)
 class Release:
-    """Tells a prompt's owner that a run of it is over.
+    """Notifies a prompt's owner that a run of it is over.
 
     Attributes
     ----------
