--- a/src/briarseam/routing/service.py
+++ b/src/briarseam/routing/service.py
@@ -14,12 +14,12 @@
 from briarseam.orders import state as orders
 from briarseam.routing import active_runs
 from briarseam.routing import candidates
+from briarseam.routing import endpoint_backoff
 from briarseam.routing import loads as load_module
 from briarseam.routing import predict
 from briarseam.routing import prefixes as prefix_module
 from briarseam.routing import rates as rate_module
 from briarseam.routing import state
-from briarseam.routing import troubles
 
 RETRY_AFTER_S = 1.0
 Clock = typing.Callable[[], float]
@@ -105,7 +105,7 @@
         self.sent: dict[str, Sent] = {}
         self.boots: dict[str, str] = {}
         self.serving = candidates.Serving(self.forget_gone)
-        self.troubles = troubles.Troubles(parts.clock)
+        self.troubles = endpoint_backoff.Troubles(parts.clock)
         self.turn = 0
         self.lock = threading.Lock()
 
--- a/tests/routing/test_failures.py
+++ b/tests/routing/test_failures.py
@@ -4,10 +4,10 @@
 
 from briarseam.configuration import schema
 from briarseam.configuration import values
+from briarseam.routing import endpoint_backoff
 from briarseam.routing import loads
 from briarseam.routing import prefixes
 from briarseam.routing import state
-from briarseam.routing import troubles
 from tests.routing import conftest
 
 
@@ -39,11 +39,11 @@
     for name in bench.view.endpoints:
         bench.report(name, busy=0 if name == "engine-2" else 8)
     serve(bench, "one", failed=True)
-    bench.clock.now += troubles.FIRST_S
+    bench.clock.now += endpoint_backoff.FIRST_S
     assert serve(bench, "two", failed=True) == "engine-2"
-    bench.clock.now += troubles.FIRST_S
+    bench.clock.now += endpoint_backoff.FIRST_S
     assert serve(bench, "three") != "engine-2"
-    bench.clock.now += troubles.FIRST_S
+    bench.clock.now += endpoint_backoff.FIRST_S
     assert serve(bench, "four") == "engine-2"
     assert not bench.chooser.troubles.by_endpoint
 
