--- a/bench/state_memory.py
+++ b/bench/state_memory.py
@@ -85,7 +85,7 @@
             prefixes.key_of(secrets.token_bytes(HASH_BYTES), "draft", "v1")
             for _ in range(count // ENGINES)
         ]
-        known.use(f"worker-{engine}", keys, count)
+        known.record_use(f"worker-{engine}", keys, count)
     return known
 
 
--- a/src/briarseam/routing/__init__.py
+++ b/src/briarseam/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing: which endpoint runs a request."""
+"""Routing: chooses the endpoint that runs a request."""
--- a/src/briarseam/routing/active_runs.py
+++ b/src/briarseam/routing/active_runs.py
@@ -1,4 +1,4 @@
-"""Runs that this agent has under way, to correct lagging load reports."""
+"""Active runs of this agent, used to correct lagging load reports."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Dispatch:
-    """One run that this agent sent to an endpoint.
+    """A run that this agent sent to an endpoint.
 
     Attributes
     ----------
     run_id
-        The run.
+        Id of the run.
     at
         Monotonic time of the grant, in seconds.
     recompute_pieces
-        Pieces the endpoint is expected to compute.
+        Pieces that the endpoint is expected to compute.
     """
 
     run_id: str
@@ -31,90 +31,87 @@
 
 @dataclasses.dataclass
 class EndpointRuns:
-    """Runs of one endpoint."""
+    """Active and recently ended runs of one endpoint."""
 
-    running: dict[str, Dispatch] = dataclasses.field(default_factory=dict)
+    active: dict[str, Dispatch] = dataclasses.field(default_factory=dict)
     ended_at: collections.deque[float] = dataclasses.field(
         default_factory=lambda: collections.deque(maxlen=MAX_ENDED)
     )
 
 
 class ActiveRuns:
-    """Runs of all endpoints; safe for several threads."""
+    """Runs of this agent at all endpoints; thread-safe."""
 
     def __init__(self) -> None:
         self.endpoints: dict[str, EndpointRuns] = {}
         self.lock = threading.Lock()
 
     def start(self, endpoint: str, dispatch: Dispatch) -> None:
-        """Count a run in."""
+        """Record the start of a run."""
         with self.lock:
             runs = self.endpoints.setdefault(endpoint, EndpointRuns())
-            runs.running[dispatch.run_id] = dispatch
+            runs.active[dispatch.run_id] = dispatch
 
     def end(self, endpoint: str, run_id: str, now: float) -> Dispatch | None:
-        """Count a run out; ``None`` when it was counted out before."""
+        """Record the end of a run; ``None`` if it is not active."""
         with self.lock:
             runs = self.endpoints.get(endpoint)
             if runs is None:
                 return None
-            dispatch = runs.running.pop(run_id, None)
+            dispatch = runs.active.pop(run_id, None)
             if dispatch is not None:
                 runs.ended_at.append(now)
             return dispatch
 
     def get(self, endpoint: str, run_id: str) -> Dispatch | None:
-        """Return a run that is under way."""
+        """Return an active run."""
         runs = self.endpoints.get(endpoint)
-        return runs.running.get(run_id) if runs else None
+        return runs.active.get(run_id) if runs else None
 
-    def outstanding(self, endpoint: str) -> int:
-        """Return how many runs are under way at an endpoint."""
+    def count(self, endpoint: str) -> int:
+        """Return the number of active runs at an endpoint."""
         runs = self.endpoints.get(endpoint)
-        return len(runs.running) if runs else 0
+        return len(runs.active) if runs else 0
 
     def change_since(self, endpoint: str, since: float) -> int:
-        """Return starts less ends after a monotonic time."""
+        """Return the starts minus the ends since a monotonic time."""
         with self.lock:
             runs = self.endpoints.get(endpoint)
             if runs is None:
                 return 0
-            started = sum(
-                1 for one in runs.running.values() if one.at >= since
-            )
-            # Runs that began before and ended after the report took a
-            # place there that is free by now.  Runs that did both after it
-            # never showed and cancel out of both sums but for their start,
-            # which is no longer in ``running``; the bound is one sided and
-            # errs towards more load.
+            started = sum(1 for one in runs.active.values() if one.at >= since)
+            # A run that started before the report and ended after it has
+            # freed a slot that the report shows as taken.  A run that
+            # started and ended after the report is counted as an end only,
+            # since it is no longer in ``active``.
             return started - count_since(runs.ended_at, since)
 
-    def keep(self, endpoints: typing.Container[str]) -> None:
-        """Drop endpoints that are gone and have nothing under way."""
+    def keep_only(self, endpoints: typing.Container[str]) -> None:
+        """Drop all other endpoints that have no active runs."""
         with self.lock:
-            gone = [
+            removed = [
                 name
                 for name, runs in self.endpoints.items()
-                if name not in endpoints and not runs.running
+                if name not in endpoints and not runs.active
             ]
-            for name in gone:
+            for name in removed:
                 del self.endpoints[name]
 
     def counts(self) -> dict[str, int]:
-        """Return runs under way by endpoint, without idle endpoints."""
+        """Return the number of active runs by endpoint, without idle ones."""
         with self.lock:
             return {
-                name: len(runs.running)
+                name: len(runs.active)
                 for name, runs in self.endpoints.items()
-                if runs.running
+                if runs.active
             }
 
 
 def count_since(times: collections.deque[float], since: float) -> int:
-    """Return how many times are not before ``since``; latest last.
+    """Return how many of the times, which ascend, are at or after ``since``.
 
-    Counted from the end: every choice asks this of many engines, and all
-    but the last few times are long past.
+    Iterates from the end: each choice calls this for many engines, and all
+    but the last few times are before ``since``.
     """
     count = 0
     for at in reversed(times):
--- a/src/briarseam/routing/candidates.py
+++ b/src/briarseam/routing/candidates.py
@@ -1,4 +1,4 @@
-"""Which engines may run a prompt, and which of them are worth a look."""
+"""Engines that may run a prompt, and those of them worth a prediction."""
 
 from __future__ import annotations
 
@@ -18,115 +18,120 @@
     from briarseam.routing import state
 
 Names = tuple[str, ...]
-ODD = 0x9E3779B97F4A7C15
-MASK = 2**64 - 1
+HASH_MULTIPLIER = 0x9E3779B97F4A7C15
+HASH_MASK = 2**64 - 1
 
 
-class Serving:
-    """Engines of each model, worked out once for each configuration.
+class EnginesByModel:
+    """Engines of each model, cached for the current configuration.
 
-    Without it every request would look at every endpoint of every model.
+    Avoids a scan of all endpoints for each request.
 
     Parameters
     ----------
-    renewed
-        Told of each new configuration.
+    on_change
+        Called with each new configuration.
     """
 
-    def __init__(self, renewed: typing.Callable[[schema.View], None]) -> None:
-        self.renewed = renewed
-        self.made: tuple[schema.View, dict[str, Names]] | None = None
+    def __init__(
+        self, on_change: typing.Callable[[schema.View], None]
+    ) -> None:
+        self.on_change = on_change
+        self.cached: tuple[schema.View, dict[str, Names]] | None = None
 
     def names(self, view: schema.View, model: str) -> Names:
         """Return the engines that are configured to serve a model."""
-        made = self.made
-        if made is None or made[0] is not view:
-            made = self.made = (view, engines_by_model(view))
-            self.renewed(view)
-        return made[1].get(model, ())
+        cached = self.cached
+        if cached is None or cached[0] is not view:
+            cached = self.cached = (view, engines_by_model(view))
+            self.on_change(view)
+        return cached[1].get(model, ())
 
 
 def engines_by_model(view: schema.View) -> dict[str, Names]:
     """Return the engines in service by model."""
-    found: dict[str, list[str]] = {}
+    engines: dict[str, list[str]] = {}
     for name, endpoint in view.endpoints.items():
         if endpoint.kind is not values.EndpointKind.ENGINE:
             continue
         if endpoint.state is not values.EndpointState.SERVING:
             continue
         for model in endpoint.models:
-            found.setdefault(model, []).append(name)
-    return {model: tuple(names) for model, names in found.items()}
+            engines.setdefault(model, []).append(name)
+    return {model: tuple(names) for model, names in engines.items()}
 
 
 def pick(
     names: list[str],
     query: state.PromptQuery,
     first_key: bytes,
-    known: prefix_module.Prefixes,
+    prefixes: prefix_module.Prefixes,
     limit: int,
 ) -> list[str]:
-    """Return the engines worth predicting for.
+    """Return the engines to predict for.
 
-    All of a few; of many, those that have the start of the prompt and the
-    session's own by rendezvous.
+    Up to ``limit`` engines are all returned.  Of more, those are returned
+    that have the start of the prompt, and those that rank first for the
+    session by rendezvous hashing.
 
     Parameters
     ----------
     names
-        Engines that may run it.
+        Engines that may run the prompt.
     query
         The prompt.
     first_key
-        Name of its first piece, empty without one.
-    known
-        What engines have.
+        Prefix key of the prompt's first piece, empty if it has none.
+    prefixes
+        Known prefixes of the engines.
     limit
-        How many are few.
+        Maximum number of engines of each of the two kinds.
     """
     if len(names) <= limit:
         return names
-    holders = known.holding(names, first_key, limit) if first_key else []
-    session = session_of(query)
-    number = number_of(session)
-    ranked = heapq.nsmallest(limit, names, lambda name: mixed(number, name))
+    holders = prefixes.holding(names, first_key, limit) if first_key else []
+    session = session_key(query)
+    session_hash = hash_of(session)
+    ranked = heapq.nsmallest(
+        limit, names, lambda name: rendezvous_rank(session_hash, name)
+    )
     return list(dict.fromkeys([*holders, *ranked]))
 
 
 def affinity(query: state.PromptQuery, endpoint: str) -> int:
-    """Return a session's rank of an endpoint; lowest first.
+    """Return the rank of an endpoint for a session; lowest is best.
 
     A session without a name is ranked by the start of its prompt.
     """
-    return mixed(number_of(session_of(query)), endpoint)
+    return rendezvous_rank(hash_of(session_key(query)), endpoint)
 
 
 @functools.lru_cache(maxsize=4096)
-def number_of(name: str) -> int:
-    """Return the hash of a session's key or an endpoint's name."""
+def hash_of(name: str) -> int:
+    """Return the hash of a session key or of an endpoint's name."""
     return xxhash.xxh64_intdigest(name.encode())
 
 
-def mixed(session: int, endpoint: str) -> int:
-    """Return the rank of an endpoint for the hash of a session's key.
+def rendezvous_rank(session_hash: int, endpoint: str) -> int:
+    """Return the rank of an endpoint for the hash of a session key.
 
-    Both hashes are mixed by a multiplication: hashing each pair of names
-    took most of a choice among a hundred engines.
+    Combines the two hashes by a multiplication: hashing each pair of names
+    would dominate the time of a choice among a hundred engines.
     """
-    return ((session ^ number_of(endpoint)) * ODD) & MASK
+    return ((session_hash ^ hash_of(endpoint)) * HASH_MULTIPLIER) & HASH_MASK
 
 
-def session_of(query: state.PromptQuery) -> str:
+def session_key(query: state.PromptQuery) -> str:
     """Return the key by which a prompt's session is ranked."""
     session = query.session or (query.chain[0].hex() if query.chain else "")
     return f"{query.organisation}\0{session}"
 
 
 def tie_break(name: str) -> int:
-    """Return a changing order of equals, so that they share the work."""
+    """Return a time-dependent hash that spreads requests over equals."""
     return xxhash.xxh64_intdigest(f"{name}{time.monotonic_ns()}".encode())
 
 
 def total_slots(names: Names, predictor: predict.Predictor) -> int:
-    """Return the slots of engines together, at least one."""
+    """Return the total number of slots of the engines, at least one."""
     return max(sum(predictor.slots(name) for name in names), 1)
--- a/src/briarseam/routing/endpoint_backoff.py
+++ b/src/briarseam/routing/endpoint_backoff.py
@@ -1,4 +1,4 @@
-"""Endpoints that have just failed runs, left alone for a while."""
+"""Backoff for endpoints whose runs have just failed."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Trouble:
-    """What is held against an endpoint.
+class Backoff:
+    """Time during which an endpoint gets no requests.
 
     Attributes
     ----------
-    for_s
-        How long it is left alone.
+    duration_s
+        Length of the backoff, in seconds.
     until
-        Monotonic time when it may be tried again, in seconds.
+        Monotonic time when the endpoint may be tried again, in seconds.
     """
 
-    for_s: float
+    duration_s: float
     until: float
 
 
-class Troubles:
-    """Endpoints to leave alone; safe for several threads.
+class EndpointBackoffs:
+    """Endpoints that get no requests for a while; thread-safe.
 
     Guard: an endpoint that refuses everything at once is never busy, so it
-    looks like the best choice for every request and each of them loses a
-    try there.  It shows as a stream of refusals while other endpoints have
-    slots free.  Left alone for twice as long after each failure in a row,
-    it costs one try each time; its first success ends that.
+    looks like the best choice for every request, and each request loses an
+    attempt there while other endpoints have free slots.  The backoff doubles
+    with each failure in a row, so that each period costs one attempt; the
+    first success ends it.
 
     Parameters
     ----------
@@ -44,34 +44,36 @@
 
     def __init__(self, clock: typing.Callable[[], float]) -> None:
         self.clock = clock
-        self.by_endpoint: dict[str, Trouble] = {}
+        self.by_endpoint: dict[str, Backoff] = {}
         self.lock = threading.Lock()
 
-    def failed(self, endpoint: str) -> None:
-        """Take in that a run failed before it gave anything."""
+    def record_failure(self, endpoint: str) -> None:
+        """Start or extend the backoff after a run failed with no output."""
         now = self.clock()
         with self.lock:
             known = self.by_endpoint.get(endpoint)
             if known is not None and now < known.until:
-                # It was under way when an earlier one failed.
+                # The run was active when an earlier one failed.
                 return
-            for_s = min(known.for_s * FACTOR, MAX_S) if known else FIRST_S
-            self.by_endpoint[endpoint] = Trouble(for_s, now + for_s)
+            duration_s = (
+                min(known.duration_s * FACTOR, MAX_S) if known else FIRST_S
+            )
+            self.by_endpoint[endpoint] = Backoff(duration_s, now + duration_s)
 
-    def worked(self, endpoint: str) -> None:
-        """Take in that an endpoint has begun to answer."""
+    def record_success(self, endpoint: str) -> None:
+        """End the backoff of an endpoint that has begun to answer."""
         with self.lock:
             self.by_endpoint.pop(endpoint, None)
 
-    def avoid(self, names: list[str]) -> list[str]:
-        """Return the endpoints not to be left alone; all if that is none."""
+    def available(self, names: list[str]) -> list[str]:
+        """Return the endpoints not in backoff, or all if all are in it."""
         if not self.by_endpoint:
             return names
         now = self.clock()
-        good = [name for name in names if not self.barred(name, now)]
-        return good or names
+        available = [name for name in names if not self.is_active(name, now)]
+        return available or names
 
-    def barred(self, endpoint: str, now: float) -> bool:
-        """Tell whether an endpoint is left alone at a time."""
+    def is_active(self, endpoint: str, now: float) -> bool:
+        """Return whether an endpoint is in backoff at a monotonic time."""
         known = self.by_endpoint.get(endpoint)
         return known is not None and now < known.until
--- a/src/briarseam/routing/loads.py
+++ b/src/briarseam/routing/loads.py
@@ -1,8 +1,8 @@
-"""Load of the engines: each is polled by one agent, which tells the others.
+"""Load of the engines: one agent polls each engine and publishes its load.
 
-All agents polling all engines would cost a cell of 32 agents and 139
-engines more bytes than the whole of control may use; so the agent that
-ranks first for an engine polls it, and its reports ride on heartbeats.
+If all agents polled all engines, a cell of 32 agents and 139 engines would
+use more bytes than all control traffic may use.  So the agent that ranks
+first for an engine polls it, and its reports travel on heartbeats.
 """
 
 from __future__ import annotations
@@ -23,31 +23,31 @@
 POLL_S = 0.5
 MAX_LAG_S = 5.0
 FORGET_AFTER_S = 5.0
-# Polls, reports on heartbeats and the engines' own lag together take about
-# two seconds when all is well.
+# Polls, reports on heartbeats and the engines' own lag together normally
+# take about two seconds.
 SILENT_AFTER_S = 3.0
 MS = 1000.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """An engine's load as it is known here.
+    """Last known load of an engine.
 
     Attributes
     ----------
     busy
-        Runs it had, in slots and waiting.
+        Number of runs, in slots and queued.
     slots
-        Runs at a time.
+        Maximum number of concurrent runs.
     cache_pieces
-        Pieces its prefix cache holds.
+        Capacity of the prefix cache, in pieces.
     as_of
-        This agent's monotonic time when that was true, in seconds, as
-        well as can be told.
+        This agent's monotonic time when the load was measured, in seconds;
+        an estimate.
     boot_id
-        Differs after each start of the engine.
-    from_here
-        Whether this agent polled it itself.
+        Id of the engine's start.
+    is_local
+        Whether this agent polled the engine itself.
     """
 
     busy: int
@@ -55,33 +55,34 @@
     cache_pieces: int
     as_of: float
     boot_id: str
-    from_here: bool
+    is_local: bool
 
 
 class SharedLoad(typing.NamedTuple):
     """One engine's load on a heartbeat.
 
-    It rides to every member each second, so it goes as an array: the names
-    of its fields would be half of its bytes.
+    It is sent to every member each second, so it is encoded as an array:
+    field names would take half of its bytes.
     """
 
     busy: int
     slots: int
-    cache: int
+    cache_pieces: int
     age_ms: int
-    boot: str
+    boot_id: str
 
 
 @dataclasses.dataclass(frozen=True)
 class SharedSection:
-    """What an agent tells of engines.
+    """Heartbeat section with the loads that an agent publishes.
 
     Attributes
     ----------
     loads
-        Reports of the engines it polls.
+        Loads of the engines that the agent polls.
     runs
-        Its own runs under way by engine, of engines that do not report.
+        The agent's own active runs by engine, for engines that do not
+        report.
     """
 
     loads: dict[str, SharedLoad]
@@ -92,18 +93,19 @@
 
 
 class Loads:
-    """Known loads; safe for several threads.
+    """Known loads; thread-safe.
 
     Parameters
     ----------
     view
-        Present configuration.
-    me
+        Returns the current configuration.
+    own_name
         This agent's name.
     members
-        Names of the agents that share the polling, this one included.
-    counts
-        This agent's own runs under way by endpoint.
+        Returns the names of the agents that share the polling, including
+        this one.
+    own_run_counts
+        Returns this agent's own active runs by endpoint.
     clock
         Monotonic seconds.
     """
@@ -111,27 +113,27 @@
     def __init__(
         self,
         view: typing.Callable[[], schema.View],
-        me: str,
+        own_name: str,
         members: Names,
-        counts: typing.Callable[[], dict[str, int]],
+        own_run_counts: typing.Callable[[], dict[str, int]],
         clock: typing.Callable[[], float] = time.monotonic,
     ) -> None:
         self.view = view
-        self.me = me
+        self.own_name = own_name
         self.members = members
-        self.counts = counts
+        self.own_run_counts = own_run_counts
         self.clock = clock
         self.known: dict[str, Load] = {}
-        self.others_runs: dict[str, OthersRuns] = {}
+        self.peer_runs: dict[str, PeerRuns] = {}
         self.pollers: dict[str, Poller] = {}
-        self.share = Share({}, (), {})
+        self.assignment = Assignment({}, (), {})
         self.stopping = threading.Event()
         self.thread = threading.Thread(
-            target=self.match_pollers, name="loads", daemon=True
+            target=self.update_pollers, name="loads", daemon=True
         )
 
     def start(self) -> None:
-        """Begin polling."""
+        """Start polling."""
         self.thread.start()
 
     def stop(self) -> None:
@@ -141,144 +143,145 @@
             poller.stopping.set()
 
     def get(self, endpoint: str) -> Load | None:
-        """Return an engine's load unless it is too old to be of use."""
+        """Return an engine's load, ``None`` if it is unknown or too old."""
         load = self.known.get(endpoint)
         if load is None or self.clock() - load.as_of > FORGET_AFTER_S:
             return None
         return load
 
     def reporting(self, names: list[str]) -> list[str]:
-        """Return the engines that still report, of those that ever did.
+        """Return the engines without those that have stopped reporting.
 
-        Guard: a frozen engine takes connections and answers nothing.  Its
-        load would be unknown and thus look idle, and every request that
-        went there would wait for a timeout.  When most are silent at once,
-        the reports are at fault and not the engines; then all stay in.
+        Guard: a frozen engine accepts connections and answers nothing.  Its
+        load would be unknown and thus look idle, and each request sent there
+        would wait for a timeout.  If more than half of the engines are
+        silent at once, the reports are at fault and not the engines, so all
+        are returned.
         """
         oldest = self.clock() - SILENT_AFTER_S
-        heard = [
+        reporting = [
             name
             for name in names
             if (load := self.known.get(name)) is None or load.as_of >= oldest
         ]
-        return heard if 2 * len(heard) >= len(names) else names
+        return reporting if 2 * len(reporting) >= len(names) else names
 
-    def others(self, endpoint: str) -> int:
-        """Return the runs that other agents have under way there."""
+    def peer_run_count(self, endpoint: str) -> int:
+        """Return the published active runs of other agents at an endpoint."""
         oldest = self.clock() - FORGET_AFTER_S
         return sum(
             one.runs.get(endpoint, 0)
-            for one in list(self.others_runs.values())
-            if one.heard_at >= oldest
+            for one in list(self.peer_runs.values())
+            if one.received_at >= oldest
         )
 
-    def wanted(self) -> dict[str, str]:
+    def assigned(self) -> dict[str, str]:
         """Return the addresses of the engines that this agent polls.
 
-        Worked out anew only when endpoints or members have changed: every
-        engine is ranked over every member, twice a second.
+        Computed again only when endpoints or members have changed, since it
+        ranks every engine over every member and is called twice a second.
         """
         endpoints = self.view().endpoints
         members = tuple(self.members())
-        share = self.share
-        if share.endpoints is endpoints and share.members == members:
-            return share.addresses
+        assignment = self.assignment
+        if assignment.endpoints is endpoints and assignment.members == members:
+            return assignment.addresses
         addresses = {
             name: endpoint.address
             for name, endpoint in endpoints.items()
             if endpoint.kind is values.EndpointKind.ENGINE
-            and owner(name, members or (self.me,)) == self.me
+            and poller_of(name, members or (self.own_name,)) == self.own_name
         }
-        self.share = Share(endpoints, members, addresses)
+        self.assignment = Assignment(endpoints, members, addresses)
         return addresses
 
-    def match_pollers(self) -> None:
-        """Keep one poller for each engine that this agent owns."""
+    def update_pollers(self) -> None:
+        """Run one poller for each assigned engine until stopped."""
         while not self.stopping.is_set():
-            wanted = self.wanted()
+            assigned = self.assigned()
             for name, poller in list(self.pollers.items()):
-                if wanted.get(name) != poller.address:
+                if assigned.get(name) != poller.address:
                     self.pollers.pop(name).stopping.set()
-            self.forget_gone()
-            for name, address in wanted.items():
+            self.forget_removed()
+            for name, address in assigned.items():
                 if name not in self.pollers:
                     self.pollers[name] = Poller(name, address, self)
                     self.pollers[name].start()
             self.stopping.wait(POLL_S)
 
-    def forget_gone(self) -> None:
-        """Drop the loads of engines that are not configured any more."""
+    def forget_removed(self) -> None:
+        """Drop the loads of engines that are no longer configured."""
         endpoints = self.view().endpoints
         for name in [one for one in list(self.known) if one not in endpoints]:
             self.known.pop(name, None)
 
     def provide(self) -> bytes:
-        """Return this agent's section of a heartbeat."""
+        """Return this agent's heartbeat section."""
         now = self.clock()
         loads = {
             name: SharedLoad(
                 busy=load.busy,
                 slots=load.slots,
-                cache=load.cache_pieces,
+                cache_pieces=load.cache_pieces,
                 age_ms=int((now - load.as_of) * MS),
-                boot=load.boot_id,
+                boot_id=load.boot_id,
             )
             for name, load in list(self.known.items())
-            if load.from_here and now - load.as_of < FORGET_AFTER_S
+            if load.is_local and now - load.as_of < FORGET_AFTER_S
         }
         runs = {
             name: count
-            for name, count in self.counts().items()
-            if not self.is_reported(name, now)
+            for name, count in self.own_run_counts().items()
+            if not self.is_reporting(name, now)
         }
         return msgspec.msgpack.encode(SharedSection(loads, runs))
 
-    def is_reported(self, endpoint: str, now: float) -> bool:
-        """Tell whether an engine's own report will do for everybody.
+    def is_reporting(self, endpoint: str, now: float) -> bool:
+        """Return whether an engine's own report is recent enough.
 
-        What an engine reports holds the runs of all agents.  Each agent's
-        counts besides, told to all others each second, would take most of
-        the bytes of a large cell; so they are told only of an engine that
-        is silent, before its last report is forgotten.
+        An engine's report includes the runs of all agents.  If each agent
+        published its own counts as well, each second to all others, they
+        would take most of the bytes of a large cell.  They are published
+        only for an engine that is silent, before its last report expires.
         """
         load = self.known.get(endpoint)
         return load is not None and now - load.as_of <= SILENT_AFTER_S
 
     def consume(self, member: str, data: bytes) -> None:
-        """Take in another agent's section."""
+        """Apply another agent's heartbeat section."""
         section = msgspec.msgpack.decode(data, type=SharedSection)
         now = self.clock()
-        for other, runs in list(self.others_runs.items()):
-            if now - runs.heard_at > FORGET_AFTER_S:
-                self.others_runs.pop(other, None)
-        self.others_runs[member] = OthersRuns(section.runs, now)
+        for peer, runs in list(self.peer_runs.items()):
+            if now - runs.received_at > FORGET_AFTER_S:
+                self.peer_runs.pop(peer, None)
+        self.peer_runs[member] = PeerRuns(section.runs, now)
         for name, shared in section.loads.items():
             as_of = now - shared.age_ms / MS
-            mine = self.known.get(name)
-            if mine is not None and mine.as_of >= as_of:
+            known = self.known.get(name)
+            if known is not None and known.as_of >= as_of:
                 continue
             self.known[name] = Load(
                 busy=shared.busy,
                 slots=shared.slots,
-                cache_pieces=shared.cache,
+                cache_pieces=shared.cache_pieces,
                 as_of=as_of,
-                boot_id=shared.boot,
-                from_here=False,
+                boot_id=shared.boot_id,
+                is_local=False,
             )
 
 
 @dataclasses.dataclass(frozen=True)
-class Share:
-    """The engines that this agent polls, and what that follows from.
+class Assignment:
+    """The engines that this agent polls, and what they are derived from.
 
     Attributes
     ----------
     endpoints
-        Of the configuration.
+        Endpoints of the configuration.
     members
         Names of the agents that share the polling.
     addresses
-        Of this agent's engines, by name.
+        Addresses of this agent's engines, by name.
     """
 
     endpoints: typing.Mapping[str, values.Endpoint]
@@ -286,8 +289,8 @@
     addresses: dict[str, str]
 
 
-def owner(endpoint: str, members: typing.Sequence[str]) -> str:
-    """Return which of some agents polls an engine."""
+def poller_of(endpoint: str, members: typing.Sequence[str]) -> str:
+    """Return the agent that polls an engine."""
     return max(
         members,
         key=lambda name: xxhash.xxh64_intdigest(
@@ -297,11 +300,11 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class OthersRuns:
-    """Another agent's runs under way by engine, and when it said so."""
+class PeerRuns:
+    """Another agent's active runs by engine, and when they were received."""
 
     runs: dict[str, int]
-    heard_at: float
+    received_at: float
 
 
 class Poller:
@@ -310,9 +313,9 @@
     Parameters
     ----------
     name, address
-        The engine.
+        Name and address of the engine.
     loads
-        Where reports go.
+        Receives the reports.
     """
 
     def __init__(self, name: str, address: str, loads: Loads) -> None:
@@ -326,7 +329,7 @@
         )
 
     def start(self) -> None:
-        """Begin polling."""
+        """Start polling."""
         self.thread.start()
 
     def poll(self) -> None:
@@ -335,15 +338,15 @@
             try:
                 report = self.client.read(self.address)
             except engine_load.LoadUnavailableError:
-                # Its last report ages out by itself.
+                # The last report expires by itself.
                 continue
-            self.take(report)
+            self.record(report)
 
-    def take(self, report: engine_load.LoadReport) -> None:
-        """Keep a report."""
-        # The age of a report can only be told by comparing two clocks; a
-        # wrong clock would make it look current or ancient, so the age is
-        # bounded, and a prediction that is off costs time and nothing else.
+    def record(self, report: engine_load.LoadReport) -> None:
+        """Store a report as the engine's load."""
+        # The age of a report follows from comparing two clocks; a wrong
+        # clock would make it look current or very old, so the age is
+        # bounded.  A wrong prediction costs time only.
         lag_s = time.time() - report.time_ms / MS
         lag_s = min(max(lag_s, 0.0), MAX_LAG_S)
         self.loads.known[self.name] = Load(
@@ -352,5 +355,5 @@
             cache_pieces=report.cache_capacity_tokens // pieces.PIECE_TOKENS,
             as_of=self.loads.clock() - lag_s,
             boot_id=report.boot_id,
-            from_here=True,
+            is_local=True,
         )
--- a/src/briarseam/routing/predict.py
+++ b/src/briarseam/routing/predict.py
@@ -1,4 +1,4 @@
-"""Predicting the time to first token at one engine."""
+"""Prediction of the time to first token at an engine."""
 
 from __future__ import annotations
 
@@ -19,69 +19,72 @@
 
 @dataclasses.dataclass(frozen=True)
 class Prompt:
-    """What a prediction needs of a prompt.
+    """The properties of a prompt that predictions need.
 
     Attributes
     ----------
     model
-        The model.
+        Name of the model.
     keys
-        Names of its whole pieces at the engines.
+        Prefix keys of the prompt's complete pieces at the engines.
     tokens
-        Its length.
-    kept
-        What could be imported from its first piece on.
+        Length of the prompt, in tokens.
+    kept_plan
+        Import plan for all kept blocks, from the first piece on.
     plans
-        What is worth importing, by pieces that are there already.
+        Cached plans by the number of leading pieces that are present.
     """
 
     model: str
     keys: tuple[bytes, ...]
     tokens: int
-    kept: cache.Plan
+    kept_plan: cache.Plan
     plans: dict[int, cache.Plan] = dataclasses.field(default_factory=dict)
 
-    def plan_behind(self, have: int, per_piece_s: float) -> cache.Plan:
-        """Return what is worth importing behind the first pieces.
+    def plan_after(self, cached_pieces: int, per_piece_s: float) -> cache.Plan:
+        """Return the import plan that follows the first pieces.
 
-        Most engines looked at have the same part of a prompt, mostly none.
+        Cached, since most candidates have the same number of pieces, mostly
+        none.
         """
-        if have not in self.plans:
-            self.plans[have] = follow_on(self.kept, have).best(per_piece_s)
-        return self.plans[have]
+        if cached_pieces not in self.plans:
+            self.plans[cached_pieces] = remaining_plan(
+                self.kept_plan, cached_pieces
+            ).best(per_piece_s)
+        return self.plans[cached_pieces]
 
     @property
     def pieces(self) -> float:
-        """Length in pieces, with the last part."""
+        """Length in pieces, including the last incomplete one."""
         return self.tokens / pieces.PIECE_TOKENS
 
 
 @dataclasses.dataclass(frozen=True)
 class Prediction:
-    """What a run at one engine is expected to cost.
+    """Expected costs of a run at one engine.
 
     Attributes
     ----------
     endpoint
-        The engine.
+        Name of the engine.
     wait_s
-        Until a slot is free.
-    have
-        Leading pieces it has.
+        Time until a slot is free, in seconds.
+    cached_pieces
+        Leading pieces that the engine probably has.
     plan
-        What is worth importing there; it may hold again what the engine
-        has only probably.
+        Blocks that are worth importing; may include pieces that the engine
+        has probably but not surely.
     recompute_pieces
-        Pieces it must compute.
+        Pieces that the engine must compute.
     first_token_s
-        Until the first token.
+        Time to first token, in seconds.
     recompute_s
-        Of it, time to compute pieces.
+        Part of ``first_token_s`` that computes pieces, in seconds.
     """
 
     endpoint: str
     wait_s: float
-    have: int
+    cached_pieces: int
     plan: cache.Plan
     recompute_pieces: float
     first_token_s: float
@@ -89,12 +92,12 @@
 
 
 class Predictor:
-    """Predicts from loads, own runs, prefixes and learned rates.
+    """Predicts from loads, this agent's runs, prefixes and learned rates.
 
     Parameters
     ----------
     loads, own_runs, prefixes, rates
-        What is known of the engines.
+        Known state of the engines.
     """
 
     def __init__(
@@ -110,21 +113,24 @@
         self.rates = rates
 
     def predict(self, prompt: Prompt, endpoint: str) -> Prediction:
-        """Return what a run of ``prompt`` at ``endpoint`` would cost."""
-        have = self.prefixes.leading(endpoint, prompt.keys)
+        """Return the expected costs of ``prompt`` at ``endpoint``."""
+        cached_pieces = self.prefixes.count_leading(endpoint, prompt.keys)
         per_piece_s = self.rates.prefill_s_per_piece(prompt.model)
-        sure = self.prefixes.sure(endpoint, prompt.keys)
-        plan = prompt.plan_behind(sure, per_piece_s)
-        left = max(prompt.pieces - max(have, sure + len(plan.blocks)), 0.0)
+        sure_pieces = self.prefixes.count_sure(endpoint, prompt.keys)
+        plan = prompt.plan_after(sure_pieces, per_piece_s)
+        recompute_pieces = max(
+            prompt.pieces - max(cached_pieces, sure_pieces + len(plan.blocks)),
+            0.0,
+        )
         wait_s = self.wait_s(prompt.model, endpoint)
-        recompute_s = left * per_piece_s
+        recompute_s = recompute_pieces * per_piece_s
         return Prediction(
             endpoint=endpoint,
             wait_s=wait_s,
-            have=have,
+            cached_pieces=cached_pieces,
             plan=plan,
-            recompute_pieces=left,
-            # The import runs while the queue moves.
+            recompute_pieces=recompute_pieces,
+            # The import runs while the prompt waits for a slot.
             first_token_s=max(wait_s, plan.predicted_s) + recompute_s,
             recompute_s=recompute_s,
         )
@@ -138,38 +144,43 @@
         return ahead / slots * self.rates.run_s(model)
 
     def busy(self, endpoint: str) -> int:
-        """Return the runs that an engine has by now.
+        """Return the estimated number of runs at an engine.
 
-        A report lags; what this agent sent since is added and what ended
-        since taken off.  Without that, all requests between two reports
-        would go to the engine that looked idle in the last one.
+        Corrects the last load report by the runs that this agent started
+        and ended since.  Without the correction all requests between two
+        reports would go to the engine that looked idle in the last one.
         """
-        known_runs = self.own_runs.outstanding(endpoint)
-        known_runs += self.loads.others(endpoint)
+        known_runs = self.own_runs.count(endpoint)
+        known_runs += self.loads.peer_run_count(endpoint)
         load = self.loads.get(endpoint)
         if load is None:
             return known_runs
         changed = self.own_runs.change_since(endpoint, load.as_of)
-        return max(load.busy + changed, self.own_runs.outstanding(endpoint))
+        return max(load.busy + changed, self.own_runs.count(endpoint))
 
     def slots(self, endpoint: str) -> int:
-        """Return an engine's slots, a guess while it is not known."""
+        """Return an engine's slots, a default if its load is not known."""
         load = self.loads.get(endpoint)
         return load.slots if load else DEFAULT_SLOTS
 
     def slots_free(self, endpoint: str) -> int:
-        """Return the slots that are probably free."""
+        """Return the estimated number of free slots."""
         return self.slots(endpoint) - self.busy(endpoint)
 
 
-def follow_on(kept: cache.Plan, have: int) -> cache.Plan:
-    """Return the part of a plan that follows the first ``have`` pieces."""
-    if have == 0 or not kept.blocks:
-        return kept
-    if have >= len(kept.blocks):
-        return dataclasses.replace(kept, have=have, blocks=(), until_s=())
-    before_s = kept.until_s[have - 1]
-    until_s = tuple(at - before_s for at in kept.until_s[have:])
+def remaining_plan(plan: cache.Plan, cached_pieces: int) -> cache.Plan:
+    """Return the part of a plan that follows the first pieces."""
+    if cached_pieces == 0 or not plan.blocks:
+        return plan
+    if cached_pieces >= len(plan.blocks):
+        return dataclasses.replace(
+            plan, have=cached_pieces, blocks=(), until_s=()
+        )
+    before_s = plan.until_s[cached_pieces - 1]
+    until_s = tuple(at - before_s for at in plan.until_s[cached_pieces:])
     return dataclasses.replace(
-        kept, have=have, blocks=kept.blocks[have:], until_s=until_s
+        plan,
+        have=cached_pieces,
+        blocks=plan.blocks[cached_pieces:],
+        until_s=until_s,
     )
--- a/src/briarseam/routing/prefixes.py
+++ b/src/briarseam/routing/prefixes.py
@@ -1,8 +1,8 @@
-"""Which prefixes each engine probably has in its own memory.
+"""Prefixes that each engine probably has in its own memory.
 
-Knowledge is a guess: an engine evicts without asking, and its events come
-late and with gaps.  A wrong guess costs time, never correctness, since the
-engine itself decides what it computes.
+The information is approximate: an engine evicts at any time, and its events
+arrive late and with gaps.  An error costs time but never correctness, since
+the engine itself decides what it computes.
 """
 
 from __future__ import annotations
@@ -17,25 +17,28 @@
     from briarseam.endpoints import engine_events
 
 DEFAULT_CAPACITY_PIECES = 100
-# How much of an engine's memory may have been used anew since a run of ours
-# used a piece, for it to be surely there.  What others use shows late.
-SURE_PART = 0.5
-# Some 200 bytes each; an agent's memory is bounded whatever engines report.
+# Largest share of an engine's memory that may have been used since a run of
+# this agent used a piece for the piece to count as surely present.  Uses by
+# other agents' runs become known late.
+SURE_SHARE = 0.5
+# A piece takes about 200 bytes; this bounds the agent's memory whatever
+# capacity engines report.
 MAX_PIECES = 40_000
 
 
 def key_of(digest: bytes, model: str, version: str) -> bytes:
-    """Return the name of a prefix here.
+    """Return the key of a prefix.
 
-    An engine's blocks belong to a weight version; the version in the key
-    keeps a swap from making its old prefixes look useful.
+    An engine's blocks belong to a weight version.  The key includes the
+    version, so that an engine's old prefixes do not match after its weights
+    change.
 
     Parameters
     ----------
     digest
-        The engine's name of the prefix.
+        The engine's digest of the prefix.
     model, version
-        What it is computed with.
+        Model and weight version that computed the prefix.
     """
     return digest + xxhash.xxh64_digest(f"\0{model}\0{version}".encode())
 
@@ -46,144 +49,147 @@
     Parameters
     ----------
     capacity_pieces
-        Pieces the engine's memory holds.
+        Capacity of the engine's memory, in pieces.
     """
 
     def __init__(self, capacity_pieces: int = DEFAULT_CAPACITY_PIECES) -> None:
         self.capacity_pieces = capacity_pieces
-        self.used = 0
-        self.order: collections.OrderedDict[bytes, int | None] = (
+        self.used_pieces = 0
+        # ``used_pieces`` at the last use by a run of this agent.
+        self.last_used: collections.OrderedDict[bytes, int | None] = (
             collections.OrderedDict()
         )
 
-    def leading(self, keys: typing.Sequence[bytes]) -> int:
-        """Return how many of the first keys are known, without a hole."""
+    def count_leading(self, keys: typing.Sequence[bytes]) -> int:
+        """Return how many of the first keys are known, without a gap."""
         count = 0
         for key in keys:
-            if key not in self.order:
+            if key not in self.last_used:
                 break
             count += 1
         return count
 
-    def sure(self, keys: typing.Sequence[bytes]) -> int:
-        """Return how many of the first keys can hardly be evicted yet.
+    def count_sure(self, keys: typing.Sequence[bytes]) -> int:
+        """Return how many of the first keys are unlikely to be evicted yet.
 
-        Guard: an engine evicts at once and says so late, so a prompt that
-        returns just after that is believed to be there.  It shows as a
-        cold return although the stores have all of it.  Only what a run
-        of ours used, with not too much used since, need not be imported.
+        Guard: an engine evicts at once and reports it late, so a prompt that
+        returns right after that still looks cached.  The prompt is then
+        recomputed although the stores have all of it.  Only pieces that a
+        run of this agent used recently need no import.
         """
-        oldest = self.used - SURE_PART * self.capacity_pieces
+        oldest = self.used_pieces - SURE_SHARE * self.capacity_pieces
         count = 0
         for key in keys:
-            used_at = self.order.get(key)
-            if used_at is None or used_at < oldest:
+            last_used = self.last_used.get(key)
+            if last_used is None or last_used < oldest:
                 break
             count += 1
         return count
 
-    def use(
-        self, keys: typing.Sequence[bytes], at_most: int = MAX_PIECES
+    def record_use(
+        self, keys: typing.Sequence[bytes], max_pieces: int = MAX_PIECES
     ) -> None:
-        """Note that a run has just used or computed these."""
-        self.used += len(keys)
+        """Record that a run has just used or computed some pieces."""
+        self.used_pieces += len(keys)
         for key in keys:
-            self.order[key] = self.used
-            self.order.move_to_end(key)
-        self.evict(at_most)
+            self.last_used[key] = self.used_pieces
+            self.last_used.move_to_end(key)
+        self.evict(max_pieces)
 
-    def add(self, key: bytes, at_most: int = MAX_PIECES) -> None:
-        """Note that the engine says it has one."""
-        if key in self.order:
+    def add(self, key: bytes, max_pieces: int = MAX_PIECES) -> None:
+        """Record that the engine reports a prefix."""
+        if key in self.last_used:
             return
-        self.used += 1
-        self.order[key] = None
-        self.evict(at_most)
+        self.used_pieces += 1
+        self.last_used[key] = None
+        self.evict(max_pieces)
 
-    def evict(self, at_most: int) -> None:
-        """Forget what was used longest ago, as far as there is no room."""
-        while len(self.order) > min(self.capacity_pieces, at_most):
-            self.order.popitem(last=False)
+    def evict(self, max_pieces: int) -> None:
+        """Drop the least recently used pieces above the capacity."""
+        while len(self.last_used) > min(self.capacity_pieces, max_pieces):
+            self.last_used.popitem(last=False)
 
     def drop(self, key: bytes) -> None:
-        """Note that a prefix was evicted."""
-        self.order.pop(key, None)
+        """Record that a prefix was evicted."""
+        self.last_used.pop(key, None)
 
     def truncate(self, keys: typing.Sequence[bytes], known: int) -> None:
-        """Note that an engine had only the first ``known`` keys."""
+        """Record that an engine had only the first ``known`` keys."""
         for key in keys[known:]:
-            self.order.pop(key, None)
+            self.last_used.pop(key, None)
 
 
 class Prefixes:
-    """The prefixes of all engines; safe for several threads."""
+    """The prefixes of all engines; thread-safe."""
 
     def __init__(self) -> None:
         self.engines: dict[str, EnginePrefixes] = {}
         self.lock = threading.Lock()
 
-    def leading(self, endpoint: str, keys: typing.Sequence[bytes]) -> int:
+    def count_leading(
+        self, endpoint: str, keys: typing.Sequence[bytes]
+    ) -> int:
         """Return how many leading pieces an engine probably has."""
         with self.lock:
             known = self.engines.get(endpoint)
-            return known.leading(keys) if known else 0
+            return known.count_leading(keys) if known else 0
 
     def holding(
         self, endpoints: typing.Sequence[str], key: bytes, limit: int
     ) -> list[str]:
         """Return engines that probably have a piece, at most ``limit``."""
-        found: list[str] = []
+        holding: list[str] = []
         with self.lock:
             for endpoint in endpoints:
                 known = self.engines.get(endpoint)
-                if known is not None and key in known.order:
-                    found.append(endpoint)
-                    if len(found) == limit:
+                if known is not None and key in known.last_used:
+                    holding.append(endpoint)
+                    if len(holding) == limit:
                         break
-        return found
+        return holding
 
-    def sure(self, endpoint: str, keys: typing.Sequence[bytes]) -> int:
+    def count_sure(self, endpoint: str, keys: typing.Sequence[bytes]) -> int:
         """Return how many leading pieces an engine has almost surely."""
         with self.lock:
             known = self.engines.get(endpoint)
-            return known.sure(keys) if known else 0
+            return known.count_sure(keys) if known else 0
 
-    def use(
+    def record_use(
         self,
         endpoint: str,
         keys: typing.Sequence[bytes],
         capacity_pieces: int | None,
     ) -> None:
-        """Note a run's pieces at an engine."""
+        """Record the pieces that a run uses at an engine."""
         with self.lock:
             known = self.engines.setdefault(endpoint, EnginePrefixes())
             if capacity_pieces is not None:
                 known.capacity_pieces = capacity_pieces
-            known.use(keys, MAX_PIECES // len(self.engines))
+            known.record_use(keys, MAX_PIECES // len(self.engines))
 
     def truncate(
         self, endpoint: str, keys: typing.Sequence[bytes], known: int
     ) -> None:
-        """Note that an engine had fewer pieces than was thought."""
+        """Record that an engine had only the first ``known`` keys."""
         with self.lock:
             if endpoint in self.engines:
                 self.engines[endpoint].truncate(keys, known)
 
     def added(self, endpoint: str, prefix: engine_events.Prefix) -> None:
-        """Take in an engine's word that it has a prefix."""
+        """Record an engine's event that it has a prefix."""
         key = key_of(prefix.digest, prefix.model, prefix.version)
         with self.lock:
             known = self.engines.setdefault(endpoint, EnginePrefixes())
             known.add(key, MAX_PIECES // len(self.engines))
 
     def removed(self, endpoint: str, prefix: engine_events.Prefix) -> None:
-        """Take in an engine's word that it has dropped a prefix."""
+        """Record an engine's event that it has evicted a prefix."""
         key = key_of(prefix.digest, prefix.model, prefix.version)
         with self.lock:
             if endpoint in self.engines:
                 self.engines[endpoint].drop(key)
 
     def forget(self, endpoint: str) -> None:
-        """Forget an engine that was started anew or is in doubt."""
+        """Drop all prefixes of an engine that restarted or was removed."""
         with self.lock:
             self.engines.pop(endpoint, None)
--- a/src/briarseam/routing/rates.py
+++ b/src/briarseam/routing/rates.py
@@ -1,4 +1,4 @@
-"""What runs cost, learned from how they go."""
+"""Costs of runs, learned from observed runs."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 import threading
 
 SMOOTHING = 0.1
-FIRST_PREFILL_S_PER_PIECE = 0.2
-FIRST_RUN_S = 1.0
+INITIAL_PREFILL_S_PER_PIECE = 0.2
+INITIAL_RUN_S = 1.0
 MIN_PIECES = 0.5
-# One observation may move an average by this factor at most: a run that
-# sat behind a frozen endpoint says nothing about the cost of prefill.
+# Largest factor by which one observation may differ from the average: a run
+# that waited at a frozen endpoint says nothing about the cost of prefill.
 MAX_FACTOR = 4.0
 
 
 @dataclasses.dataclass
 class Average:
-    """An exponentially weighted average that one outlier cannot move far.
+    """An exponentially weighted average that limits the effect of outliers.
 
     Attributes
     ----------
@@ -26,8 +26,8 @@
 
     value: float
 
-    def learn(self, observed: float) -> None:
-        """Take in one observation."""
+    def add(self, observed: float) -> None:
+        """Update the average with an observation."""
         low = self.value / MAX_FACTOR
         high = self.value * MAX_FACTOR
         bounded = min(max(observed, low), high)
@@ -35,7 +35,7 @@
 
 
 class Rates:
-    """Averages by model; safe for several threads."""
+    """Averages by model; thread-safe."""
 
     def __init__(self) -> None:
         self.prefill: dict[str, Average] = {}
@@ -43,27 +43,27 @@
         self.lock = threading.Lock()
 
     def prefill_s_per_piece(self, model: str) -> float:
-        """Return the seconds to compute one piece of a prompt."""
+        """Return the time to compute one piece of a prompt, in seconds."""
         known = self.prefill.get(model)
-        return known.value if known else FIRST_PREFILL_S_PER_PIECE
+        return known.value if known else INITIAL_PREFILL_S_PER_PIECE
 
     def run_s(self, model: str) -> float:
-        """Return the seconds that a run takes a slot."""
+        """Return the time that a run occupies a slot, in seconds."""
         known = self.run.get(model)
-        return known.value if known else FIRST_RUN_S
+        return known.value if known else INITIAL_RUN_S
 
-    def learn_prefill(self, model: str, seconds: float, pieces: float) -> None:
-        """Take in a first token that waited for nothing but prefill."""
+    def add_prefill(self, model: str, seconds: float, pieces: float) -> None:
+        """Record the time of a first token that waited only for prefill."""
         if pieces < MIN_PIECES:
             return
         with self.lock:
             average = self.prefill.setdefault(
-                model, Average(FIRST_PREFILL_S_PER_PIECE)
+                model, Average(INITIAL_PREFILL_S_PER_PIECE)
             )
-            average.learn(seconds / pieces)
+            average.add(seconds / pieces)
 
-    def learn_run(self, model: str, seconds: float) -> None:
-        """Take in how long a whole run took."""
+    def add_run(self, model: str, seconds: float) -> None:
+        """Record the duration of a complete run."""
         with self.lock:
-            average = self.run.setdefault(model, Average(FIRST_RUN_S))
-            average.learn(seconds)
+            average = self.run.setdefault(model, Average(INITIAL_RUN_S))
+            average.add(seconds)
--- a/src/briarseam/routing/service.py
+++ b/src/briarseam/routing/service.py
@@ -1,4 +1,4 @@
-"""Choosing an endpoint, and learning from how runs go."""
+"""Choice of an endpoint, and learning from observed runs."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class KeptCache(typing.Protocol):
-    """What routing needs of the kept cache."""
+    """The operations of the kept cache that routing needs."""
 
     def plan(
         self,
@@ -38,36 +38,36 @@
         have: int,
         session: str = "",
     ) -> cache.Plan:
-        """Return what could be imported for a prompt."""
+        """Return the blocks that could be imported for a prompt."""
 
     def engine_salt(self, organisation: str, adapter: str) -> str:
-        """Return the salt under which an engine names prefixes."""
+        """Return the salt that an engine uses for its prefixes."""
 
     def import_to(
         self, address: str, plan: cache.Plan, max_s: float
     ) -> cache.Imported:
-        """Let an endpoint import a plan's blocks; wait for it."""
+        """Make an endpoint import a plan's blocks, and wait for it."""
 
 
 @dataclasses.dataclass(frozen=True)
 class ChooserParts:
-    """What the choice works with, wired by ``compose``.
+    """Dependencies of the chooser, wired by ``compose``.
 
     Attributes
     ----------
     view
-        Present configuration.
+        Returns the current configuration.
     leaving
-        Endpoints that are known to leave.
+        Returns the endpoints that are leaving.
     offers
-        Versions and adapters that new requests of a model may name, best
-        first for a session's key; empty while none is reported.
+        Returns the versions and adapters that new requests of a model may
+        use, best first for a session key; empty while none is reported.
     serves
-        Whether an endpoint reports what a request has to name.
+        Returns whether an endpoint reports the given version and adapter.
     kept
         The kept cache.
     loads, own_runs
-        Load of the engines and own runs under way.
+        Loads of the engines, and active runs of this agent.
     clock
         Monotonic seconds.
     """
@@ -83,17 +83,17 @@
 
 
 @dataclasses.dataclass
-class Sent:
-    """A run under way, for learning from it."""
+class ObservedRun:
+    """An active run from which rates are learned."""
 
     choice: state.Choice
-    at: float
-    imported: int = 0
-    first_seen: bool = False
+    started_at: float
+    imported_pieces: int = 0
+    has_first_token: bool = False
 
 
 class Chooser:
-    """Chooses by predicted time to first token and work recomputed."""
+    """Chooses by predicted time to first token and recomputed work."""
 
     def __init__(self, parts: ChooserParts) -> None:
         self.parts = parts
@@ -102,11 +102,11 @@
         self.predictor = predict.Predictor(
             parts.loads, parts.own_runs, self.prefixes, self.rates
         )
-        self.sent: dict[str, Sent] = {}
-        self.boots: dict[str, str] = {}
-        self.serving = candidates.Serving(self.forget_gone)
-        self.troubles = endpoint_backoff.Troubles(parts.clock)
-        self.turn = 0
+        self.observed_runs: dict[str, ObservedRun] = {}
+        self.boot_ids: dict[str, str] = {}
+        self.engines_by_model = candidates.EnginesByModel(self.forget_removed)
+        self.backoffs = endpoint_backoff.EndpointBackoffs(parts.clock)
+        self.round_robin_index = 0
         self.lock = threading.Lock()
 
     def choose_engine(
@@ -116,18 +116,18 @@
         view = self.parts.view()
         model = view.models.get(query.model)
         if model is None:
-            # It was configured when the request came, and waited since.
+            # The model was removed while the request waited.
             return no_choice(f"{query.model} is not configured any more")
-        found = self.eligible(view, query) or self.eligible(
+        eligible = self.eligible(view, query) or self.eligible(
             view, query.with_refused()
         )
-        if found is None:
+        if eligible is None:
             version = query.version or model.version
             return no_choice(f"no endpoint serves {query.model} {version}")
-        offer, names = found
+        offer, names = eligible
         prompt = self.prompt_of(query, offer)
         if view.routing.strategy == "round-robin":
-            names = [self.next_in_turn(names)]
+            names = [self.next_round_robin(names)]
         predictions = [
             self.predictor.predict(prompt, name)
             for name in candidates.pick(
@@ -152,7 +152,7 @@
             wait_s=best.wait_s,
             prompt_tokens=prompt.tokens,
             keys=prompt.keys,
-            have=best.have,
+            cached_pieces=best.cached_pieces,
             recompute_pieces=best.recompute_pieces,
             plan=best.plan,
         )
@@ -160,7 +160,7 @@
     def eligible(
         self, view: schema.View, query: state.PromptQuery
     ) -> tuple[orders.Offer, list[str]] | None:
-        """Return the best offer that has engines, and these."""
+        """Return the best offer that has engines, and these engines."""
         for offer in self.offers(query):
             names = self.engines(view, query, offer)
             if names:
@@ -170,16 +170,16 @@
     def offers(
         self, query: state.PromptQuery
     ) -> typing.Sequence[orders.Offer]:
-        """Return what a prompt may name, best first."""
+        """Return the offers that a prompt may use, best first."""
         if query.version:
             return (orders.Offer(query.version, query.adapter),)
-        return self.parts.offers(query.model, candidates.session_of(query))
+        return self.parts.offers(query.model, candidates.session_key(query))
 
-    def next_in_turn(self, names: list[str]) -> str:
-        """Return the next of the engines, one after the other."""
+    def next_round_robin(self, names: list[str]) -> str:
+        """Return the next engine in round-robin order."""
         with self.lock:
-            self.turn += 1
-            return sorted(names)[self.turn % len(names)]
+            self.round_robin_index += 1
+            return sorted(names)[self.round_robin_index % len(names)]
 
     def engines(
         self, view: schema.View, query: state.PromptQuery, offer: orders.Offer
@@ -188,12 +188,12 @@
         barred = self.parts.leaving() | query.excluded
         names = [
             name
-            for name in self.serving.names(view, query.model)
+            for name in self.engines_by_model.names(view, query.model)
             if name not in barred
             and query.required_endpoint in ("", name)
             and self.parts.serves(name, query.model, offer)
         ]
-        return self.parts.loads.reporting(self.troubles.avoid(names))
+        return self.parts.loads.reporting(self.backoffs.available(names))
 
     def least_loaded(self, query: state.PromptQuery) -> list[str]:
         """Return the engines that may run a prompt, the least loaded first."""
@@ -208,7 +208,7 @@
     def prompt_of(
         self, query: state.PromptQuery, offer: orders.Offer
     ) -> predict.Prompt:
-        """Return what predictions need of a prompt."""
+        """Return the properties of a prompt that predictions need."""
         salt = self.parts.kept.engine_salt(query.organisation, offer.adapter)
         keys = tuple(
             prefix_module.key_of(
@@ -216,7 +216,7 @@
             )
             for digest in query.chain
         )
-        kept = self.parts.kept.plan(
+        kept_plan = self.parts.kept.plan(
             query.organisation,
             query.model,
             offer.adapter,
@@ -225,28 +225,30 @@
             0,
             query.session,
         )
-        return predict.Prompt(query.model, keys, query.prompt_tokens, kept)
+        return predict.Prompt(
+            query.model, keys, query.prompt_tokens, kept_plan
+        )
 
     def score(
         self,
-        one: predict.Prediction,
+        prediction: predict.Prediction,
         query: state.PromptQuery,
         policy: values.RoutingPolicy,
     ) -> tuple[float, int]:
-        """Return how bad a prediction is, with affinity to break ties.
+        """Return the cost of a prediction, with affinity to break ties.
 
-        The weight moves between the two users' measures: 0 minds the time
-        to first token only, 1 the work recomputed as well as the time that
-        it costs others who wait for the same slots.
+        The policy's weight sets how much recomputed work counts: 0 takes
+        only the time to first token into account, 1 adds the whole time of
+        the recomputation, which other requests for the same slots wait for.
         """
         weight = policy.recompute_weight
-        cost = one.first_token_s + weight * one.recompute_s
-        return round(cost, 3), candidates.affinity(query, one.endpoint)
+        cost = prediction.first_token_s + weight * prediction.recompute_s
+        return round(cost, 3), candidates.affinity(query, prediction.endpoint)
 
     def choose_service(
         self, query: state.CallQuery
     ) -> state.Choice | state.NoChoice:
-        """Return the endpoint for a call: the one with least under way."""
+        """Return the endpoint for a call: the one with fewest active runs."""
         view = self.parts.view()
         barred = self.parts.leaving() | query.excluded
         names = [
@@ -260,7 +262,7 @@
         if not names:
             return no_choice(f"no endpoint serves {query.service}")
         name = min(
-            self.troubles.avoid(names),
+            self.backoffs.available(names),
             key=lambda one: (
                 self.predictor.busy(one),
                 candidates.tie_break(one),
@@ -269,132 +271,135 @@
         return state.Choice(name, view.endpoints[name].address)
 
     def has_room(self, choice: state.Choice, share: float) -> bool:
-        """Tell whether a choice's engine has a slot, or nearly.
+        """Return whether the chosen engine has room for another run.
 
         Parameters
         ----------
         choice
-            The engine.
+            The chosen engine.
         share
-            What may wait there, as a part of its slots.
+            Number of runs that may queue there, as a share of its slots.
         """
         slots = self.predictor.slots(choice.endpoint)
         free = self.predictor.slots_free(choice.endpoint)
         return free + int(slots * share) > 0
 
     def run_s(self, model: str) -> float:
-        """Return how long a run takes a slot, in seconds."""
+        """Return the time that a run occupies a slot, in seconds."""
         return self.rates.run_s(model)
 
     def slots(self, model: str) -> int:
         """Return the slots of all engines of a model, at least one."""
-        names = self.serving.names(self.parts.view(), model)
+        names = self.engines_by_model.names(self.parts.view(), model)
         return candidates.total_slots(names, self.predictor)
 
     def prepare(
         self, run_id: str, choice: state.Choice, max_s: float
     ) -> cache.Imported:
-        """Import what the choice's plan says, before the run is granted."""
+        """Import the blocks of the choice's plan before the run is granted."""
         if not choice.plan.blocks:
             return cache.Imported()
         imported = self.parts.kept.import_to(
             choice.address, choice.plan, max_s
         )
         with self.lock:
-            sent = self.sent.get(run_id)
-            if sent is not None:
-                sent.imported = imported.pieces
+            run = self.observed_runs.get(run_id)
+            if run is not None:
+                run.imported_pieces = imported.pieces
         return imported
 
     def record_start(self, run_id: str, choice: state.Choice) -> None:
-        """Count a run in."""
+        """Record the start of a run."""
         now = self.parts.clock()
         self.parts.own_runs.start(
             choice.endpoint,
             active_runs.Dispatch(run_id, now, choice.recompute_pieces),
         )
         with self.lock:
-            self.sent[run_id] = Sent(choice, now)
+            self.observed_runs[run_id] = ObservedRun(choice, now)
         load = self.parts.loads.get(choice.endpoint)
         if load is not None:
-            self.note_boot(choice.endpoint, load.boot_id)
-        # Counted from the grant on, so that the next request of the same
-        # session, a moment later, follows the first.
-        self.prefixes.use(
+            self.record_boot_id(choice.endpoint, load.boot_id)
+        # Recorded at the grant already, so that the next request of the same
+        # session is routed to the same engine.
+        self.prefixes.record_use(
             choice.endpoint, choice.keys, load.cache_pieces if load else None
         )
 
-    def forget_gone(self, view: schema.View) -> None:
-        """Drop what is known of endpoints that are not configured any more.
+    def forget_removed(self, view: schema.View) -> None:
+        """Drop the state of endpoints that are no longer configured.
 
-        Endpoints are replaced all day under new names; without this an
-        agent that lives long would remember all of them.
+        Endpoints are replaced under new names all the time, so the state of
+        a long-running agent would grow without bound.
         """
-        self.parts.own_runs.keep(view.endpoints)
-        for name in [one for one in self.boots if one not in view.endpoints]:
-            self.boots.pop(name, None)
+        self.parts.own_runs.keep_only(view.endpoints)
+        for name in [
+            one for one in self.boot_ids if one not in view.endpoints
+        ]:
+            self.boot_ids.pop(name, None)
             self.prefixes.forget(name)
 
-    def note_boot(self, endpoint: str, boot_id: str) -> None:
-        """Forget an engine's prefixes when it was started anew."""
-        if self.boots.get(endpoint, boot_id) != boot_id:
+    def record_boot_id(self, endpoint: str, boot_id: str) -> None:
+        """Drop an engine's prefixes if it has restarted."""
+        if self.boot_ids.get(endpoint, boot_id) != boot_id:
             self.prefixes.forget(endpoint)
-        self.boots[endpoint] = boot_id
+        self.boot_ids[endpoint] = boot_id
 
     def record_first_token(self, run_id: str, cached_tokens: int) -> None:
-        """Learn from a run's first token."""
+        """Record a run's first token and learn from it."""
         with self.lock:
-            sent = self.sent.get(run_id)
-            if sent is None or sent.first_seen:
+            run = self.observed_runs.get(run_id)
+            if run is None or run.has_first_token:
                 return
-            sent.first_seen = True
-        choice = sent.choice
-        self.troubles.worked(choice.endpoint)
+            run.has_first_token = True
+        choice = run.choice
+        self.backoffs.record_success(choice.endpoint)
         cached = cached_tokens // pieces.PIECE_TOKENS
-        if cached < choice.have + sent.imported:
-            # The engine had evicted what was thought to be there; it has
-            # computed it anew by now, so nothing is dropped but the belief
-            # that its memory is as large as reported.
-            self.prefixes.use(choice.endpoint, choice.keys, None)
-        if choice.wait_s == 0.0 and not sent.imported:
-            left_tokens = choice.prompt_tokens - cached_tokens
-            took_s = self.parts.clock() - sent.at
-            left = left_tokens / pieces.PIECE_TOKENS
-            self.rates.learn_prefill(choice.model, took_s, left)
+        if cached < choice.cached_pieces + run.imported_pieces:
+            # The engine had evicted some of the expected pieces.  The run
+            # has computed them again, so that all of them are present.
+            self.prefixes.record_use(choice.endpoint, choice.keys, None)
+        if choice.wait_s == 0.0 and not run.imported_pieces:
+            computed_tokens = choice.prompt_tokens - cached_tokens
+            took_s = self.parts.clock() - run.started_at
+            computed_pieces = computed_tokens / pieces.PIECE_TOKENS
+            self.rates.add_prefill(choice.model, took_s, computed_pieces)
 
     def record_end(
         self, run_id: str, complete: bool, failed: bool = False
     ) -> None:
-        """Count a run out and learn how long it took.
+        """Record the end of a run and learn its duration.
 
         Parameters
         ----------
         run_id
-            The run.
+            Id of the run.
         complete
-            Whether it gave its whole answer.
+            Whether the run gave its complete answer.
         failed
-            Whether its endpoint failed it before it gave anything.
+            Whether its endpoint failed before any output.
         """
         now = self.parts.clock()
         with self.lock:
-            sent = self.sent.pop(run_id, None)
-        if sent is None:
+            run = self.observed_runs.pop(run_id, None)
+        if run is None:
             return
-        choice = sent.choice
+        choice = run.choice
         self.parts.own_runs.end(choice.endpoint, run_id, now)
         if failed:
-            self.troubles.failed(choice.endpoint)
+            self.backoffs.record_failure(choice.endpoint)
         elif complete:
-            self.troubles.worked(choice.endpoint)
+            self.backoffs.record_success(choice.endpoint)
         if complete and choice.model:
-            took_s = max(now - sent.at - choice.wait_s, 0.001)
-            self.rates.learn_run(choice.model, took_s)
-        elif not sent.first_seen:
-            # It never got to compute anything there.
-            self.prefixes.truncate(choice.endpoint, choice.keys, choice.have)
+            took_s = max(now - run.started_at - choice.wait_s, 0.001)
+            self.rates.add_run(choice.model, took_s)
+        elif not run.has_first_token:
+            # The run computed nothing, so its new pieces are not there.
+            self.prefixes.truncate(
+                choice.endpoint, choice.keys, choice.cached_pieces
+            )
 
 
 def no_choice(detail: str) -> state.NoChoice:
-    """Return the outcome when nothing can take a request."""
+    """Return the result for a request that no endpoint can take."""
     return state.NoChoice(detail, RETRY_AFTER_S)
--- a/src/briarseam/routing/state.py
+++ b/src/briarseam/routing/state.py
@@ -1,4 +1,4 @@
-"""What routing is asked and what it answers."""
+"""Queries to routing and their results."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
     Attributes
     ----------
     organisation, session, model
-        Whose prompt, of which session, for which model.
+        Organisation and session of the prompt, and the model it is for.
     chain
-        Plain chain digests of the prompt's whole pieces.
+        Unsalted chain digests of the prompt's complete pieces.
     prompt_tokens
-        Length of the prompt.
+        Length of the prompt, in tokens.
     version
         Weight version the run must use; empty for any that is served.
     adapter
         Adapter of a run that must use ``version``.
     excluded
-        Endpoints that must not get it.
+        Endpoints that must not get the prompt.
     refused
         Those of ``excluded`` that may get it if there is no other.
     required_endpoint
-        The one endpoint that may get it; empty for any.
+        The one endpoint that may get the prompt; empty for any.
     """
 
     organisation: str
@@ -43,13 +43,13 @@
     required_endpoint: str = ""
 
     def with_refused(self) -> PromptQuery:
-        """Return the same with the endpoints that refused it let in again.
+        """Return the query with the endpoints that refused it allowed again.
 
-        Guard: in a rollout a prompt is refused by each engine that is just
-        changing its weights.  Were these excluded for good, the prompt would
-        be told that there is no endpoint once they are the first with the
-        new weights.  An engine that was lost stays excluded, and each try
-        counts against the budget of retries.
+        Guard: during a rollout each engine that is changing its weights
+        refuses the prompt.  If these engines stayed excluded, the prompt
+        would get "no endpoint" although they are the first to serve the new
+        weights.  Lost engines stay excluded, and each attempt counts against
+        the retry budget.
         """
         return dataclasses.replace(self, excluded=self.excluded - self.refused)
 
@@ -61,9 +61,9 @@
     Attributes
     ----------
     organisation, service
-        Who calls what.
+        Organisation of the caller and name of the service.
     excluded
-        Endpoints that must not get it.
+        Endpoints that must not get the call.
     """
 
     organisation: str
@@ -73,28 +73,28 @@
 
 @dataclasses.dataclass(frozen=True)
 class Choice:
-    """The endpoint to use.
+    """The endpoint that a request is routed to.
 
     Attributes
     ----------
     endpoint, address
-        Which one, and where.
+        Name and address of the endpoint.
     model, version, adapter
-        What the run uses there; empty for service calls.
+        What the run uses; empty for service calls.
     first_token_s
-        Predicted time to first token.
+        Predicted time to first token, in seconds.
     wait_s
-        Of it, time until a slot is free.
+        Part of ``first_token_s`` until a slot is free, in seconds.
     prompt_tokens
-        Length of the prompt.
+        Length of the prompt, in tokens.
     keys
-        Names of the prompt's whole pieces at the engine.
-    have
-        Leading pieces it probably has.
+        Prefix keys of the prompt's complete pieces at the engine.
+    cached_pieces
+        Leading pieces that the engine probably has.
     recompute_pieces
-        Pieces it is expected to compute.
+        Pieces that the engine is expected to compute.
     plan
-        What is worth importing first.
+        Blocks that are worth importing before the run.
     """
 
     endpoint: str
@@ -106,21 +106,21 @@
     wait_s: float = 0.0
     prompt_tokens: int = 0
     keys: tuple[bytes, ...] = ()
-    have: int = 0
+    cached_pieces: int = 0
     recompute_pieces: float = 0.0
     plan: cache.Plan = cache.Plan()
 
 
 @dataclasses.dataclass(frozen=True)
 class NoChoice:
-    """No endpoint can take it.
+    """No endpoint can take the request.
 
     Attributes
     ----------
     detail
-        One sentence.
+        Reason, in one sentence.
     retry_after_s
-        When one may.
+        Seconds until an endpoint may be available.
     """
 
     detail: str
--- a/tests/matrix/test_kept_cache.py
+++ b/tests/matrix/test_kept_cache.py
@@ -43,7 +43,7 @@
 def prefixes(running):
     placer = running.instances[0].agent.serving.placer
     known = placer.parts.chooser.prefixes
-    return sum(len(one.order) for one in known.engines.values())
+    return sum(len(one.last_used) for one in known.engines.values())
 
 
 def ask(running, prompt, organisation="north", **changes):
--- a/tests/routing/conftest.py
+++ b/tests/routing/conftest.py
@@ -16,7 +16,7 @@
 
 
 class Clock:
-    """Seconds that pass when a test says so."""
+    """A clock that a test sets."""
 
     def __init__(self):
         self.now = 1000.0
@@ -25,7 +25,7 @@
         return self.now
 
 
-class NothingKept:
+class FakeKeptCache:
     """A kept cache that is empty, or offers one plan."""
 
     def __init__(self):
@@ -43,11 +43,11 @@
 
 @dataclasses.dataclass
 class Bench:
-    """A chooser over made-up engines."""
+    """A chooser with fake engines."""
 
     view: schema.View
     clock: Clock
-    kept: NothingKept
+    kept: FakeKeptCache
     loads: loads.Loads
     chooser: service.Chooser
     leaving: set
@@ -86,9 +86,9 @@
     clock = Clock()
     own_runs = active_runs.ActiveRuns()
     known = loads.Loads(
-        lambda: view, "me", lambda: ["me"], own_runs.counts, clock
+        lambda: view, "local", lambda: ["local"], own_runs.counts, clock
     )
-    kept = NothingKept()
+    kept = FakeKeptCache()
     leaving = set()
     parts = service.ChooserParts(
         view=lambda: view,
--- a/tests/routing/test_failures.py
+++ b/tests/routing/test_failures.py
@@ -20,10 +20,9 @@
     return choice.endpoint
 
 
-def test_an_engine_that_refuses_everything_is_left_alone(bench):
-    """One engine answers 503 at once, so it never has anything to do and
-    looks like the best choice.  Callers see each of their requests lose
-    its first try there, as long as it lasts.
+def test_engine_that_refuses_everything_is_in_backoff(bench):
+    """An engine that answers 503 at once is never busy and looks like the
+    best choice, so each request would lose its first attempt there.
     """
     for name in bench.view.endpoints:
         bench.report(name, busy=0 if name == "engine-2" else 8)
@@ -32,9 +31,9 @@
     assert "engine-2" not in chosen
 
 
-def test_an_engine_is_tried_again_and_for_longer_left_alone(bench):
-    """The engine recovers after a restart.  It must get work again without
-    an operator; while it does not, each try costs a caller a detour.
+def test_engine_is_tried_again_after_a_growing_backoff(bench):
+    """An engine that recovers must get work again without an operator; as
+    long as it fails, each attempt there costs a request a retry.
     """
     for name in bench.view.endpoints:
         bench.report(name, busy=0 if name == "engine-2" else 8)
@@ -45,23 +44,23 @@
     assert serve(bench, "three") != "engine-2"
     bench.clock.now += endpoint_backoff.FIRST_S
     assert serve(bench, "four") == "engine-2"
-    assert not bench.chooser.troubles.by_endpoint
+    assert not bench.chooser.backoffs.by_endpoint
 
 
-def test_engines_that_all_fail_are_all_tried(bench):
-    """Every engine has just failed a run.  Refusing callers without a try
-    would turn a hiccup into an outage.
+def test_all_engines_are_tried_when_all_are_in_backoff(bench):
+    """Every engine has just failed a run.  If requests were refused without
+    an attempt, a short fault would become an outage.
     """
     for name in bench.view.endpoints:
-        bench.chooser.troubles.failed(name)
+        bench.chooser.backoffs.record_failure(name)
     choice = bench.chooser.choose_engine(conftest.prompt_query())
     assert isinstance(choice, state.Choice)
 
 
-def test_a_frozen_engine_gets_no_new_work(bench):
-    """An engine's process is stopped: it takes connections and answers
-    nothing.  Its last report was of an idle engine, the others are busy;
-    callers sent there would wait until a timeout.
+def test_frozen_engine_gets_no_new_runs(bench):
+    """A stopped process accepts connections and answers nothing.  Its last
+    report shows an idle engine while the others are busy; requests sent
+    there would wait for a timeout.
     """
     for name in bench.view.endpoints:
         frozen = name == "engine-1"
@@ -71,9 +70,9 @@
     assert "engine-1" not in chosen
 
 
-def test_when_all_reports_stop_engines_are_still_used(bench):
-    """The agent that polls most engines dies.  Their loads go silent
-    although nothing is wrong with them; callers must still be served.
+def test_engines_are_used_when_most_reports_stop(bench):
+    """The agent that polls most engines fails.  Their reports stop although
+    the engines work, and requests must still be served.
     """
     for name in bench.view.endpoints:
         age_s = 0.5 if name == "engine-1" else loads.SILENT_AFTER_S + 1
@@ -83,22 +82,22 @@
     assert len(bench.chooser.engines(bench.view, prompt_query, offer)) == 4
 
 
-def test_a_model_that_is_gone_is_refused_and_not_an_error(bench):
-    """An operator removes a model while a caller of it waits for a slot.
-    The caller gets a refusal; it used to get nothing, as the error ended
-    the thread that serves all who wait.
+def test_prompt_for_a_removed_model_is_refused(bench):
+    """An operator removes a model while a prompt for it waits for a slot.
+    An exception would end the dispatcher thread, which serves all waiting
+    prompts.
     """
     empty = dataclasses.replace(bench.view, models={})
     bench.chooser.parts = dataclasses.replace(
         bench.chooser.parts, view=lambda: empty
     )
-    found = bench.chooser.choose_engine(conftest.prompt_query())
-    assert isinstance(found, state.NoChoice)
+    choice = bench.chooser.choose_engine(conftest.prompt_query())
+    assert isinstance(choice, state.NoChoice)
 
 
-def test_a_failing_service_is_left_alone(bench):
-    """A plain service closes every connection at once, so it always has
-    the least under way and draws all calls.
+def test_failing_service_is_in_backoff(bench):
+    """A plain service that closes every connection at once always has the
+    fewest active calls, so all calls would be routed to it.
     """
     services = {
         name: values.Endpoint(
@@ -113,7 +112,7 @@
     bench.chooser.parts = dataclasses.replace(
         bench.chooser.parts, view=lambda: view
     )
-    bench.chooser.troubles.failed("one")
+    bench.chooser.backoffs.record_failure("one")
     call_query = state.CallQuery("north", "portal")
     chosen = {
         bench.chooser.choose_service(call_query).endpoint for _ in range(20)
@@ -121,48 +120,50 @@
     assert chosen == {"two"}
 
 
-def test_memory_of_prefixes_is_bounded_over_all_engines(monkeypatch):
+def test_number_of_prefixes_is_bounded_over_all_engines(monkeypatch):
     """Engines report caches of hundreds of thousands of pieces.  An agent
-    that believed them all would outgrow its instance.
+    that stored all of their prefixes would exhaust its instance's memory.
     """
     monkeypatch.setattr(prefixes, "MAX_PIECES", 60)
     known = prefixes.Prefixes()
     for engine in range(6):
         keys = [bytes([engine, number]) for number in range(100)]
-        known.use(f"engine-{engine}", keys, 10**6)
+        known.record_use(f"engine-{engine}", keys, 10**6)
     for engine in range(6):
-        known.use(f"engine-{engine}", [bytes([engine, 200])], 10**6)
-    held = sum(len(one.order) for one in known.engines.values())
-    assert held <= 60
+        known.record_use(f"engine-{engine}", [bytes([engine, 200])], 10**6)
+    count = sum(len(one.last_used) for one in known.engines.values())
+    assert count <= 60
 
 
-def test_replaced_endpoints_are_not_remembered(bench):
-    """Endpoints are replaced all day under new names.  An agent that lives
-    for weeks must not keep something of each it ever used.
+def test_state_of_removed_endpoints_is_dropped(bench):
+    """Endpoints are replaced under new names all the time.  A long-running
+    agent must not keep state for each endpoint that it ever used.
     """
     for name in bench.view.endpoints:
         bench.report(name, busy=0)
     for number in range(8):
         serve(bench, f"s-{number}")
-    kept = {"engine-0": bench.view.endpoints["engine-0"]}
-    smaller = dataclasses.replace(bench.view, endpoints=kept)
+    remaining = {"engine-0": bench.view.endpoints["engine-0"]}
+    smaller = dataclasses.replace(bench.view, endpoints=remaining)
     bench.chooser.parts = dataclasses.replace(
         bench.chooser.parts, view=lambda: smaller
     )
     bench.loads.view = lambda: smaller
-    bench.loads.forget_gone()
+    bench.loads.forget_removed()
     serve(bench, "later")
     assert set(bench.chooser.parts.own_runs.endpoints) == {"engine-0"}
     assert set(bench.chooser.prefixes.engines) == {"engine-0"}
-    assert set(bench.loads.known) == set(bench.chooser.boots) == {"engine-0"}
+    assert (
+        set(bench.loads.known) == set(bench.chooser.boot_ids) == {"engine-0"}
+    )
 
 
-def test_replaced_agents_are_not_remembered(bench):
-    """Instances are replaced all day; what they told of their runs is of
-    no use a few seconds later.
+def test_runs_of_removed_agents_are_dropped(bench):
+    """Instances are replaced all the time; the runs that they published
+    expire after a few seconds.
     """
     section = bench.loads.provide()
     bench.loads.consume("old", section)
     bench.clock.now += loads.FORGET_AFTER_S + 1
     bench.loads.consume("new", section)
-    assert set(bench.loads.others_runs) == {"new"}
+    assert set(bench.loads.peer_runs) == {"new"}
--- a/tests/routing/test_loads.py
+++ b/tests/routing/test_loads.py
@@ -1,4 +1,4 @@
-"""Which agent polls which engine."""
+"""Assignment of engines to polling agents, and the published loads."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
     )
 
 
-def loads_of(me: str, deployment: Deployment) -> loads.Loads:
+def loads_of(own_name: str, deployment: Deployment) -> loads.Loads:
     return loads.Loads(
         lambda: deployment.view,
-        me,
+        own_name,
         lambda: deployment.members,
         lambda: deployment.runs,
         lambda: deployment.now,
@@ -42,46 +42,49 @@
 
 def test_each_engine_is_polled_by_one_member() -> None:
     deployment = Deployment(view_of(30))
-    shares = [loads_of(me, deployment).wanted() for me in MEMBERS]
+    shares = [loads_of(name, deployment).assigned() for name in MEMBERS]
     assert sum(map(len, shares)) == 30
     assert set().union(*shares) == set(deployment.view.endpoints)
 
 
-def test_shares_follow_members_and_endpoints() -> None:
-    # An agent dies and its engines are polled by nobody: their loads age
-    # out and requests go there blindly.  Shares are kept while nothing
-    # changes, so each change must be seen.
+def test_assignment_follows_members_and_endpoints() -> None:
+    # The engines of a failed agent must be polled by others; otherwise their
+    # loads expire and requests are routed without them.  The assignment is
+    # cached, so each change must be noticed.
     deployment = Deployment(view_of(30))
-    mine = loads_of("a", deployment)
-    before = mine.wanted()
+    local = loads_of("a", deployment)
+    before = local.assigned()
     deployment.members = ("a",)
-    assert set(mine.wanted()) == set(deployment.view.endpoints)
+    assert set(local.assigned()) == set(deployment.view.endpoints)
     deployment.view = view_of(31)
-    assert len(mine.wanted()) == 31
+    assert len(local.assigned()) == 31
     deployment.members = MEMBERS
     deployment.view = view_of(30)
-    assert mine.wanted() == before
+    assert local.assigned() == before
 
 
-def test_shares_are_not_worked_out_anew_while_nothing_changes() -> None:
-    # At 4,000 engines ranking all over a cell's members, twice a second,
-    # took an eighth of a core.
-    mine = loads_of("a", Deployment(view_of(30)))
-    assert mine.wanted() is mine.wanted()
+def test_assignment_is_cached_while_nothing_changes() -> None:
+    # Ranking 4,000 engines over a cell's members twice a second takes an
+    # eighth of a core.
+    local = loads_of("a", Deployment(view_of(30)))
+    assert local.assigned() is local.assigned()
 
 
-def test_runs_are_told_only_of_engines_that_do_not_report() -> None:
-    # Counts of 815 runs over 138 engines, told to 31 members each second,
-    # took eight times what control may use of the network.  An engine that
-    # falls silent must still not look idle to the others: its runs are
-    # told before its last report is forgotten.
+def test_runs_are_published_only_for_engines_that_do_not_report() -> None:
+    # Counts of 815 runs over 138 engines, sent to 31 members each second,
+    # take eight times the bandwidth that control traffic may use.  An engine
+    # that falls silent must not look idle to the other agents: its runs are
+    # published before its last report expires.
     deployment = Deployment(view_of(2), runs={"engine-0": 5, "engine-1": 7})
-    mine, other = loads_of("a", deployment), loads_of("b", deployment)
-    mine.known["engine-0"] = loads.Load(9, 8, 0, 100.0, "boot", True)
-    other.consume("a", mine.provide())
-    assert (other.others("engine-0"), other.others("engine-1")) == (0, 7)
+    local, peer = loads_of("a", deployment), loads_of("b", deployment)
+    local.known["engine-0"] = loads.Load(9, 8, 0, 100.0, "boot", True)
+    peer.consume("a", local.provide())
+    assert (
+        peer.peer_run_count("engine-0"),
+        peer.peer_run_count("engine-1"),
+    ) == (0, 7)
 
     deployment.now += loads.SILENT_AFTER_S + 0.1
-    other.consume("a", mine.provide())
-    assert other.get("engine-0") is not None
-    assert other.others("engine-0") == 5
+    peer.consume("a", local.provide())
+    assert peer.get("engine-0") is not None
+    assert peer.peer_run_count("engine-0") == 5
--- a/tests/routing/test_service.py
+++ b/tests/routing/test_service.py
@@ -16,10 +16,10 @@
     return choice
 
 
-def test_a_burst_between_two_reports_spreads_over_the_engines(bench):
-    """Load reports lag by half a second.  Sixteen requests of sixteen
-    sessions come within that time; without counting one's own dispatches
-    all of them would follow the one idle-looking report to one engine.
+def test_burst_between_two_reports_spreads_over_the_engines(bench):
+    """Load reports lag by half a second.  If the agent didn't count its own
+    runs, all requests within that time would go to the engine that looked
+    idle in the last report.
     """
     for name in bench.view.endpoints:
         bench.report(name, busy=0, slots=4)
@@ -33,9 +33,9 @@
     assert max(counts.values()) <= 4, counts
 
 
-def test_a_returning_session_goes_where_its_prefix_is(bench):
-    """A caller sends its long prompt again a moment later.  The engine
-    that has just computed it needs nothing but the last part piece.
+def test_returning_session_goes_to_the_engine_with_its_prefix(bench):
+    """A long prompt is sent again.  The engine that has just computed it
+    needs to compute the last incomplete piece only.
     """
     first = send(bench, conftest.prompt_query(), "one")
     bench.chooser.record_end("one", complete=True)
@@ -44,9 +44,9 @@
     assert again.recompute_pieces == 0
 
 
-def test_a_full_engine_is_left_although_it_has_the_prefix(bench):
-    """The engine with the prefix has a queue many times longer than the
-    prefill would take elsewhere; the caller must not wait behind it.
+def test_full_engine_is_avoided_although_it_has_the_prefix(bench):
+    """The wait at the engine with the prefix is many times longer than the
+    prefill elsewhere.
     """
     first = send(bench, conftest.prompt_query(), "one")
     bench.chooser.record_end("one", complete=True)
@@ -57,29 +57,29 @@
     assert again.endpoint != first.endpoint
 
 
-def test_other_organisations_do_not_share_prefixes(bench):
-    """Two organisations send the same text.  Engines salt their caches,
-    so the second gains nothing from the first's run.
+def test_organisations_do_not_share_prefixes(bench):
+    """Two organisations send the same text.  Engines salt their caches, so
+    the prefix of the one is of no use to the other.
     """
     send(bench, conftest.prompt_query(), "one")
     other = bench.chooser.choose_engine(
         conftest.prompt_query(organisation="south")
     )
-    assert other.have == 0
+    assert other.cached_pieces == 0
 
 
-def test_a_new_version_does_not_count_old_prefixes(bench):
-    """A prompt returns after its model's weights were swapped; what the
-    engine computed under the old version is of no use.
+def test_new_weight_version_does_not_match_old_prefixes(bench):
+    """A prompt returns after its model's weights were changed; prefixes that
+    the engine computed with the old version are of no use.
     """
     send(bench, conftest.prompt_query(), "one")
     other = bench.chooser.choose_engine(conftest.prompt_query(version="v2"))
-    assert other.have == 0
+    assert other.cached_pieces == 0
 
 
-def test_leaving_and_excluded_endpoints_get_nothing(bench):
-    """Three engines leave or were lost while running this request; the
-    fourth gets it, and without that one the refusal says when to return.
+def test_leaving_and_excluded_endpoints_get_no_runs(bench):
+    """Two engines are leaving and one was lost with this request.  The fourth
+    gets it; if that one leaves, too, the refusal says when to retry.
     """
     bench.leaving.update({"engine-0", "engine-1"})
     prompt_query = conftest.prompt_query(excluded=frozenset({"engine-2"}))
@@ -90,21 +90,23 @@
     assert refused.retry_after_s > 0
 
 
-def test_an_engine_that_was_started_anew_has_no_prefixes(bench):
-    """An engine crashes and comes back under the same address with an
-    empty cache; its new boot id says so.
+def test_restarted_engine_has_no_prefixes(bench):
+    """An engine crashes and restarts at the same address with an empty cache
+    and a new boot id.
     """
     first = send(bench, conftest.prompt_query(), "one")
     bench.report(first.endpoint, busy=0, boot="one")
     send(bench, conftest.prompt_query(), "two")
     bench.report(first.endpoint, busy=0, boot="other")
-    bench.chooser.note_boot(first.endpoint, "other")
-    have = bench.chooser.predictor.prefixes.leading(first.endpoint, first.keys)
-    assert have == 0
+    bench.chooser.record_boot_id(first.endpoint, "other")
+    cached_pieces = bench.chooser.predictor.prefixes.count_leading(
+        first.endpoint, first.keys
+    )
+    assert cached_pieces == 0
 
 
 def planned(seconds):
-    """Return a plan of four blocks that each take so long."""
+    """Return a plan of four blocks with this import time each."""
     block = cache.Block(b"n" * 60, 1000, b"c" * 16, "store", "boot")
     blocks = tuple(
         cache.Planned(bytes([number]) * 16, block) for number in range(4)
@@ -120,9 +122,11 @@
         pytest.param(2.0, 0, id="slow-link"),
     ],
 )
-def test_import_or_recompute_goes_by_time(bench, seconds, imported):
-    """A prompt's blocks are kept, but the link may have slowed to a
-    tenth.  Presence alone would make the caller wait for the link.
+def test_blocks_are_imported_only_where_that_is_faster(
+    bench, seconds, imported
+):
+    """A prompt's blocks are kept, but the link may be slow.  If all kept
+    blocks were imported, the request would wait for the link.
     """
     bench.kept.offered = planned(seconds)
     choice = bench.chooser.choose_engine(conftest.prompt_query())
@@ -130,9 +134,9 @@
     assert choice.recompute_pieces == 4 - imported
 
 
-def test_the_choice_costs_the_same_with_many_engines(bench):
-    """A cell at the design size has 139 engines; predictions are made for
-    a few of them only.
+def test_number_of_predictions_is_bounded(bench):
+    """A cell at the design size has 139 engines; predictions are made for a
+    few of them only.
     """
     engines = {
         f"engine-{number}": dataclasses.replace(
@@ -142,20 +146,20 @@
     }
     bench.view.endpoints.clear()
     bench.view.endpoints.update(engines)
-    seen = []
+    predicted = []
     predict = bench.chooser.predictor.predict
     bench.chooser.predictor.predict = lambda prompt, name: (
-        seen.append(name) or predict(prompt, name)
+        predicted.append(name) or predict(prompt, name)
     )
     bench.chooser.choose_engine(conftest.prompt_query())
-    assert len(seen) <= 2 * bench.view.routing.candidates
+    assert len(predicted) <= 2 * bench.view.routing.candidates
 
 
-def test_what_an_engine_may_have_evicted_is_imported_all_the_same(bench):
-    """A session returns after other prompts have filled most of its
-    engine's memory.  The engine evicted it a moment ago and its event is
-    not there yet; trusted, the caller would wait for the whole prompt to
-    be computed although the stores have it.
+def test_pieces_that_may_have_been_evicted_are_imported(bench):
+    """A session returns after other prompts have filled most of its engine's
+    memory.  The engine has evicted the session's pieces, but its event has
+    not arrived yet; without the import the whole prompt would be computed
+    although the stores have it.
     """
     for name in bench.view.endpoints:
         if name != "engine-0":
@@ -163,13 +167,13 @@
     bench.report("engine-0", busy=0)
     send(bench, conftest.prompt_query("returns"), "one")
     bench.kept.offered = planned(0.01)
-    soon = bench.chooser.choose_engine(conftest.prompt_query("returns"))
-    assert not soon.plan.blocks
+    immediate = bench.chooser.choose_engine(conftest.prompt_query("returns"))
+    assert not immediate.plan.blocks
     for number in range(20):
         send(
             bench, conftest.prompt_query(f"other-{number}"), f"other-{number}"
         )
         bench.chooser.record_end(f"other-{number}", complete=True)
     later = bench.chooser.choose_engine(conftest.prompt_query("returns"))
-    assert later.have == 4
+    assert later.cached_pieces == 4
     assert len(later.plan.blocks) == 4
