--- a/src/briarseam/discovery/registry.py
+++ b/src/briarseam/discovery/registry.py
@@ -126,7 +126,7 @@
         """Note that the store is away: entries may lapse meanwhile."""
         self.away_until_s = self.clock() + LAPSE_HOLD_S
 
-    def take_all(
+    def apply_all(
         self, changes: collections.abc.Sequence[records.KeyedRecord]
     ) -> None:
         """Take in all entries; endpoints without one are gone."""
@@ -135,9 +135,9 @@
             missing = self.present.keys() - found
         for key in missing:
             self.remove(key)
-        self.take_changes(changes)
+        self.apply_changes(changes)
 
-    def take_changes(
+    def apply_changes(
         self, changes: collections.abc.Sequence[records.KeyedRecord]
     ) -> None:
         """Take in changed entries."""
--- a/src/briarseam/feeds/following.py
+++ b/src/briarseam/feeds/following.py
@@ -26,12 +26,12 @@
 class Listener(typing.Protocol):
     """Whatever a topic's content is for.  Called by one thread."""
 
-    def take_all(
+    def apply_all(
         self, changes: collections.abc.Sequence[records.KeyedRecord]
     ) -> None:
         """Take in the newest record of each key; others are no more."""
 
-    def take_changes(
+    def apply_changes(
         self, changes: collections.abc.Sequence[records.KeyedRecord]
     ) -> None:
         """Take in changes, maybe none, in order."""
@@ -119,7 +119,7 @@
         """Read what is new, or everything where records have expired."""
         if self.next is None:
             batch = self.store.newest(self.topic)
-            self.hand_on(self.listener.take_all, batch)
+            self.hand_on(self.listener.apply_all, batch)
             return
         try:
             batch = self.store.read_keyed(self.topic, self.next, self.wait())
@@ -133,7 +133,7 @@
             log.warning("records_expired", topic=self.topic, detail=str(error))
             self.next = None
             return
-        self.hand_on(self.listener.take_changes, batch)
+        self.hand_on(self.listener.apply_changes, batch)
 
     def wait(self) -> float:
         """Return the length of the next long poll, in seconds.
--- a/src/briarseam/peers/registrations.py
+++ b/src/briarseam/peers/registrations.py
@@ -179,7 +179,7 @@
         """Return the cell of an instance; its group's while not known."""
         return self.cells.get(name, group)
 
-    def take_all(
+    def apply_all(
         self, changes: collections.abc.Sequence[records.KeyedRecord]
     ) -> None:
         """Take in all registrations."""
@@ -187,7 +187,7 @@
         self.keep(self.changed({}, changes))
         self.known.set()
 
-    def take_changes(
+    def apply_changes(
         self, changes: collections.abc.Sequence[records.KeyedRecord]
     ) -> None:
         """Take in changed registrations."""
--- a/src/briarseam/routes/following.py
+++ b/src/briarseam/routes/following.py
@@ -78,13 +78,13 @@
         table = self.table
         return 0 if table is None else table.configuration.version
 
-    def take_all(
+    def apply_all(
         self, changes: collections.abc.Sequence[records.KeyedRecord]
     ) -> None:
         """Take in all documents."""
-        self.take_changes(changes)
+        self.apply_changes(changes)
 
-    def take_changes(
+    def apply_changes(
         self, changes: collections.abc.Sequence[records.KeyedRecord]
     ) -> None:
         """Take in changed documents."""
--- a/tests/discovery/test_foreign_entries.py
+++ b/tests/discovery/test_foreign_entries.py
@@ -90,15 +90,15 @@
     Entries behind it in the same read were never taken in: their endpoints
     got no requests, and those that were leaving got new ones.
     """
-    endpoints.take_all([change("a"), change("bad", value), change("b")])
+    endpoints.apply_all([change("a"), change("bad", value), change("b")])
     assert ids(endpoints) == ["a", "b"]
-    endpoints.take_changes(
+    endpoints.apply_changes(
         [change("worse", value), change("a", encoded(state="draining"))]
     )
     assert ids(endpoints) == ["b"]
 
 
-@pytest.mark.parametrize("take", ["take_all", "take_changes"])
+@pytest.mark.parametrize("take", ["apply_all", "apply_changes"])
 def test_entry_that_is_overwritten_by_a_bad_one_names_no_endpoint(
     endpoints, gone, take
 ):
@@ -107,7 +107,7 @@
     The endpoint stayed known as it was, so it got requests for as long as
     the bad entry stood.
     """
-    endpoints.take_all([change("a"), change("b")])
+    endpoints.apply_all([change("a"), change("b")])
     getattr(endpoints, take)([change("a", b"{}"), change("b")])
     assert ids(endpoints) == ["b"]
     assert gone == [frozenset({"a"})]
@@ -121,37 +121,37 @@
     Entries that lapse in an outage are held for seconds, since their
     endpoints write them again.  This one did not lapse: it says nothing.
     """
-    endpoints.take_all([change("a")])
+    endpoints.apply_all([change("a")])
     endpoints.store_lost()
-    endpoints.take_changes([change("a", b"{}")])
+    endpoints.apply_changes([change("a", b"{}")])
     assert ids(endpoints) == []
     assert gone == [frozenset({"a"})]
 
 
 def test_bad_entry_ends_the_hold_of_one_that_lapsed(endpoints, gone):
     """An entry lapses in an outage, and a bad one comes back in its place."""
-    endpoints.take_all([change("a")])
+    endpoints.apply_all([change("a")])
     endpoints.store_lost()
-    endpoints.take_changes([records.KeyedRecord("a", None)])
+    endpoints.apply_changes([records.KeyedRecord("a", None)])
     assert ids(endpoints) == ["a"]
-    endpoints.take_changes([change("a", b"{}")])
+    endpoints.apply_changes([change("a", b"{}")])
     assert ids(endpoints) == []
     assert gone == [frozenset({"a"})]
 
 
 def test_endpoint_is_known_again_by_its_next_good_entry(endpoints):
-    endpoints.take_all([change("a")])
-    endpoints.take_changes([change("a", b"{}"), change("a")])
+    endpoints.apply_all([change("a")])
+    endpoints.apply_changes([change("a", b"{}"), change("a")])
     assert ids(endpoints) == ["a"]
 
 
 def test_field_that_is_not_known_does_no_harm(endpoints):
-    endpoints.take_all([change("a", encoded(flavour={"of": ["pear"]}))])
+    endpoints.apply_all([change("a", encoded(flavour={"of": ["pear"]}))])
     assert ids(endpoints) == ["a"]
 
 
 def test_entry_of_a_service_that_nobody_asks_for_is_never_given(endpoints):
-    endpoints.take_all([change("a"), change("b", encoded(service="other"))])
+    endpoints.apply_all([change("a"), change("b", encoded(service="other"))])
     assert ids(endpoints) == ["a"]
     assert [item.id for item in endpoints.serving("other")] == ["b"]
 
@@ -170,10 +170,10 @@
     Requests name the endpoint they are meant for in a header, so each that
     was sent there ended as an error of ours.
     """
-    endpoints.take_all([change(key), change("a")])
+    endpoints.apply_all([change(key), change("a")])
     assert ids(endpoints) == ["a"]
 
 
 def test_spaces_around_an_address_do_not_make_it_another(endpoints):
-    endpoints.take_all([change("a", encoded(address=" 127.0.0.1:8080 "))])
+    endpoints.apply_all([change("a", encoded(address=" 127.0.0.1:8080 "))])
     assert [item.address for item in endpoints.all()] == [GOOD["address"]]
--- a/tests/feeds/made.py
+++ b/tests/feeds/made.py
@@ -73,12 +73,12 @@
         self.snapshots = 0
         self.losses = 0
 
-    def take_all(self, changes):
+    def apply_all(self, changes):
         self.snapshots += 1
         self.known = {}
-        self.take_changes(changes)
+        self.apply_changes(changes)
 
-    def take_changes(self, changes):
+    def apply_changes(self, changes):
         for change in changes:
             if change.value == b"poison":
                 raise ValueError("can't be taken in")
--- a/tests/peers/test_registrations.py
+++ b/tests/peers/test_registrations.py
@@ -140,7 +140,7 @@
 def test_instance_knows_its_cell_before_it_is_registered():
     """Another one's heartbeat comes first."""
     made = registrations.Registrations(None, TOPIC, me())
-    made.take_all([])
+    made.apply_all([])
     assert made.cell_of("one", "north") == "north"
     assert made.cell_of("never registered", "north") == "north"
 
@@ -155,7 +155,7 @@
         records.KeyedRecord(row.name, registrations.encode(row))
         for row in rows
     ]
-    made.take_all(changes)
+    made.apply_all(changes)
     seen = []
     decode = registrations.decode
 
@@ -164,7 +164,7 @@
         return decode(name, data)
 
     monkeypatch.setattr(registrations, "decode", watched)
-    made.take_all(changes)
+    made.apply_all(changes)
     assert seen == [2, 2]
 
 
@@ -199,14 +199,14 @@
     """
     made = registrations.Registrations(None, TOPIC, me())
     good = registrations.encode(me("two"))
-    made.take_all(
+    made.apply_all(
         [
             records.KeyedRecord("bad", value),
             records.KeyedRecord("two", good),
         ]
     )
     assert set(made.rows) == {"two"}
-    made.take_changes(
+    made.apply_changes(
         [
             records.KeyedRecord("two", value),
             records.KeyedRecord("three", good),
@@ -273,7 +273,7 @@
     Each read the topic, tried to write a secret, and read again.
     """
     rows = registrations.Registrations(None, TOPIC, me())
-    rows.take_all(())
+    rows.apply_all(())
     monkeypatch.setattr(registrations.random, "uniform", lambda a, b: 10.0)
     stopping = threading.Event()
     waiting_for = threading.Thread(
@@ -282,7 +282,7 @@
     waiting_for.start()
     waiting_for.join(0.1)
     assert waiting_for.is_alive()
-    rows.take_changes(
+    rows.apply_changes(
         (records.KeyedRecord(registrations.SECRET_KEY, b"made"),)
     )
     waiting_for.join(1.0)
--- a/tests/platform/restarted_engine.py
+++ b/tests/platform/restarted_engine.py
@@ -49,7 +49,7 @@
         self.node = compose.Node(system.settings())
         system.stack.callback(self.node.pool.keep_only, ())
         self.registry = self.node.feeds.registry
-        self.registry.take_all([self.entry()])
+        self.registry.apply_all([self.entry()])
 
     def entry(self, **changes: object) -> records.KeyedRecord:
         """Return the engine's entry as it would write it now."""
@@ -182,19 +182,19 @@
 
 
 def by_entry(case):
-    case.registry.take_changes([case.entry()])
+    case.registry.apply_changes([case.entry()])
 
 
 def by_newest_entries(case):
     """The changes between are no longer kept, so all is read anew."""
-    case.registry.take_all([case.entry()])
+    case.registry.apply_all([case.entry()])
 
 
 def by_entry_after_an_outage(case):
     """Its entry ran out while the store was away."""
     case.registry.store_lost()
-    case.registry.take_changes([records.KeyedRecord(NAME, None)])
-    case.registry.take_changes([case.entry()])
+    case.registry.apply_changes([records.KeyedRecord(NAME, None)])
+    case.registry.apply_changes([case.entry()])
 
 
 def by_report(case):
@@ -206,7 +206,7 @@
 def by_peer(case):
     """A peer that gives orders has seen it in a report."""
     peer = registries.EndpointRegistry(case.registry.decode, lambda ids: None)
-    peer.take_all([case.entry(born=OLD_BORN)])
+    peer.apply_all([case.entry(born=OLD_BORN)])
     seen = restarts.Restarts(peer)
     seen.take(starts.Start(NAME, NEW_BORN))
     case.node.restarts.consume("peer", seen.provide())
--- a/tests/platform/test_decoders.py
+++ b/tests/platform/test_decoders.py
@@ -140,7 +140,7 @@
     good = json.dumps(ENTRY).encode()
     changes = [records.KeyedRecord(f"good-{i}", good) for i in range(3)]
     changes.insert(place, records.KeyedRecord("other", data or None))
-    known.take_all(changes)
+    known.apply_all(changes)
     ids = {found.id for found in known.serving("portal")}
     assert ids - {"other"} == {"good-0", "good-1", "good-2"}
 
@@ -153,7 +153,7 @@
         documents.OperatorDocuments(), lambda found: None
     )
     newest = CONFIGURATION | {"version": decoding.MOST}
-    feed.take_changes(
+    feed.apply_changes(
         [
             records.KeyedRecord("version/m", goal or None),
             records.KeyedRecord("config", data or None),
--- a/tests/platform/test_restarted_endpoint.py
+++ b/tests/platform/test_restarted_endpoint.py
@@ -71,7 +71,7 @@
     about = restarted.THINGS[thing]
     about.note(case.node, restarted.NEW, case)
     case.node.forget_all_but(case.registry.ids())
-    case.registry.take_changes([case.entry()])
+    case.registry.apply_changes([case.entry()])
     assert about.knows(case.node, case.id())
 
 
--- a/tests/platform/test_restarted_endpoint_news.py
+++ b/tests/platform/test_restarted_endpoint_news.py
@@ -19,13 +19,13 @@
 
 
 def late_entry(case):
-    case.registry.take_changes(
+    case.registry.apply_changes(
         [case.entry(born=restarted.OLD_BORN, address="1.2.3.4:5")]
     )
 
 
 def late_newest_entries(case):
-    case.registry.take_all(
+    case.registry.apply_all(
         [case.entry(born=restarted.OLD_BORN, address="1.2.3.4:5")]
     )
 
@@ -72,8 +72,8 @@
     first start had written.
     """
     restarted.restart(case, "entry")
-    case.registry.take_changes([records.KeyedRecord(restarted.NAME, None)])
-    case.registry.take_changes([case.entry(born=restarted.OLD_BORN)])
+    case.registry.apply_changes([records.KeyedRecord(restarted.NAME, None)])
+    case.registry.apply_changes([case.entry(born=restarted.OLD_BORN)])
     assert case.registry.all() == []
 
 
@@ -86,7 +86,7 @@
     restarted.restart(case, way)
     (endpoint,) = case.registry.all()
     assert endpoint.versions == {systems.MODEL: 0}
-    case.registry.take_changes([case.entry()])
+    case.registry.apply_changes([case.entry()])
     (endpoint,) = case.registry.all()
     assert endpoint.versions == {systems.MODEL: 1}
 
@@ -103,7 +103,7 @@
     case.node.weights.known_weights.record_version(
         restarted.NEW, systems.MODEL, 7
     )
-    case.registry.take_changes([records.KeyedRecord(restarted.NAME, None)])
+    case.registry.apply_changes([records.KeyedRecord(restarted.NAME, None)])
     assert case.id() == restarted.NEW
     assert restarted.knows_weights(case.node, restarted.NEW)
 
@@ -115,8 +115,8 @@
     case.node.weights.known_weights.record_version(
         restarted.NEW, systems.MODEL, 7
     )
-    case.registry.take_changes([case.entry()])
-    case.registry.take_changes([records.KeyedRecord(restarted.NAME, None)])
+    case.registry.apply_changes([case.entry()])
+    case.registry.apply_changes([records.KeyedRecord(restarted.NAME, None)])
     assert case.registry.serving("engines") == []
     assert not restarted.knows_weights(case.node, restarted.NEW)
 
@@ -131,7 +131,7 @@
     case.node.weights.known_weights.record_version(
         restarted.NEW, systems.MODEL, 7
     )
-    case.registry.take_changes([records.KeyedRecord(restarted.NAME, b"{")])
+    case.registry.apply_changes([records.KeyedRecord(restarted.NAME, b"{")])
     assert case.registry.serving("engines") == []
     assert not restarted.knows_weights(case.node, restarted.NEW)
 
@@ -146,7 +146,7 @@
         restarted.OLD, systems.MODEL, 7
     )
     case.worker.born = None
-    case.registry.take_changes([case.entry(zone="hall-b")])
+    case.registry.apply_changes([case.entry(zone="hall-b")])
     assert case.id() == restarted.OLD
     assert case.registry.all()[0].zone == "hall-b"
     assert restarted.knows_weights(case.node, restarted.OLD)
--- a/tests/routes/test_following.py
+++ b/tests/routes/test_following.py
@@ -27,8 +27,8 @@
     """The newest records are read anew from a store that lags behind.  A
     route that was added would be refused with 404 again.
     """
-    feed.take_changes([change("config", version=9)])
-    feed.take_all([change("config", version=5)])
+    feed.apply_changes([change("config", version=9)])
+    feed.apply_all([change("config", version=5)])
     assert feed.current().configuration.version == 9
     assert [found.version for found in seen] == [9]
 
@@ -36,13 +36,13 @@
 def test_configuration_is_announced_before_it_is_in_force(feed, seen):
     in_force = []
     feed.on_change = lambda found: in_force.append(feed.current())
-    feed.take_changes([change("config", version=1)])
+    feed.apply_changes([change("config", version=1)])
     assert in_force == [None]
     assert feed.loaded.is_set()
 
 
 def test_wanted_weights_are_kept_by_model(feed):
-    feed.take_changes(
+    feed.apply_changes(
         [
             change("version/a", model="a", version=3),
             change("version/a", model="a", version=2),
@@ -54,8 +54,8 @@
 
 
 def test_unknown_documents_and_dropped_keys_change_nothing(feed):
-    feed.take_changes([change("config", version=1)])
-    feed.take_changes(
+    feed.apply_changes([change("config", version=1)])
+    feed.apply_changes(
         [records.KeyedRecord("config", None), change("other", x=1)]
     )
     feed.store_lost()
@@ -96,15 +96,15 @@
     The goal was not taken in, and requests went on to begin on weights
     that were no longer allowed.
     """
-    feed.take_changes([change("config", version=5)])
-    feed.take_changes(
+    feed.apply_changes([change("config", version=5)])
+    feed.apply_changes(
         [records.KeyedRecord(key, value), change("version/a", **GOAL)]
     )
     assert feed.current().configuration.version == 5
     assert {
         name: goal.version for name, goal in feed.goals.newest.items()
     } == {"a": 3}
-    feed.take_all(
+    feed.apply_all(
         [records.KeyedRecord(key, value), change("config", version=6)]
     )
     assert feed.current().configuration.version == 6
--- a/tests/routes/test_peer_configuration.py
+++ b/tests/routes/test_peer_configuration.py
@@ -50,7 +50,7 @@
 def write(made, version):
     """Let an instance read a version from the store."""
     data = json.dumps({"version": version}).encode()
-    made.feed.take_changes([records.KeyedRecord("config", data)])
+    made.feed.apply_changes([records.KeyedRecord("config", data)])
 
 
 def tell(made, peers, clock, name, version):
