--- a/src/briarseam/compose/node.py
+++ b/src/briarseam/compose/node.py
@@ -111,7 +111,7 @@
             self.store,
             self.feeds,
             self.instances,
-            engines.EngineClient(self.tally, self.restarts.take),
+            engines.EngineClient(self.tally, self.restarts.record),
             self.tally,
         )
         self.chooser = choosers.Chooser(
--- a/src/briarseam/compose/node_feeds.py
+++ b/src/briarseam/compose/node_feeds.py
@@ -132,7 +132,7 @@
         documents.OperatorDocuments(), on_configuration, tally
     )
     registry = registries.EndpointRegistry(
-        endpoints.decode_endpoint, on_gone, tally=tally
+        endpoints.decode_endpoint, on_gone, malformed_counter=tally
     )
     rows = registrations.Registrations(
         store,
--- a/src/briarseam/discovery/registry.py
+++ b/src/briarseam/discovery/registry.py
@@ -58,7 +58,7 @@
         is gone or has started again.
     clock
         Seconds.
-    tally
+    malformed_counter
         Notes malformed entries.
     """
 
@@ -67,15 +67,15 @@
         decode: Decode,
         on_gone: OnGone,
         clock: typing.Callable[[], float] = clocks.boot_clock,
-        tally: malformed.Tally | None = None,
+        malformed_counter: malformed.Tally | None = None,
     ) -> None:
-        self.tally = tally or malformed.Tally()
+        self.malformed_counter = malformed_counter or malformed.Tally()
         self.decode = decode
         self.on_gone = on_gone
         self.clock = clock
         self.present: dict[str, model.Endpoint] = {}
         self.lapsed: dict[str, Lapsed] = {}
-        self.away_until_s = float("-inf")
+        self.hold_lapsed_until_s = float("-inf")
         self.read_s = float("-inf")
         self.newest = starts.NewestStarts()
         # Names whose present start has not written an entry yet.
@@ -124,7 +124,7 @@
 
     def store_lost(self) -> None:
         """Note that the store is away: entries may lapse meanwhile."""
-        self.away_until_s = self.clock() + LAPSE_HOLD_S
+        self.hold_lapsed_until_s = self.clock() + LAPSE_HOLD_S
 
     def apply_all(
         self, changes: collections.abc.Sequence[records.KeyedRecord]
@@ -154,7 +154,7 @@
         try:
             endpoint = self.decode(key, data)
         except malformed.MalformedError as error:
-            self.tally.note(malformed.Kind.ENDPOINT, key, error)
+            self.malformed_counter.note(malformed.Kind.ENDPOINT, key, error)
             self.discard(key)
             return
         self.put(endpoint)
@@ -215,7 +215,7 @@
             )
         self.end(over)
 
-    def take_start(self, start: starts.Start) -> bool:
+    def apply_start(self, start: starts.Start) -> bool:
         """Take in a start before its entry comes; tell if it is new here."""
         with self.lock:
             if self.newest.current(start) != start:
@@ -264,7 +264,7 @@
             endpoint = self.present.pop(key, None)
             if endpoint is None:
                 return
-            held = now_s < self.away_until_s or key in self.awaited
+            held = now_s < self.hold_lapsed_until_s or key in self.awaited
             self.awaited.discard(key)
             if held:
                 self.lapsed[key] = Lapsed(endpoint, now_s + LAPSE_HOLD_S)
--- a/src/briarseam/discovery/restarts.py
+++ b/src/briarseam/discovery/restarts.py
@@ -65,9 +65,9 @@
         )
         self.lock = threading.Lock()
 
-    def take(self, start: starts.Start) -> None:
+    def record(self, start: starts.Start) -> None:
         """Take in a start that answered a call."""
-        if not self.registry.take_start(start):
+        if not self.registry.apply_start(start):
             return
         with self.lock:
             self.told.append(Told(start, self.clock() + TELL_S))
@@ -88,4 +88,4 @@
         """Take in the restarts that a peer has seen."""
         del member
         for name, born_ms in msgpack.unpackb(data):
-            self.registry.take_start(starts.Start(str(name), int(born_ms)))
+            self.registry.apply_start(starts.Start(str(name), int(born_ms)))
--- a/tests/discovery/test_registry.py
+++ b/tests/discovery/test_registry.py
@@ -134,7 +134,7 @@
     endpoints.apply_all([change("a@5", b"ready/7")])
     endpoints.store_lost()
     endpoints.apply_changes([change("a", None)])
-    assert endpoints.take_start(starts.Start("a", 6))
+    assert endpoints.apply_start(starts.Start("a", 6))
     (endpoint,) = endpoints.serving("portal")
     assert (endpoint.id, endpoint.versions) == ("a@6", {"m": 0})
     assert endpoints.ids() == {"a@6"}
@@ -145,9 +145,9 @@
 
 def test_start_that_a_call_shows_again_ends_nothing(endpoints, gone):
     endpoints.apply_all([change("a@5")])
-    assert not endpoints.take_start(starts.Start("a", 5))
-    assert not endpoints.take_start(starts.Start("a", 4))
-    assert not endpoints.take_start(starts.Start("unknown", 4))
+    assert not endpoints.apply_start(starts.Start("a", 5))
+    assert not endpoints.apply_start(starts.Start("a", 4))
+    assert not endpoints.apply_start(starts.Start("unknown", 4))
     assert gone == set()
 
 
--- a/tests/discovery/test_restarts.py
+++ b/tests/discovery/test_restarts.py
@@ -14,7 +14,7 @@
     def __init__(self):
         self.seen = set()
 
-    def take_start(self, start):
+    def apply_start(self, start):
         is_new = start not in self.seen
         self.seen.add(start)
         return is_new
@@ -31,7 +31,7 @@
 
 
 def test_restart_is_told_for_some_heartbeats(made, clock):
-    made.take(starts.Start("a", 6))
+    made.record(starts.Start("a", 6))
     clock.now_s += restarts.TELL_S - 0.1
     assert msgpack.unpackb(made.provide()) == [["a", 6]]
     clock.now_s += 0.1
@@ -39,8 +39,8 @@
 
 
 def test_restart_that_was_known_is_not_told(made):
-    made.take(starts.Start("a", 6))
-    made.take(starts.Start("a", 6))
+    made.record(starts.Start("a", 6))
+    made.record(starts.Start("a", 6))
     assert msgpack.unpackb(made.provide()) == [["a", 6]]
 
 
--- a/tests/platform/restarted_engine.py
+++ b/tests/platform/restarted_engine.py
@@ -208,7 +208,7 @@
     peer = registries.EndpointRegistry(case.registry.decode, lambda ids: None)
     peer.apply_all([case.entry(born=OLD_BORN)])
     seen = restarts.Restarts(peer)
-    seen.take(starts.Start(NAME, NEW_BORN))
+    seen.record(starts.Start(NAME, NEW_BORN))
     case.node.restarts.consume("peer", seen.provide())
 
 
--- a/tests/platform/test_restarted_endpoint_news.py
+++ b/tests/platform/test_restarted_endpoint_news.py
@@ -111,7 +111,7 @@
 @pytest.mark.parametrize("way", restarted.WAYS)
 def test_end_of_its_own_entry_ends_the_new_start(case, way):
     restarted.restart(case, way)
-    case.registry.away_until_s = 0.0
+    case.registry.hold_lapsed_until_s = 0.0
     case.node.weights.known_weights.record_version(
         restarted.NEW, systems.MODEL, 7
     )
