--- a/src/briarseam/compose/node_instances.py
+++ b/src/briarseam/compose/node_instances.py
@@ -67,7 +67,7 @@
         Registrations are known before peers are met; taken for alone, an
         instance that has just started would use the whole slack.
         """
-        registered = 0 if self.rows is None else len(self.rows.rows)
+        registered = 0 if self.rows is None else len(self.rows.by_name)
         return max(registered, len(self.all()))
 
     def heard(self) -> list[str]:
@@ -107,7 +107,7 @@
             for member in self.all()
             if member.state is members.MemberState.ALIVE
         ]
-        registered = [] if self.rows is None else list(self.rows.rows)
+        registered = [] if self.rows is None else list(self.rows.by_name)
         if len(registered) <= UNHEARD_FACTOR * len(alive):
             return alive
         return list({*alive, *registered})
@@ -117,12 +117,12 @@
 
         Instances of other cells are not heard directly.
         """
-        if self.rows is None or not self.rows.known.is_set():
+        if self.rows is None or not self.rows.loaded.is_set():
             return None
         cells = {
             self.rows.cell_of(row.name, row.group)
-            for row in self.rows.rows.values()
+            for row in self.rows.by_name.values()
         }
         if len(cells) > 1:
             return None
-        return [name for name in self.rows.rows if name != self.me]
+        return [name for name in self.rows.by_name if name != self.me]
--- a/src/briarseam/compose/node_peers.py
+++ b/src/briarseam/compose/node_peers.py
@@ -81,13 +81,15 @@
     loop
         Runs the connections to and from other instances.
     """
-    registrations.await_secret(rows, stopping, settings.instance.first_start)
+    registrations.wait_for_secret(
+        rows, stopping, settings.instance.first_start
+    )
     secret = rows.secret or registrations.agree_on_secret(
         store, names.MEMBERS_TOPIC, framing.encode_keyed, stopping
     )
     if secret is None:
         return None
-    rows.agreed = secret
+    rows.agreed_secret = secret
     service = membership.Membership(
         members.LocalAgent(
             name=settings.instance.name,
--- a/src/briarseam/peers/expiry.py
+++ b/src/briarseam/peers/expiry.py
@@ -76,7 +76,7 @@
         if suspended or not heard:
             self.silent_since.clear()
             return
-        silent = self.rows.rows.keys() - set(heard)
+        silent = self.rows.by_name.keys() - set(heard)
         self.silent_since = {
             name: self.silent_since.get(name, now_s) for name in silent
         }
--- a/src/briarseam/peers/registrations.py
+++ b/src/briarseam/peers/registrations.py
@@ -122,12 +122,12 @@
         self.store = store
         self.topic = topic
         self.me = me
-        self.rows: dict[str, Registration] = {}
+        self.by_name: dict[str, Registration] = {}
         self.cells: dict[str, str] = {}
         # What the topic tells, and what members have agreed on.
         self.secret: bytes | None = None
-        self.agreed: bytes | None = None
-        self.known = threading.Event()
+        self.agreed_secret: bytes | None = None
+        self.loaded = threading.Event()
         self.secret_known = threading.Event()
         self.leaving = threading.Event()
         self.thread = threading.Thread(
@@ -155,24 +155,24 @@
         InstanceListUnavailableError
             Before the first read of the topic.
         """
-        if not self.known.is_set():
+        if not self.loaded.is_set():
             raise instances.InstanceListUnavailableError(
                 "the registrations were not read yet"
             )
         listed = tuple(
             instances.Instance(row.name, AGENT_ROLE, row.address, row.group)
-            for row in self.rows.values()
+            for row in self.by_name.values()
         )
         return instances.Listing(listed, 0)
 
     def zone_of(self, name: str) -> str:
         """Return an instance's availability zone, empty if unknown."""
-        row = self.rows.get(name)
+        row = self.by_name.get(name)
         return "" if row is None else row.zone
 
     def weight_of(self, name: str) -> float:
         """Return the work an instance can take, relative to others."""
-        row = self.rows.get(name)
+        row = self.by_name.get(name)
         return 1.0 if row is None else row.weight
 
     def cell_of(self, name: str, group: str) -> str:
@@ -185,18 +185,18 @@
         """Take in all registrations."""
         self.secret = None
         self.keep(self.changed({}, changes))
-        self.known.set()
+        self.loaded.set()
 
     def apply_changes(
         self, changes: collections.abc.Sequence[records.KeyedRecord]
     ) -> None:
         """Take in changed registrations."""
-        self.keep(self.changed(self.rows, changes))
+        self.keep(self.changed(self.by_name, changes))
 
     def keep(self, rows: dict[str, Registration]) -> None:
         """Take over registrations, and the cells that follow from them."""
         self.cells = cells_of([*rows.values(), self.me])
-        self.rows = rows
+        self.by_name = rows
 
     def changed(
         self,
@@ -235,15 +235,18 @@
 
     def keep_registered(self) -> None:
         """Register until the topic shows it, and again when it is lost."""
-        self.known.wait()
+        self.loaded.wait()
         is_missing = False
         while not self.leaving.is_set():
-            if self.rows.get(self.me.name) != self.me:
+            if self.by_name.get(self.me.name) != self.me:
                 self.register()
             # Twice: what was agreed on just now may not have been read yet.
-            was_missing, is_missing = is_missing, self.secret != self.agreed
-            if self.agreed is not None and is_missing and was_missing:
-                self.write_secret(self.agreed)
+            was_missing, is_missing = (
+                is_missing,
+                self.secret != self.agreed_secret,
+            )
+            if self.agreed_secret is not None and is_missing and was_missing:
+                self.write_secret(self.agreed_secret)
             self.leaving.wait(REVIEW_S)
 
     def register(self) -> None:
@@ -317,7 +320,7 @@
     return Registration(name, wire.address, wire.group, wire.zone, wire.weight)
 
 
-def await_secret(
+def wait_for_secret(
     rows: Registrations, stopping: threading.Event, first_start: bool = True
 ) -> None:
     """Wait a little for a secret that another instance makes, or has.
@@ -335,7 +338,7 @@
         Whether no instance has run before.  Else a topic without a secret
         was restored from an older copy, and members write it again.
     """
-    while not rows.known.wait(RETRY_S):
+    while not rows.loaded.wait(RETRY_S):
         if stopping.is_set():
             return
     wait_s = random.uniform(0.0, SPREAD_S)
--- a/tests/compose/test_node_instances.py
+++ b/tests/compose/test_node_instances.py
@@ -37,7 +37,7 @@
 
 
 def register(made, names, weight=1.0):
-    made.rows.rows = {
+    made.rows.by_name = {
         name: registrations.Registration(name, "", "north", "a", weight)
         for name in names
     }
--- a/tests/peers/test_expiry.py
+++ b/tests/peers/test_expiry.py
@@ -44,7 +44,7 @@
     rows = registrations.Registrations(
         store, TOPIC, registrations.Registration(name, "", "north", "a")
     )
-    rows.rows = {
+    rows.by_name = {
         each: registrations.Registration(each, "", "north", "a")
         for each in NAMES
     }
--- a/tests/peers/test_registrations.py
+++ b/tests/peers/test_registrations.py
@@ -61,7 +61,7 @@
     store, registered, monkeypatch
 ):
     monkeypatch.setattr(registrations, "REVIEW_S", 0.05)
-    waiting.until(lambda: "one" in registered.rows)
+    waiting.until(lambda: "one" in registered.by_name)
     store.write_raw(TOPIC, "one", b"\xff")
     waiting.until(
         lambda: store.newest_of(TOPIC)["one"] == registrations.encode(me())
@@ -205,14 +205,14 @@
             records.KeyedRecord("two", good),
         ]
     )
-    assert set(made.rows) == {"two"}
+    assert set(made.by_name) == {"two"}
     made.apply_changes(
         [
             records.KeyedRecord("two", value),
             records.KeyedRecord("three", good),
         ]
     )
-    assert set(made.rows) == {"three"}
+    assert set(made.by_name) == {"three"}
 
 
 def test_secret_is_agreed_on_behind_a_record_of_another_writer(store):
@@ -277,7 +277,7 @@
     monkeypatch.setattr(registrations.random, "uniform", lambda a, b: 10.0)
     stopping = threading.Event()
     waiting_for = threading.Thread(
-        target=registrations.await_secret, args=(rows, stopping)
+        target=registrations.wait_for_secret, args=(rows, stopping)
     )
     waiting_for.start()
     waiting_for.join(0.1)
@@ -294,4 +294,4 @@
     stopping = threading.Event()
     stopping.set()
     rows = registrations.Registrations(None, TOPIC, me())
-    registrations.await_secret(rows, stopping)
+    registrations.wait_for_secret(rows, stopping)
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -76,10 +76,10 @@
     cold_system.configure()
     cold_system.start()
     assert cold_system.call("/status/x", "GET").data == b"plain-1 did it"
-    rows = cold_system.node.feeds.registrations.rows
+    rows = cold_system.node.feeds.registrations.by_name
     assert set(rows) <= {"one"}
     waiting.until(
-        lambda: set(cold_system.node.feeds.registrations.rows) == {"one"},
+        lambda: set(cold_system.node.feeds.registrations.by_name) == {"one"},
         PATIENCE_S,
     )
 
--- a/tests/platform/test_restored_store.py
+++ b/tests/platform/test_restored_store.py
@@ -181,7 +181,7 @@
     store.write_raw(topic, registrations.SECRET_KEY, b"agreed")
     follower.start()
     waiting.until(lambda: rows.secret == b"agreed")
-    rows.agreed = b"agreed"
+    rows.agreed_secret = b"agreed"
     rows.start()
     waiting.until(lambda: "one" in store.newest_of(topic))
     store.restore(old)
