--- a/src/briarseam/leases/fold.py
+++ b/src/briarseam/leases/fold.py
@@ -65,7 +65,7 @@
         self.touched: dict[str, int] = {}
         self.bases: dict[str, int] = {}
 
-    def take(
+    def apply(
         self, offset: int, record: records.LeaseRecord
     ) -> tuple[Lease, ...]:
         """Fold one record in.
--- a/src/briarseam/leases/outcomes.py
+++ b/src/briarseam/leases/outcomes.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class LogDown:
+class LogUnavailable:
     """The log does not answer, so no lease can be had.
 
     Attributes
@@ -57,4 +57,4 @@
     basis: int
 
 
-Outcome = Held | NotHeld | LogDown | Outdated
+Outcome = Held | NotHeld | LogUnavailable | Outdated
--- a/src/briarseam/leases/service.py
+++ b/src/briarseam/leases/service.py
@@ -144,9 +144,9 @@
         fence = self.holds(name)
         if fence is not None:
             return outcomes.Held(fence)
-        return self.renumber(name, basis)
+        return self.reacquire(name, basis)
 
-    def renumber(self, name: str, basis: int = 0) -> outcomes.Outcome:
+    def reacquire(self, name: str, basis: int = 0) -> outcomes.Outcome:
         """Take a lease, also one of ours, under a new fencing number.
 
         Whatever was ordered under the old number and is still on its way
@@ -178,11 +178,11 @@
         """Return why the lease cannot be asked for now, if so."""
         now_s = self.clock()
         if self.newer_release:
-            return outcomes.LogDown(
+            return outcomes.LogUnavailable(
                 "a newer release writes the lease stream", self.ttl_s
             )
         if now_s - self.current_s > CURRENT_S:
-            return outcomes.LogDown(
+            return outcomes.LogUnavailable(
                 "the lease stream is not read", NOT_READ_RETRY_S
             )
         if now_s < self.quiet_until_s:
@@ -200,7 +200,9 @@
             return None
         return outcomes.NotHeld(lease.holder, left_s)
 
-    def append(self, record: records.LeaseRecord) -> outcomes.LogDown | None:
+    def append(
+        self, record: records.LeaseRecord
+    ) -> outcomes.LogUnavailable | None:
         """Append a record and wait until it was read back.
 
         An append whose answer was lost may be in the stream now or later;
@@ -211,7 +213,9 @@
         match outcome:
             case platform_log.AppendRefused():
                 self.sent_s.pop(record.record_id, None)
-                return outcomes.LogDown(outcome.detail, outcome.retry_after_s)
+                return outcomes.LogUnavailable(
+                    outcome.detail, outcome.retry_after_s
+                )
             case platform_log.Appended() | platform_log.AppendUnknown():
                 with self.changed:
                     read_back = self.changed.wait_for(
@@ -220,7 +224,7 @@
                     )
         if read_back:
             return None
-        return outcomes.LogDown("the append was not read back", 1.0)
+        return outcomes.LogUnavailable("the append was not read back", 1.0)
 
     def release(self, *names: str) -> None:
         """Stop using leases at once and tell the others."""
@@ -321,7 +325,7 @@
         except records.RecordError:
             self.fold.skip(entry.offset)
             return
-        kept = self.fold.take(entry.offset, record)
+        kept = self.fold.apply(entry.offset, record)
         for lease in kept:
             self.busy_until_s[lease.name] = now_s + lease.ttl_ms / 1000
         sent_s = self.sent_s.pop(record.record_id, None)
--- a/src/briarseam/orders/rollout.py
+++ b/src/briarseam/orders/rollout.py
@@ -115,7 +115,7 @@
         """Return our fencing number, or ``None`` and why in ``blocked``."""
         leases = self.tools.leases
         if self.renumber:
-            outcome = leases.renumber(scope.lease, self.basis)
+            outcome = leases.reacquire(scope.lease, self.basis)
         else:
             outcome = leases.acquire(scope.lease, self.basis)
         now_s = self.tools.clock()
@@ -128,7 +128,7 @@
             case outcomes.NotHeld(holder, retry_after_s):
                 self.blocked = f"{holder or 'another instance'} has the lease"
                 self.not_before_s = now_s + min(retry_after_s, LOST_RACE_S)
-            case outcomes.LogDown(detail, retry_after_s):
+            case outcomes.LogUnavailable(detail, retry_after_s):
                 self.blocked = f"no lease, log unavailable: {detail}"
                 self.not_before_s = now_s + retry_after_s
             case outcomes.Outdated(basis):
--- a/tests/leases/test_fold.py
+++ b/tests/leases/test_fold.py
@@ -25,7 +25,7 @@
     table = fold.Fold(start)
     for offset, record in enumerate(history, start=1):
         if offset >= start:
-            table.take(offset, record)
+            table.apply(offset, record)
     return table
 
 
@@ -97,7 +97,7 @@
     table = fold.Fold()
     highest = 0
     for offset, record in enumerate(history, start=1):
-        table.take(offset, record)
+        table.apply(offset, record)
         lease = table.leases.get(NAME)
         if lease is not None:
             assert lease.fence >= highest
--- a/tests/leases/test_service.py
+++ b/tests/leases/test_service.py
@@ -139,7 +139,7 @@
     assert first.holds(NAME) == 1
     clock.now_s += TTL_S / 2
     assert first.holds(NAME) is None
-    assert isinstance(first.acquire(NAME), outcomes.LogDown)
+    assert isinstance(first.acquire(NAME), outcomes.LogUnavailable)
 
 
 def test_restarted_process_is_another_holder(log, clock):
@@ -178,8 +178,8 @@
     A lease from before must not stand beside one from the new log.
     """
     first = log.join("a", clock)
-    first.renumber(NAME)
-    first.renumber(NAME)
+    first.reacquire(NAME)
+    first.reacquire(NAME)
     log.entries.clear()
     log.deliver()
     assert first.holds(NAME) is None
@@ -194,7 +194,7 @@
     first.acquire(NAME)
     log.append("leases", msgpack.packb([2, "borrow", {}]))
     assert first.holds(NAME) is None
-    assert isinstance(first.acquire(NAME), outcomes.LogDown)
+    assert isinstance(first.acquire(NAME), outcomes.LogUnavailable)
 
 
 def test_malformed_record_changes_nothing(log, clock):
@@ -220,5 +220,5 @@
     first = log.join("a", clock)
     second = log.join("b", clock)
     first.acquire(NAME)
-    assert first.renumber(NAME) == outcomes.Held(2)
-    assert isinstance(second.renumber(NAME), outcomes.NotHeld)
+    assert first.reacquire(NAME) == outcomes.Held(2)
+    assert isinstance(second.reacquire(NAME), outcomes.NotHeld)
--- a/tests/matrix/rollouts.py
+++ b/tests/matrix/rollouts.py
@@ -134,7 +134,7 @@
         """Return the number of the agent that holds the lease."""
         table = fold.Fold()
         for record in self.log.stream(LEASES).records:
-            table.take(record.offset, records.decode(record.content))
+            table.apply(record.offset, records.decode(record.content))
         [lease] = table.leases.values()
         name = lease.holder.partition("/")[0]
         return int(name.rpartition("-")[2])
--- a/tests/orders/test_steps.py
+++ b/tests/orders/test_steps.py
@@ -31,10 +31,10 @@
     def clock(self) -> float:
         return self.now_s
 
-    def renumber(self, name, basis):
+    def reacquire(self, name, basis):
         return outcomes.Held(1)
 
-    acquire = renumber
+    acquire = reacquire
 
     def holds(self, name):
         return 1 if self.now_s < 5 else None
