--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -231,9 +231,9 @@
         for _ in range(POLLS):
             found = engines.state(one.address)
         poll_us = (time.thread_time() - began) / POLLS * 1e6
-    board = state.Board()
+    board = state.EngineReports()
     for number in range(SHARED):
-        board.put(f"draftmodels-{number}", state.Reading(found, 0.0))
+        board.put(f"draftmodels-{number}", state.Report(found, 0.0))
     section = sharing.Sharing(board, time.monotonic).provide()
     return PollRow(round(poll_us, 1), round(len(section) / SHARED, 1))
 
@@ -246,7 +246,7 @@
     loaded = engine_orders.EngineState(
         "b" * 32, {MODEL: engine_orders.ModelState("v1")}, 1, True
     )
-    readings = {name: state.Reading(loaded, 0.0) for name in view.endpoints}
+    readings = {name: state.Report(loaded, 0.0) for name in view.endpoints}
     scopes = goals.scopes_of(view)
     targets = goals.targets_of(view)
     rounds = max(5, COMPARISONS * 64 // (64 + count))
@@ -268,7 +268,7 @@
 
 
 def measure_idle(
-    view: schema.View, readings: dict[str, state.Reading]
+    view: schema.View, readings: dict[str, state.Report]
 ) -> float:
     """Return the processor time of a tick without news, in microseconds."""
     orders = orders_service.Orders(
@@ -282,7 +282,7 @@
             owns=lambda engine: False, live=lambda: ("bench", "other")
         ),
     )
-    orders.board.put_shared("other", readings)
+    orders.engine_reports.put_shared("other", readings)
     orders.tick()
     began = time.thread_time()
     for _ in range(COMPARISONS):
--- a/src/briarseam/orders/giver.py
+++ b/src/briarseam/orders/giver.py
@@ -28,7 +28,7 @@
 
     Attributes
     ----------
-    leases, engines, board
+    leases, engines, engine_reports
         Fencing numbers, the engines and their reports.
     clock
         Seconds; the leases' clock.
@@ -42,7 +42,7 @@
 
     leases: leases_service.Leases
     engines: engine_orders.EngineOrders
-    board: state.Board
+    engine_reports: state.EngineReports
     clock: Clock
     note: Note
     precedence: typing.Callable[[str], int]
--- a/src/briarseam/orders/offers.py
+++ b/src/briarseam/orders/offers.py
@@ -12,16 +12,16 @@
 
 
 def serving_versions(
-    readings: planner.Readings,
+    reports: planner.Reports,
 ) -> dict[str, dict[str, str]]:
     """Return the reported versions by engine and model."""
     return {
         name: {
             model: loaded.version
-            for model, loaded in reading.state.models.items()
+            for model, loaded in report.state.models.items()
             if loaded.version is not None
         }
-        for name, reading in readings.items()
+        for name, report in reports.items()
     }
 
 
@@ -29,7 +29,7 @@
     model: str,
     wanted: values.Model,
     targets: typing.Sequence[goals.Target],
-    readings: planner.Readings,
+    reports: planner.Reports,
     former_adapter: str | None,
 ) -> dict[str, state.Offer]:
     """Return what each engine offers for new requests of a model.
@@ -44,7 +44,7 @@
         The model and its configuration.
     targets
         Engines that are to serve it.
-    readings
+    reports
         Last report by engine.
     former_adapter
         Adapter wanted before the present one, if that is known.
@@ -54,8 +54,8 @@
     up_to_date: dict[str, state.Offer] = {}
     behind: dict[str, state.Offer] = {}
     for target in targets:
-        reading = readings.get(target.name)
-        loaded = reading.state.models.get(model) if reading else None
+        report = reports.get(target.name)
+        loaded = report.state.models.get(model) if report else None
         if loaded is None or loaded.version is None:
             continue
         adapter = usable_adapter(
--- a/src/briarseam/orders/planner.py
+++ b/src/briarseam/orders/planner.py
@@ -62,7 +62,7 @@
     waiting: tuple[Waiting, ...]
 
 
-Readings = typing.Mapping[str, state.Reading]
+Reports = typing.Mapping[str, state.Report]
 Errands = typing.Mapping[tuple[str, str], state.Errand]
 
 
@@ -73,7 +73,7 @@
     ----------
     scope
         The engines and what is wanted.
-    readings
+    reports
         Last report by engine; absent when it does not report.
     errands
         Last load given by engine and model.
@@ -85,12 +85,12 @@
     def __init__(
         self,
         scope: goals.Scope,
-        readings: Readings,
+        reports: Reports,
         errands: Errands,
         fence: int | None = None,
     ) -> None:
         self.scope = scope
-        self.readings = readings
+        self.reports = reports
         self.errands = errands
         self.fence = fence
         self.steps: list[Step] = []
@@ -112,16 +112,15 @@
         return state.standing_of(
             model,
             self.scope.goals[model].version,
-            self.readings.get(target.name),
+            self.reports.get(target.name),
             self.errands.get((target.name, model)),
         )
 
     def loads(self, target: goals.Target) -> bool:
         """Tell whether an engine loads anything as far as we know."""
-        reading = self.readings.get(target.name)
-        if reading is not None and any(
-            model.loading is not None
-            for model in reading.state.models.values()
+        report = self.reports.get(target.name)
+        if report is not None and any(
+            model.loading is not None for model in report.state.models.values()
         ):
             return True
         return any(
@@ -206,8 +205,8 @@
     def repeat(self, target: goals.Target, goal: goals.ModelGoal) -> None:
         """Plan an order again whose answer was lost."""
         errand = self.errands[target.name, goal.model]
-        reading = self.readings[target.name]
-        if errand.settled or reading.asked_s < errand.ended_s:
+        report = self.reports[target.name]
+        if errand.settled or report.requested_s < errand.ended_s:
             self.wait(target, goal, Wait.LOADING)
         else:
             self.load(target, goal, lowers=False)
@@ -230,10 +229,10 @@
         if not goal.adapter:
             return
         for target in self.scope.of_model(goal.model):
-            reading = self.readings.get(target.name)
-            if reading is None:
+            report = self.reports.get(target.name)
+            if report is None:
                 continue
-            known = reading.state.models.get(goal.model)
+            known = report.state.models.get(goal.model)
             if known is None or goal.adapter in known.adapters:
                 continue
             if self.fence_ahead(target):
@@ -245,10 +244,10 @@
     def plan_roles(self) -> None:
         """Plan the engines' roles."""
         for target in self.scope.targets:
-            reading = self.readings.get(target.name)
-            if not target.role or reading is None:
+            report = self.reports.get(target.name)
+            if not target.role or report is None:
                 continue
-            if reading.state.role != target.role and not self.fence_ahead(
+            if report.state.role != target.role and not self.fence_ahead(
                 target
             ):
                 order = engine_orders.TakeRole(target.role)
@@ -260,10 +259,10 @@
         It would refuse every order.  Asking for the lease again and again
         would flood the log without ever reaching that number.
         """
-        reading = self.readings.get(target.name)
-        if reading is None or self.fence is None:
+        report = self.reports.get(target.name)
+        if report is None or self.fence is None:
             return False
-        return reading.state.fencing and reading.state.fence > self.fence
+        return report.state.fencing and report.state.fence > self.fence
 
     def wait(
         self, target: goals.Target, goal: goals.ModelGoal, why: Wait
--- a/src/briarseam/orders/pollers.py
+++ b/src/briarseam/orders/pollers.py
@@ -25,7 +25,7 @@
         Of the engine.
     engines
         The adapter.
-    board
+    engine_reports
         Takes the reports.
     clock
         Seconds.
@@ -38,14 +38,14 @@
         name: str,
         address: str,
         engines: engine_orders.EngineOrders,
-        board: state.Board,
+        engine_reports: state.EngineReports,
         clock: typing.Callable[[], float],
         interval_s: typing.Callable[[], float],
     ) -> None:
         self.name = name
         self.address = address
         self.engines = engines
-        self.board = board
+        self.engine_reports = engine_reports
         self.clock = clock
         self.interval_s = interval_s
         self.stopping = threading.Event()
@@ -58,18 +58,22 @@
         while not self.stopping.is_set():
             self.read()
             self.stopping.wait(self.interval_s())
-        self.board.drop(self.name)
+        self.engine_reports.drop(self.name)
 
     def read(self) -> None:
         """Read once; forget the engine when it is silent for too long."""
-        asked_s = self.clock()
+        requested_s = self.clock()
         try:
             found = self.engines.state(self.address)
         except engine_orders.StateUnavailableError:
-            self.board.drop_older(self.name, asked_s - state.MAX_AGE_S)
+            self.engine_reports.drop_older(
+                self.name, requested_s - state.MAX_AGE_S
+            )
             return
         if not self.stopping.is_set():
-            self.board.put(self.name, state.Reading(found, asked_s))
+            self.engine_reports.put(
+                self.name, state.Report(found, requested_s)
+            )
 
 
 @dataclasses.dataclass(frozen=True)
@@ -91,7 +95,7 @@
 
     Parameters
     ----------
-    engines, board, clock
+    engines, engine_reports, clock
         As in :class:`Poller`.
     owns
         Whether this process polls an engine for all members.
@@ -100,12 +104,12 @@
     def __init__(
         self,
         engines: engine_orders.EngineOrders,
-        board: state.Board,
+        engine_reports: state.EngineReports,
         clock: typing.Callable[[], float],
         owns: typing.Callable[[str], bool],
     ) -> None:
         self.engines = engines
-        self.board = board
+        self.engine_reports = engine_reports
         self.clock = clock
         self.owns = owns
         self.busy = False
@@ -136,7 +140,7 @@
         members
             Those that share the polling.
         """
-        told = frozenset(self.board.told())
+        told = frozenset(self.engine_reports.told())
         basis = Basis(addresses, ordered, members, told)
         if basis == self.basis:
             return
@@ -157,7 +161,7 @@
             if addresses.get(name) != poller.address:
                 poller.stopping.set()
                 del self.pollers[name]
-                self.board.drop(name)
+                self.engine_reports.drop(name)
         for name, address in addresses.items():
             if name not in self.pollers:
                 self.pollers[name] = self.start(name, address)
@@ -168,7 +172,7 @@
             name,
             address,
             self.engines,
-            self.board,
+            self.engine_reports,
             self.clock,
             self.interval_s,
         )
--- a/src/briarseam/orders/reporting.py
+++ b/src/briarseam/orders/reporting.py
@@ -46,7 +46,7 @@
         Name of this process.
     leases
         Tell who gives the orders.
-    board
+    engine_reports
         What engines report.
     peers
         The other processes.
@@ -58,13 +58,13 @@
         self,
         me: str,
         leases: leases_service.Leases,
-        board: state.Board,
+        engine_reports: state.EngineReports,
         peers: peers_module.Peers,
         clock: givers.Clock,
     ) -> None:
         self.me = me
         self.leases = leases
-        self.board = board
+        self.engine_reports = engine_reports
         self.peers = peers
         self.clock = clock
         self.offset = 0
@@ -77,22 +77,22 @@
 
     def look(self) -> None:
         """Note which models have moved."""
-        readings = self.board.all()
+        reports = self.engine_reports.all()
         now_s = self.clock()
-        for scope, goal, standings, _ in self.pictures(readings):
-            progress = status.progress_of(goal.model, readings)
+        for scope, goal, standings, _ in self.pictures(reports):
+            progress = status.progress_of(goal.model, reports)
             done = status.is_done(standings)
             picture = None if done else (standings, progress)
             self.watch.look(watched(scope, goal), picture, now_s)
 
-    def pictures(self, readings: planner.Readings) -> typing.Iterator[Picture]:
+    def pictures(self, reports: planner.Reports) -> typing.Iterator[Picture]:
         """Yield how each model of each scope stands."""
         for work in self.work:
             scope = work.scope
             errands = dict(work.rollout.giver.errands)
             for goal in scope.goals.values():
                 standings = status.picture_of(
-                    goal, scope.of_model(goal.model), readings, errands
+                    goal, scope.of_model(goal.model), reports, errands
                 )
                 yield Picture(scope, goal, standings, work.rollout)
 
@@ -107,7 +107,9 @@
                 self.watch.unchanged_s(watched(scope, goal), now_s),
                 status.reason_of(goal.model, work, standings),
             )
-            for scope, goal, standings, work in self.pictures(self.board.all())
+            for scope, goal, standings, work in self.pictures(
+                self.engine_reports.all()
+            )
         )
 
     def led(self) -> tuple[messages.ModelRollout, ...]:
--- a/src/briarseam/orders/rollout.py
+++ b/src/briarseam/orders/rollout.py
@@ -55,7 +55,7 @@
         """
         self.take_scope(scope, basis)
         plan = planner.Planner(
-            scope, self.tools.board.all(), self.giver.errands
+            scope, self.tools.engine_reports.all(), self.giver.errands
         ).plan()
         if not is_due(plan):
             self.waiting = plan.waiting
@@ -143,40 +143,40 @@
         self.tools.note("lease-acquired", path=scope.lease, fence=fence)
         self.refresh(scope)
 
-    def refresh(self, scope: goals.Scope) -> planner.Readings:
+    def refresh(self, scope: goals.Scope) -> planner.Reports:
         """Read the states again and return those that came.
 
         A predecessor's last orders, and an engine that has just died,
         show only in reports asked for now.
         """
-        fresh: dict[str, state.Reading] = {}
-        known = self.tools.board.all()
+        fresh: dict[str, state.Report] = {}
+        known = self.tools.engine_reports.all()
         for target in scope.targets:
             if target.name not in known:
                 continue
-            asked_s = self.tools.clock()
+            requested_s = self.tools.clock()
             try:
                 found = self.tools.engines.state(target.address)
             except engine_orders.StateUnavailableError:
                 continue
-            fresh[target.name] = state.Reading(found, asked_s)
-            self.tools.board.put(target.name, fresh[target.name])
+            fresh[target.name] = state.Report(found, requested_s)
+            self.tools.engine_reports.put(target.name, fresh[target.name])
         return fresh
 
     def give_due(self, scope: goals.Scope, fence: int) -> None:
         """Give all orders that may be given now."""
         if not self.seal(scope, fence):
             return
-        readings: planner.Readings = self.tools.board.all()
+        reports: planner.Reports = self.tools.engine_reports.all()
         plan = planner.Planner(
-            scope, readings, self.giver.errands, fence
+            scope, reports, self.giver.errands, fence
         ).plan()
         if any(step.lowers for step in plan.steps):
             # The floor must count engines that serve now, not those that
             # did at the last poll.
-            readings = self.refresh(scope)
+            reports = self.refresh(scope)
             plan = planner.Planner(
-                scope, readings, self.giver.errands, fence
+                scope, reports, self.giver.errands, fence
             ).plan()
         self.waiting = plan.waiting
         for step in plan.steps:
@@ -208,13 +208,13 @@
         it out beside those that we take out.  The order repeats what the
         engine has, so it changes nothing.
         """
-        known = self.tools.board.all()
+        known = self.tools.engine_reports.all()
         for target in scope.targets:
-            reading = known.get(target.name)
-            if reading is None or not reading.state.fencing:
+            report = known.get(target.name)
+            if report is None or not report.state.fencing:
                 continue
-            order = present_load(scope, target, reading.state)
-            if order is None or reading.state.fence >= fence:
+            order = present_load(scope, target, report.state)
+            if order is None or report.state.fence >= fence:
                 continue
             if not self.give(scope, target, order):
                 return False
@@ -223,12 +223,14 @@
 
     def reread(self, target: goals.Target) -> None:
         """Read one engine's state again."""
-        asked_s = self.tools.clock()
+        requested_s = self.tools.clock()
         try:
             found = self.tools.engines.state(target.address)
         except engine_orders.StateUnavailableError:
             return
-        self.tools.board.put(target.name, state.Reading(found, asked_s))
+        self.tools.engine_reports.put(
+            target.name, state.Report(found, requested_s)
+        )
 
 
 def is_due(plan: planner.Plan) -> bool:
--- a/src/briarseam/orders/service.py
+++ b/src/briarseam/orders/service.py
@@ -72,17 +72,19 @@
         self.view = view
         self.leases = leases
         self.clock = clock
-        self.board = state.Board()
+        self.engine_reports = state.EngineReports()
         self.peers = peers
         self.reporting = reporting.Reporting(
-            me, leases, self.board, peers, clock
+            me, leases, self.engine_reports, peers, clock
         )
-        self.pollers = pollers.Pollers(engines, self.board, clock, peers.owns)
-        self.sharing = sharing.Sharing(self.board, clock)
+        self.pollers = pollers.Pollers(
+            engines, self.engine_reports, clock, peers.owns
+        )
+        self.sharing = sharing.Sharing(self.engine_reports, clock)
         self.tools = givers.Tools(
             leases=leases,
             engines=engines,
-            board=self.board,
+            engine_reports=self.engine_reports,
             clock=clock,
             note=note,
             precedence=peers.precedence,
@@ -107,7 +109,7 @@
         self.addresses: dict[str, str] = {}
         self.rollouts: dict[str, rollout.Rollout] = {}
         self.former_adapters: dict[str, str] = {}
-        self.readings: dict[str, state.Reading] = {}
+        self.reports: dict[str, state.Report] = {}
         self.versions: dict[str, dict[str, str]] = {}
         self.offered: dict[str, state.Offers] = {}
         self.tallies: dict[str, dict[state.Offer, int]] = {}
@@ -127,7 +129,7 @@
     def stop(self) -> None:
         """Stop giving orders and reading states."""
         self.stopping.set()
-        self.board.changed.set()
+        self.engine_reports.changed.set()
         if self.thread.is_alive():
             self.thread.join()
         self.pollers.stop()
@@ -152,8 +154,8 @@
 
     def serves(self, endpoint: str, model: str, offer: state.Offer) -> bool:
         """Tell whether an engine reports what a request has to name."""
-        reading = self.readings.get(endpoint)
-        loaded = reading.state.models.get(model) if reading else None
+        report = self.reports.get(endpoint)
+        loaded = report.state.models.get(model) if report else None
         if loaded is None or loaded.version != offer.version:
             return False
         return not offer.adapter or offer.adapter in loaded.adapters
@@ -169,7 +171,7 @@
                 self.tick()
             except Exception:
                 log.exception("orders_failed")
-            self.board.changed.wait(TICK_S)
+            self.engine_reports.changed.wait(TICK_S)
 
     def tick(self) -> None:
         """Take in what changed and give the orders that are due.
@@ -179,13 +181,15 @@
         while something is left to do.
         """
         view = self.view()
-        self.board.keep_members(self.peers.heard())
+        self.engine_reports.keep_members(self.peers.heard())
         if view is not self.seen:
             self.take_view(view)
-        elif not self.board.changed.is_set() and not self.pollers.busy:
+        elif (
+            not self.engine_reports.changed.is_set() and not self.pollers.busy
+        ):
             self.match_pollers()
             return
-        self.board.changed.clear()
+        self.engine_reports.changed.clear()
         self.update_offers()
         busy = False
         for scope in self.scopes:
@@ -243,15 +247,15 @@
 
     def update_offers(self) -> None:
         """Work out anew what engines offer."""
-        readings = self.readings = self.board.all()
+        reports = self.reports = self.engine_reports.all()
         targets = goals.targets_of(self.seen)
-        self.versions = offers.serving_versions(readings)
+        self.versions = offers.serving_versions(reports)
         self.offered = {
             name: offers.offers_of(
                 name,
                 model,
                 [target for target in targets if name in target.models],
-                readings,
+                reports,
                 self.former_adapters.get(name),
             )
             for name, model in self.seen.models.items()
--- a/src/briarseam/orders/sharing.py
+++ b/src/briarseam/orders/sharing.py
@@ -26,34 +26,36 @@
 
     Parameters
     ----------
-    board
+    engine_reports
         Has our reports and takes the others'.
     clock
         Seconds.
     """
 
     def __init__(
-        self, board: state.Board, clock: typing.Callable[[], float]
+        self,
+        engine_reports: state.EngineReports,
+        clock: typing.Callable[[], float],
     ) -> None:
-        self.board = board
+        self.engine_reports = engine_reports
         self.clock = clock
 
     def provide(self) -> bytes:
         """Return this process's section of a heartbeat."""
         states = {
-            name: reading.state
-            for name, reading in sorted(self.board.own().items())
+            name: report.state
+            for name, report in sorted(self.engine_reports.own().items())
         }
         return msgspec.msgpack.encode(states)
 
     def consume(self, member: str, data: bytes) -> None:
         """Take in another member's section."""
         states = msgspec.msgpack.decode(data, type=States)
-        asked_s = self.clock() - SLACK_S
-        self.board.put_shared(
+        requested_s = self.clock() - SLACK_S
+        self.engine_reports.put_shared(
             member,
             {
-                name: state.Reading(found, asked_s)
+                name: state.Report(found, requested_s)
                 for name, found in states.items()
             },
         )
--- a/src/briarseam/orders/state.py
+++ b/src/briarseam/orders/state.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Reading:
+class Report:
     """One report of an engine.
 
     Attributes
@@ -26,7 +26,7 @@
     """
 
     state: engine_orders.EngineState
-    asked_s: float
+    requested_s: float
 
 
 @dataclasses.dataclass(frozen=True)
@@ -69,7 +69,7 @@
 def standing_of(
     model: str,
     version: str,
-    reading: Reading | None,
+    report: Report | None,
     errand: Errand | None,
 ) -> Standing:
     """Return how an engine stands, by its reports and not by hopes.
@@ -79,10 +79,10 @@
     until it reports the ordered version: the order may arrive at any time
     and would take another engine out while one is out already.
     """
-    if reading is None:
+    if report is None:
         return Standing.UNREACHABLE
-    state = reading.state.models.get(model, engine_orders.ModelState())
-    if errand is not None and pending(errand, reading, state):
+    state = report.state.models.get(model, engine_orders.ModelState())
+    if errand is not None and pending(errand, report, state):
         return Standing.ORDERED
     if state.loading is not None:
         if state.loading == version:
@@ -96,10 +96,10 @@
 
 
 def pending(
-    errand: Errand, reading: Reading, state: engine_orders.ModelState
+    errand: Errand, report: Report, state: engine_orders.ModelState
 ) -> bool:
     """Tell whether a given load may not show in the report yet."""
-    if reading.asked_s < errand.ended_s:
+    if report.requested_s < errand.ended_s:
         return True
     if errand.settled:
         return False
@@ -107,18 +107,18 @@
 
 
 def states_of(
-    readings: typing.Mapping[str, Reading],
+    reports: typing.Mapping[str, Report],
 ) -> dict[str, engine_orders.EngineState]:
     """Return what was reported, without when."""
-    return {name: reading.state for name, reading in readings.items()}
+    return {name: report.state for name, report in reports.items()}
 
 
-class Board:
+class EngineReports:
     """The last report of every engine; safe for several threads.
 
     Attributes
     ----------
-    readings
+    reports
         Reports asked for by this process.
     shared
         Reports of other members, by member and engine.
@@ -127,27 +127,27 @@
     """
 
     def __init__(self) -> None:
-        self.readings: dict[str, Reading] = {}
-        self.shared: dict[str, dict[str, Reading]] = {}
+        self.reports: dict[str, Report] = {}
+        self.shared: dict[str, dict[str, Report]] = {}
         self.lock = threading.Lock()
         self.changed = threading.Event()
 
-    def put(self, name: str, reading: Reading) -> None:
+    def put(self, name: str, report: Report) -> None:
         """Take a report in; an older one than known is dropped."""
         with self.lock:
-            known = self.readings.get(name)
-            if known is not None and known.asked_s > reading.asked_s:
+            known = self.reports.get(name)
+            if known is not None and known.requested_s > report.requested_s:
                 return
-            self.readings[name] = reading
-        if known is None or known.state != reading.state:
+            self.reports[name] = report
+        if known is None or known.state != report.state:
             self.changed.set()
 
-    def put_shared(self, member: str, readings: dict[str, Reading]) -> None:
+    def put_shared(self, member: str, reports: dict[str, Report]) -> None:
         """Replace what a member reports."""
         with self.lock:
             known = self.shared.get(member, {})
-            self.shared[member] = readings
-        if states_of(known) != states_of(readings):
+            self.shared[member] = reports
+        if states_of(known) != states_of(reports):
             self.changed.set()
 
     def keep_members(self, live: typing.Collection[str]) -> None:
@@ -162,35 +162,35 @@
     def drop(self, name: str) -> None:
         """Forget an engine that no longer reports."""
         with self.lock:
-            known = self.readings.pop(name, None)
+            known = self.reports.pop(name, None)
         if known is not None:
             self.changed.set()
 
-    def drop_older(self, name: str, asked_s: float) -> None:
+    def drop_older(self, name: str, requested_s: float) -> None:
         """Forget an engine's report if it was asked for before a time."""
-        reading = self.readings.get(name)
-        if reading is not None and reading.asked_s < asked_s:
+        report = self.reports.get(name)
+        if report is not None and report.requested_s < requested_s:
             self.drop(name)
 
-    def own(self) -> dict[str, Reading]:
+    def own(self) -> dict[str, Report]:
         """Return the reports asked for by this process."""
         with self.lock:
-            return dict(self.readings)
+            return dict(self.reports)
 
     def told(self) -> set[str]:
         """Return the engines that other members report."""
         with self.lock:
             return {
-                name for readings in self.shared.values() for name in readings
+                name for reports in self.shared.values() for name in reports
             }
 
-    def all(self) -> dict[str, Reading]:
+    def all(self) -> dict[str, Report]:
         """Return all present reports, our own before others'."""
         with self.lock:
-            found: dict[str, Reading] = {}
-            for readings in self.shared.values():
-                found.update(readings)
-            found.update(self.readings)
+            found: dict[str, Report] = {}
+            for reports in self.shared.values():
+                found.update(reports)
+            found.update(self.reports)
             return found
 
 
--- a/src/briarseam/orders/status.py
+++ b/src/briarseam/orders/status.py
@@ -55,13 +55,13 @@
 def picture_of(
     goal: goals.ModelGoal,
     targets: typing.Sequence[goals.Target],
-    readings: planner.Readings,
+    reports: planner.Reports,
     errands: planner.Errands,
 ) -> dict[str, state.Standing]:
     """Return how each engine stands to one model."""
     return {
         target.name: standing_with_adapter(
-            goal, target, readings, errands.get((target.name, goal.model))
+            goal, target, reports, errands.get((target.name, goal.model))
         )
         for target in targets
     }
@@ -70,28 +70,28 @@
 def standing_with_adapter(
     goal: goals.ModelGoal,
     target: goals.Target,
-    readings: planner.Readings,
+    reports: planner.Reports,
     errand: state.Errand | None,
 ) -> state.Standing:
     """Return how an engine stands; serving only with the adapter."""
-    reading = readings.get(target.name)
-    found = state.standing_of(goal.model, goal.version, reading, errand)
+    report = reports.get(target.name)
+    found = state.standing_of(goal.model, goal.version, report, errand)
     if found is not state.Standing.SERVING or not goal.adapter:
         return found
-    loaded = reading.state.models[goal.model] if reading else None
+    loaded = report.state.models[goal.model] if report else None
     if loaded is not None and goal.adapter in loaded.adapters:
         return found
     return state.Standing.OTHER
 
 
 def progress_of(
-    model: str, readings: planner.Readings
+    model: str, reports: planner.Reports
 ) -> tuple[tuple[str, float], ...]:
     """Return how far the loads of a model are."""
     return tuple(
-        (name, reading.state.models[model].progress)
-        for name, reading in sorted(readings.items())
-        if model in reading.state.models
+        (name, report.state.models[model].progress)
+        for name, report in sorted(reports.items())
+        if model in report.state.models
     )
 
 
--- a/tests/orders/test_offers.py
+++ b/tests/orders/test_offers.py
@@ -9,35 +9,35 @@
 from briarseam.orders import state
 
 
-def reading(version: str | None, *adapters: str) -> state.Reading:
+def report(version: str | None, *adapters: str) -> state.Report:
     loaded = engine_orders.ModelState(version, adapters=adapters)
-    return state.Reading(
+    return state.Report(
         engine_orders.EngineState("boot", {"draft": loaded}), 1.0
     )
 
 
-def offered(wanted: values.Model, former=None, **readings):
+def offered(wanted: values.Model, former=None, **reports):
     targets = [
         goals.Target(name, "127.0.0.1:1", "z", ("draft",))
-        for name in (*readings, "silent")
+        for name in (*reports, "silent")
     ]
-    return offers.offers_of("draft", wanted, targets, readings, former)
+    return offers.offers_of("draft", wanted, targets, reports, former)
 
 
 def test_others_serve_on_until_the_floor_is_reached():
     wanted = values.Model("v2", floor=2)
-    found = offered(wanted, a=reading("v2"), b=reading("v1"))
+    found = offered(wanted, a=report("v2"), b=report("v1"))
     assert found == {"a": state.Offer("v2", ""), "b": state.Offer("v1", "")}
 
 
 def test_only_the_wanted_version_once_the_floor_reports_it():
     wanted = values.Model("v2", floor=2)
-    found = offered(wanted, a=reading("v2"), b=reading("v1"), c=reading("v2"))
+    found = offered(wanted, a=report("v2"), b=report("v1"), c=report("v2"))
     assert set(found) == {"a", "c"}
 
 
 def test_engine_without_weights_offers_nothing():
-    assert offered(values.Model("v2"), a=reading(None)) == {}
+    assert offered(values.Model("v2"), a=report(None)) == {}
 
 
 @pytest.mark.parametrize(
@@ -49,7 +49,7 @@
     found = offered(
         values.Model("v1", "y", floor=2),
         former,
-        a=reading("v1", "x", "y"),
-        b=reading("v1", "x"),
+        a=report("v1", "x", "y"),
+        b=report("v1", "x"),
     )
     assert {name: offer.adapter for name, offer in found.items()} == expected
--- a/tests/orders/test_owner_leaves.py
+++ b/tests/orders/test_owner_leaves.py
@@ -36,7 +36,9 @@
     instances: list[deployment.Instance],
 ) -> list[deployment.Instance]:
     """Return the instances once just one of them polls the engine."""
-    owners = [one for one in instances if one.agent.orders.board.own()]
+    owners = [
+        one for one in instances if one.agent.orders.engine_reports.own()
+    ]
     if len(owners) != 1:
         return []
     return owners + [one for one in instances if one not in owners]
--- a/tests/orders/test_planner.py
+++ b/tests/orders/test_planner.py
@@ -26,10 +26,10 @@
 
 
 VERSIONS = strategies.sampled_from(["v1", "v2", "v3", None])
-READINGS = strategies.one_of(
+REPORTS = strategies.one_of(
     strategies.none(),
     strategies.builds(
-        lambda version, loading, fence: state.Reading(
+        lambda version, loading, fence: state.Report(
             engine_orders.EngineState(
                 "boot",
                 {MODEL: engine_orders.ModelState(version, loading)},
@@ -53,7 +53,7 @@
     ),
 )
 WORKERS = strategies.lists(
-    strategies.tuples(READINGS, ERRANDS), min_size=8, max_size=8
+    strategies.tuples(REPORTS, ERRANDS), min_size=8, max_size=8
 )
 
 
@@ -69,20 +69,20 @@
     A plan that takes one engine too many shows as refused requests.
     """
     scope = scope_of(floor, max_loading)
-    readings = {
-        name: reading
-        for name, (reading, _) in zip(NAMES, workers, strict=True)
-        if reading
+    reports = {
+        name: report
+        for name, (report, _) in zip(NAMES, workers, strict=True)
+        if report
     }
     errands = {
         (name, MODEL): errand
         for name, (_, errand) in zip(NAMES, workers, strict=True)
         if errand
     }
-    plan = planner.Planner(scope, readings, errands, fence=50).plan()
+    plan = planner.Planner(scope, reports, errands, fence=50).plan()
     standings = {
         name: state.standing_of(
-            MODEL, "v2", readings.get(name), errands.get((name, MODEL))
+            MODEL, "v2", reports.get(name), errands.get((name, MODEL))
         )
         for name in NAMES
     }
@@ -95,12 +95,12 @@
     assert not new or len(loading | new) <= max_loading
     assert taken_out == {s.target.name for s in plan.steps if s.lowers}
     for name in ordered:
-        assert readings[name].state.fence <= 50
+        assert reports[name].state.fence <= 50
 
 
 def test_rollout_takes_workers_of_different_zones():
-    readings = {
-        name: state.Reading(
+    reports = {
+        name: state.Report(
             engine_orders.EngineState(
                 "boot", {MODEL: engine_orders.ModelState("v1")}
             ),
@@ -108,7 +108,7 @@
         )
         for name in NAMES
     }
-    plan = planner.Planner(scope_of(1, 3), readings, {}, 50).plan()
+    plan = planner.Planner(scope_of(1, 3), reports, {}, 50).plan()
     assert {step.target.zone for step in plan.steps} == {
         "zone-0",
         "zone-1",
--- a/tests/orders/test_state.py
+++ b/tests/orders/test_state.py
@@ -7,10 +7,10 @@
 from briarseam.orders import state
 
 
-def reading(version, loading=None, asked_s=10.0) -> state.Reading:
+def report(version, loading=None, requested_s=10.0) -> state.Report:
     loaded = engine_orders.ModelState(version, loading)
-    return state.Reading(
-        engine_orders.EngineState("boot", {"draft": loaded}), asked_s
+    return state.Report(
+        engine_orders.EngineState("boot", {"draft": loaded}), requested_s
     )
 
 
@@ -18,11 +18,11 @@
     ("found", "expected"),
     [
         (None, state.Standing.UNREACHABLE),
-        (reading(None), state.Standing.EMPTY),
-        (reading("v1"), state.Standing.OTHER),
-        (reading("v1", "v2"), state.Standing.LOADING),
-        (reading("v2", "v3"), state.Standing.LOADING_OTHER),
-        (reading("v2"), state.Standing.SERVING),
+        (report(None), state.Standing.EMPTY),
+        (report("v1"), state.Standing.OTHER),
+        (report("v1", "v2"), state.Standing.LOADING),
+        (report("v2", "v3"), state.Standing.LOADING_OTHER),
+        (report("v2"), state.Standing.SERVING),
     ],
     ids=lambda value: str(value) if isinstance(value, str) else "",
 )
@@ -36,24 +36,24 @@
     Its answer says that the worker serves, just as it stops serving.
     """
     errand = state.Errand("v2", ended_s=11.0, settled=True)
-    found = state.standing_of("draft", "v2", reading("v1"), errand)
+    found = state.standing_of("draft", "v2", report("v1"), errand)
     assert found is state.Standing.ORDERED
 
 
 def test_older_report_does_not_replace_a_newer_one():
     """A slow poll ends after a quick one that was asked for later."""
-    board = state.Board()
-    board.put("worker-1", reading("v2", asked_s=12.0))
-    board.put("worker-1", reading("v1", asked_s=11.0))
-    assert board.all()["worker-1"] == reading("v2", asked_s=12.0)
+    engine_reports = state.EngineReports()
+    engine_reports.put("worker-1", report("v2", requested_s=12.0))
+    engine_reports.put("worker-1", report("v1", requested_s=11.0))
+    assert engine_reports.all()["worker-1"] == report("v2", requested_s=12.0)
 
 
 def test_reports_ride_on_heartbeats_until_their_member_is_gone():
-    here, there = state.Board(), state.Board()
-    there.put("worker-1", reading("v1"))
+    here, there = state.EngineReports(), state.EngineReports()
+    there.put("worker-1", report("v1"))
     data = sharing.Sharing(there, lambda: 20.0).provide()
     sharing.Sharing(here, lambda: 20.0).consume("agent-2", data)
-    assert here.all()["worker-1"].state == reading("v1").state
+    assert here.all()["worker-1"].state == report("v1").state
     here.keep_members({"agent-2"})
     assert here.all()
     here.keep_members(set())
@@ -65,8 +65,8 @@
 
     Counted from its arrival, the worker would seem to serve.
     """
-    there, here = state.Board(), state.Board()
-    there.put("worker-1", reading("v1", asked_s=10.0))
+    there, here = state.EngineReports(), state.EngineReports()
+    there.put("worker-1", report("v1", requested_s=10.0))
     data = sharing.Sharing(there, lambda: 10.0).provide()
     errand = state.Errand("v2", ended_s=11.0, settled=True)
     sharing.Sharing(here, lambda: 12.0).consume("agent-2", data)
--- a/tests/orders/test_steps.py
+++ b/tests/orders/test_steps.py
@@ -51,15 +51,15 @@
 
 def step(freeze_s: float) -> int:
     world = Frozen(freeze_s=freeze_s)
-    board = state.Board()
-    board.put("worker-1", state.Reading(world.state(""), 0.0))
+    engine_reports = state.EngineReports()
+    engine_reports.put("worker-1", state.Report(world.state(""), 0.0))
     world.now_s = 0.0
     counters = registry.Registry().counters("x_total", "x", ("a", "b"))
     work = rollout.Rollout(
         givers.Tools(
             leases=world,
             engines=world,
-            board=board,
+            engine_reports=engine_reports,
             clock=world.clock,
             note=lambda *args, **fields: None,
             precedence=lambda lease: 0,
