--- a/src/briarseam/compose/agent.py
+++ b/src/briarseam/compose/agent.py
@@ -265,7 +265,7 @@
 
     def ready() -> bool:
         models = reader.view().models
-        return gate() is None and all(map(order_service.tally, models))
+        return gate() is None and all(map(order_service.offer_counts, models))
 
     local_entries = entries.LocalEntries(
         member_service, lookups.ttl_s + member_service.propagation_s, ready
--- a/src/briarseam/compose/orders.py
+++ b/src/briarseam/compose/orders.py
@@ -106,8 +106,8 @@
         While a rollout is under way sessions move to the new version in
         proportion to the engines that have it, and stay there.
         """
-        tally = self.orders.tally(model)
-        return rank.ranked(session, tally, named, lambda one: tally[one])
+        counts = self.orders.offer_counts(model)
+        return rank.ranked(session, counts, named, lambda one: counts[one])
 
     def serves(self, endpoint: str, model: str, offer: state.Offer) -> bool:
         """Tell whether an engine reports what a request has to name."""
--- a/src/briarseam/orders/offers.py
+++ b/src/briarseam/orders/offers.py
@@ -82,6 +82,6 @@
     return None
 
 
-def tally(offered: state.Offers) -> dict[state.Offer, int]:
+def count_offers(offered: state.Offers) -> dict[state.Offer, int]:
     """Return how many engines make each offer."""
     return dict(collections.Counter(offered.values()))
--- a/src/briarseam/orders/service.py
+++ b/src/briarseam/orders/service.py
@@ -30,7 +30,7 @@
 # Enough that not all of them are lost or cut off from the log at once.
 CANDIDATES = 8
 NO_OFFERS: state.Offers = {}
-NO_TALLY: typing.Mapping[state.Offer, int] = {}
+NO_COUNTS: typing.Mapping[state.Offer, int] = {}
 log = structlog.get_logger("briarseam.orders")
 
 
@@ -112,7 +112,7 @@
         self.reports: dict[str, state.Report] = {}
         self.versions: dict[str, dict[str, str]] = {}
         self.offered: dict[str, state.Offers] = {}
-        self.tallies: dict[str, dict[state.Offer, int]] = {}
+        self.counts: dict[str, dict[state.Offer, int]] = {}
         self.stopping = threading.Event()
         self.thread = threading.Thread(
             target=self.run, name="orders", daemon=True
@@ -148,9 +148,9 @@
         """
         return self.offered.get(model, NO_OFFERS)
 
-    def tally(self, model: str) -> typing.Mapping[state.Offer, int]:
+    def offer_counts(self, model: str) -> typing.Mapping[state.Offer, int]:
         """Return how many engines make each offer for a model."""
-        return self.tallies.get(model, NO_TALLY)
+        return self.counts.get(model, NO_COUNTS)
 
     def serves(self, endpoint: str, model: str, offer: state.Offer) -> bool:
         """Tell whether an engine reports what a request has to name."""
@@ -260,7 +260,7 @@
             )
             for name, model in self.seen.models.items()
         }
-        self.tallies = {
-            name: offers.tally(offered)
+        self.counts = {
+            name: offers.count_offers(offered)
             for name, offered in self.offered.items()
         }
--- a/tests/orders/test_owner_leaves.py
+++ b/tests/orders/test_owner_leaves.py
@@ -29,7 +29,7 @@
 
 def offers(instance: deployment.Instance) -> int:
     """Return how many kinds of offers an agent has."""
-    return len(instance.agent.orders.tally(deployment.MODEL))
+    return len(instance.agent.orders.offer_counts(deployment.MODEL))
 
 
 def owner_first(
