--- a/src/briarseam/compose/orders.py
+++ b/src/briarseam/compose/orders.py
@@ -50,7 +50,7 @@
     def cell() -> set[str]:
         return {member.name for member in member_service.live()} | {me}
 
-    def heard() -> set[str]:
+    def reporting() -> set[str]:
         staying = member_service.live(include_leaving=True)
         return {member.name for member in staying}
 
@@ -78,7 +78,7 @@
             precedence=lambda lease: place(lease, everyone()),
             owns=lambda engine: place(engine, cell()) == 0,
             live=cell,
-            heard=heard,
+            reporting=reporting,
             known=everyone,
         ),
     )
@@ -130,7 +130,7 @@
             loading=len(model.loading),
             detail=detail_of(model),
         )
-        for model in order_service.reporting.led()
+        for model in order_service.reporting.led_rollouts()
     )
 
 
--- a/src/briarseam/orders/peers.py
+++ b/src/briarseam/orders/peers.py
@@ -19,7 +19,7 @@
         Whether this process polls an engine for all of them.
     live
         Names of those that share the polling.
-    heard
+    reporting
         Names of those whose reports count: the live ones, and those that
         are leaving.  An owner that shuts down reports its engines until it
         exits; without them this process would have nothing to offer until
@@ -31,7 +31,7 @@
     precedence: typing.Callable[[str], int] = lambda lease: 0
     owns: typing.Callable[[str], bool] = lambda engine: True
     live: typing.Callable[[], typing.Collection[str]] = frozenset
-    heard: typing.Callable[[], typing.Collection[str]] = frozenset
+    reporting: typing.Callable[[], typing.Collection[str]] = frozenset
     known: typing.Callable[[], typing.Collection[str]] = frozenset
 
 
--- a/src/briarseam/orders/reporting.py
+++ b/src/briarseam/orders/reporting.py
@@ -112,7 +112,7 @@
             )
         )
 
-    def led(self) -> tuple[messages.ModelRollout, ...]:
+    def led_rollouts(self) -> tuple[messages.ModelRollout, ...]:
         """Return how far the models are that this process answers for.
 
         Those that it gives orders for, and, first in line, those that no
--- a/src/briarseam/orders/service.py
+++ b/src/briarseam/orders/service.py
@@ -181,7 +181,7 @@
         while something is left to do.
         """
         view = self.view()
-        self.engine_reports.keep_members(self.peers.heard())
+        self.engine_reports.keep_members(self.peers.reporting())
         if view is not self.seen:
             self.take_view(view)
         elif (
