--- a/tests/matrix/test_woken_holder.py
+++ b/tests/matrix/test_woken_holder.py
@@ -68,8 +68,8 @@
                 list(deployment.addresses.values()),
             )
         )
-        deployment.want("v1")
-        deployment.want("v3")
+        deployment.configure("v1")
+        deployment.configure("v3")
         successor = deployment.add_agent()
         deployment.until_all("v3")
         deployment.until_done()
--- a/tests/orders/deployment.py
+++ b/tests/orders/deployment.py
@@ -79,7 +79,7 @@
             self.engines[name] = one
             self.addresses[name] = one.address
 
-    def want(
+    def configure(
         self,
         version: str,
         floor: int = 1,
--- a/tests/orders/test_late_orders.py
+++ b/tests/orders/test_late_orders.py
@@ -32,7 +32,7 @@
     """
     deployment.add_engines(2)
     slow = held_back(deployment, "worker-1", hold=1)
-    deployment.want("v2")
+    deployment.configure("v2")
     agent = deployment.add_agent()
     deployment.until_all("v2")
     deployment.until_done()
@@ -51,10 +51,10 @@
     """
     deployment.add_engines(2, fencing=False)
     slow = held_back(deployment, "worker-1", hold=1)
-    deployment.want("v2")
+    deployment.configure("v2")
     agent = deployment.add_agent()
     deployment.until_all("v2")
-    deployment.want("v3")
+    deployment.configure("v3")
     deployment.until_all("v3")
     deployment.until_done()
     before = len(given(agent, "worker-1", "taken"))
@@ -73,11 +73,11 @@
     """
     deployment.add_engines(3, fencing=False)
     slow = held_back(deployment, "worker-3", hold=100)
-    deployment.want("v2", floor=2)
+    deployment.configure("v2", floor=2)
     agent = deployment.add_agent()
     waiting.until(lambda: given(agent, "worker-3", "lost"))
     assert deployment.versions() == ["v2", "v2", "v1"]
-    deployment.want("v3", floor=2)
+    deployment.configure("v3", floor=2)
     before = len(given(agent, "worker-3", "lost"))
     waiting.until(lambda: len(given(agent, "worker-3", "lost")) > before + 1)
     assert deployment.versions() == ["v2", "v2", "v1"]
@@ -93,7 +93,7 @@
     taken now, a worker would go out beside the next one taken out.
     """
     deployment.add_engines(3)
-    deployment.want("v2", floor=3)
+    deployment.configure("v2", floor=3)
     agent = deployment.add_agent()
     fences = waiting.until(
         lambda: [
--- a/tests/orders/test_rollout.py
+++ b/tests/orders/test_rollout.py
@@ -17,11 +17,11 @@
     load would take longer if more than two ran.
     """
     deployment.add_engines(6)
-    deployment.want("v1", floor=4)
+    deployment.configure("v1", floor=4)
     agents = [deployment.add_agent(place=place) for place in range(2)]
     deployment.until_done()
     sampler = deployment.sampler()
-    deployment.want("v2", floor=4)
+    deployment.configure("v2", floor=4)
     deployment.until_all("v2")
     assert sampler.fewest_serving >= 4
     assert sampler.most_loading == 2
@@ -32,7 +32,7 @@
 def test_floor_that_leaves_none_to_spare_blocks_and_says_so(deployment):
     """The floor equals the number of workers; nothing may be taken out."""
     deployment.add_engines(2)
-    deployment.want("v2", floor=2)
+    deployment.configure("v2", floor=2)
     agent = deployment.add_agent()
     why = "worker-1, worker-2: floor leaves none to spare"
     waiting.until(lambda: agent.orders.status()[0].why == why)
@@ -47,12 +47,12 @@
     configuration still lists three.
     """
     deployment.add_engines(3)
-    deployment.want("v1", floor=2)
+    deployment.configure("v1", floor=2)
     agent = deployment.add_agent()
     deployment.until_done()
     deployment.engines["worker-2"].stop()
     sampler = deployment.sampler()
-    deployment.want("v2", floor=2)
+    deployment.configure("v2", floor=2)
     why = "worker-1, worker-3: floor leaves none to spare"
     waiting.until(lambda: why in agent.orders.status()[0].why)
     assert sampler.most_loading == 0
@@ -61,7 +61,7 @@
 def test_empty_workers_load_though_the_floor_is_not_reached(deployment):
     """A fresh deployment: no worker has weights, the floor cannot hold."""
     deployment.add_engines(3, version="")
-    deployment.want("v1", floor=3)
+    deployment.configure("v1", floor=3)
     deployment.add_agent()
     deployment.until_all("v1")
 
@@ -69,12 +69,12 @@
 def test_two_changes_in_a_row_end_at_the_second(deployment):
     """An operator corrects a version while its first load is under way."""
     deployment.add_engines(4, load_s=0.5)
-    deployment.want("v1")
+    deployment.configure("v1")
     deployment.add_agent()
     deployment.until_done()
-    deployment.want("v2")
+    deployment.configure("v2")
     waiting.until(deployment.loading)
-    deployment.want("v3")
+    deployment.configure("v3")
     deployment.until_all("v3")
     deployment.until_done()
 
@@ -85,12 +85,12 @@
     Setting the former version again frees them at once.
     """
     deployment.add_engines(3, load_s=3600)
-    deployment.want("v1")
+    deployment.configure("v1")
     deployment.add_agent()
     deployment.until_done()
-    deployment.want("no-such")
+    deployment.configure("no-such")
     waiting.until(lambda: len(deployment.loading()) == 2)
-    deployment.want("v1")
+    deployment.configure("v1")
     deployment.until_all("v1")
 
 
@@ -110,11 +110,11 @@
         )
     )
     deployment.add_engines(4, load_s=0.05)
-    deployment.want("v1", floor=3, weights=store.address)
+    deployment.configure("v1", floor=3, weights=store.address)
     deployment.add_agent()
     deployment.until_done()
     sampler = deployment.sampler()
-    deployment.want("v2", floor=3, weights=store.address)
+    deployment.configure("v2", floor=3, weights=store.address)
     deployment.until_all("v2")
     assert sampler.fewest_serving >= 3
 
@@ -126,10 +126,10 @@
     still known, as requests go on.
     """
     deployment.add_engines(6, load_s=1)
-    deployment.want("v1")
+    deployment.configure("v1")
     agent = deployment.add_agent()
     deployment.until_done()
-    deployment.want("v2")
+    deployment.configure("v2")
     waiting.until(deployment.loading)
     deployment.log.set(outage=True)
     waiting.until(lambda: not agent.leases.held())
@@ -148,13 +148,13 @@
     deployment, fencing
 ):
     deployment.add_engines(3, fencing=fencing)
-    deployment.want("v1", floor=2)
+    deployment.configure("v1", floor=2)
     agent = deployment.add_agent()
     deployment.until_done()
     sampler = deployment.sampler()
     for one in deployment.engines.values():
         one.set(lose_answers=1)
-    deployment.want("v2", floor=2)
+    deployment.configure("v2", floor=2)
     deployment.until_all("v2")
     deployment.until_done()
     assert sampler.fewest_serving >= 2
@@ -166,23 +166,23 @@
 
 def test_engine_that_restarts_empty_is_loaded_again(deployment):
     deployment.add_engines(2)
-    deployment.want("v1")
+    deployment.configure("v1")
     deployment.add_agent()
     deployment.until_done()
     deployment.engines["worker-1"].stop()
     del deployment.engines["worker-1"]
     deployment.add_engines(1, version="")
     deployment.addresses["worker-1"] = deployment.addresses.pop("worker-2")
-    deployment.want("v1")
+    deployment.configure("v1")
     deployment.until_all("v1")
 
 
 def test_adapter_and_role_reach_every_worker(deployment):
     deployment.add_engines(3)
-    deployment.want("v1")
+    deployment.configure("v1")
     agent = deployment.add_agent()
     deployment.until_done()
-    deployment.want("v1", adapter="kitchen", role="prefill")
+    deployment.configure("v1", adapter="kitchen", role="prefill")
     waiting.until(
         lambda: all(
             one.weights.state().role == "prefill"
@@ -209,7 +209,7 @@
     engine_orders.EngineOrders().give(
         stray.address, engine_orders.Load(MODEL, "v1", None), "stray", 10**6
     )
-    deployment.want("v2")
+    deployment.configure("v2")
     agent = deployment.add_agent()
     waiting.until(lambda: deployment.versions() == ["v2", "v1", "v2"])
     why = "worker-2: has a higher fencing number"
@@ -223,10 +223,10 @@
     It sees workers differ from what it believes is wanted.
     """
     deployment.add_engines(2)
-    old_view = deployment.want("v1")
+    old_view = deployment.configure("v1")
     deployment.add_agent()
     deployment.until_done()
-    deployment.want("v2")
+    deployment.configure("v2")
     deployment.until_all("v2")
     deployment.until_done()
     lagging = deployment.add_agent(view=lambda: old_view)
