--- a/src/briarseam/placement/cell_loads.py
+++ b/src/briarseam/placement/cell_loads.py
@@ -1,10 +1,11 @@
-"""Telling other cells the work of this one.
-
-Heartbeats tell each instance's work within its cell.  At a large site that
-is a third of the work at each engine or less; taken for all of it, engines
-fill up, and estimated from it, the number varies too much to choose by.
-So one instance of each cell tells the others what its cell has at each
-endpoint, and what it is told rides on its heartbeats.
+"""Exchange of endpoint loads between cells.
+
+Heartbeats carry each instance's load within its own cell only.  At a large
+site a cell sees a third or less of the load of each engine.  Taken for the
+whole load it lets engines fill up, and an estimate extrapolated from it is
+too noisy to choose engines by.  One instance of each cell therefore sends
+its cell's load per endpoint to one instance of every other cell, which
+passes it on in its heartbeats.
 """
 
 from __future__ import annotations
@@ -24,30 +25,31 @@
 if typing.TYPE_CHECKING:
     import collections.abc
 
-# As often as heartbeats: what other cells know is as old as two of them.
-TELL_S = 0.5
-# What a cell told counts for so long: it may miss a few of these.
-TRUST_S = 3.0
+# Equal to the heartbeat interval: loads of other cells are at most two
+# heartbeats old.
+PUBLISH_INTERVAL_S = 0.5
+# Maximum age of another cell's load; tolerates a few lost messages.
+MAX_AGE_S = 3.0
 log = structlog.get_logger("briarseam.placement")
 
 Number = load_module.Number
 Row = tuple[str, Number, Number, Number, Number]
-Told = list[tuple[str, int, tuple[Row, ...]]]
+SectionRows = list[tuple[str, int, tuple[Row, ...]]]
 
 
 @codec.message("cell-load")
 class CellLoad(msgspec.Struct, frozen=True):
-    """Tell another cell the work of one.
+    """Load of one cell, sent to another cell.
 
     Attributes
     ----------
     cell
-        Whose work.
+        Name of the cell.
     instances
-        How many instances it has.
+        Number of instances in the cell.
     rows
         For each endpoint its id, requests, waiting tokens, running streams
-        and tokens in memory, as in :class:`briarseam.placement.loads.Load`.
+        and memory tokens, as in :class:`briarseam.placement.loads.Load`.
     """
 
     cell: str
@@ -57,43 +59,43 @@
 
 @codec.message("cell-load-noted")
 class CellLoadNoted(msgspec.Struct, frozen=True):
-    """Reply that carries nothing but that the work was taken in."""
+    """Acknowledges a cell's load."""
 
 
 class Cells(typing.Protocol):
-    """The cell of this instance, and one instance of each other."""
+    """The local cell, and one instance of each other cell."""
 
     def name(self) -> str:
-        """Return the name of this cell; empty before peers are met."""
+        """Return the local cell's name; empty before peers are known."""
 
     def size(self) -> int:
-        """Return how many instances this cell has."""
+        """Return the number of instances in the local cell."""
 
     def is_speaker(self) -> bool:
-        """Tell whether this instance is the one that tells."""
+        """Return whether this instance publishes for its cell."""
 
     def addresses(self) -> collections.abc.Sequence[str]:
-        """Return where to reach one instance of each other cell."""
+        """Return the address of one instance of each other cell."""
 
     def publish_load(self, address: str, message: CellLoad) -> None:
-        """Tell an instance.
+        """Send the load of the local cell to an instance.
 
         Raises
         ------
         NoReplyError
-            When it may not have been reached.
+            If the instance may not have received it.
         """
 
 
 class CellLoads:
-    """Tells other cells the work of this one, and takes in theirs.
+    """Publishes the local cell's load and applies those of other cells.
 
     Parameters
     ----------
     loads
-        What is known of endpoints' work.
+        Known load of endpoints.
     cells
-        This cell and calls to others.
+        The local cell, and calls to other cells.
     clock
         Seconds.
     """
@@ -107,81 +109,85 @@
         self.loads = loads
         self.cells = cells
         self.clock = clock
-        self.told: dict[str, tuple[CellLoad, float]] = {}
-        self.untold: frozenset[str] = frozenset()
-        self.telling = repeating.Repeater("cell-loads", self.review, TELL_S)
+        self.received: dict[str, tuple[CellLoad, float]] = {}
+        self.unreached: frozenset[str] = frozenset()
+        self.publishing = repeating.Repeater(
+            "cell-loads", self.review, PUBLISH_INTERVAL_S
+        )
 
     def start(self) -> None:
-        """Begin telling."""
-        self.telling.start()
+        """Start publishing."""
+        self.publishing.start()
 
     def stop(self) -> None:
-        """Tell nothing further."""
-        self.telling.stop()
+        """Stop publishing."""
+        self.publishing.stop()
 
     def review(self) -> None:
-        """Forget what is old; tell if that falls to this instance."""
+        """Drop expired loads; publish if this instance is the speaker."""
         self.forget_old()
         if self.cells.is_speaker():
-            self.tell_all()
+            self.publish()
 
-    def tell_all(self) -> None:
-        """Tell one instance of each other cell."""
+    def publish(self) -> None:
+        """Send the local cell's load to one instance of each other cell."""
         addresses = self.cells.addresses()
         if not addresses:
             return
         rows = tuple(
             (name, *dataclasses.astuple(load))
-            for name, load in self.loads.here().items()
+            for name, load in self.loads.cell_loads().items()
         )
         message = CellLoad(self.cells.name(), self.cells.size(), rows)
-        untold = set()
+        unreached = set()
         for address in addresses:
             try:
                 self.cells.publish_load(address, message)
             except replies.NoReplyError as error:
-                untold.add(address)
-                if address not in self.untold:
+                unreached.add(address)
+                if address not in self.unreached:
                     log.warning(
                         "cell_not_told", address=address, detail=str(error)
                     )
-        self.untold = frozenset(untold)
+        self.unreached = frozenset(unreached)
 
     def answer(self, message: CellLoad) -> CellLoadNoted:
-        """Take in what another cell told this instance."""
-        self.told[message.cell] = (message, self.clock())
-        self.take(message)
+        """Apply a message from another cell."""
+        self.received[message.cell] = (message, self.clock())
+        self.apply(message)
         return CellLoadNoted()
 
-    def take(self, message: CellLoad) -> None:
-        """Take in the work of another cell, however it came here."""
+    def apply(self, message: CellLoad) -> None:
+        """Apply another cell's load, received directly or from a peer."""
         if message.cell == self.cells.name():
             return
-        work = {
+        loads = {
             name: load_module.Load(*numbers) for name, *numbers in message.rows
         }
-        self.loads.take_cell(message.cell, work, message.instances)
+        self.loads.set_cell(message.cell, loads, message.instances)
 
     def provide(self) -> bytes:
-        """Return what other cells told this instance, for its cell."""
+        """Return the loads received from other cells, for this cell."""
         rows = [
             (message.cell, message.instances, message.rows)
-            for message, _at_s in list(self.told.values())
+            for message, _at_s in list(self.received.values())
         ]
         return msgspec.msgpack.encode(rows)
 
     def consume(self, member: str, data: bytes) -> None:
-        """Take in what other cells told a peer."""
+        """Apply the loads that a peer received from other cells."""
         del member
-        for cell, instances, rows in msgspec.msgpack.decode(data, type=Told):
-            self.take(CellLoad(cell, instances, rows))
+        for cell, instances, rows in msgspec.msgpack.decode(
+            data, type=SectionRows
+        ):
+            self.apply(CellLoad(cell, instances, rows))
 
     def forget_old(self) -> None:
-        """Forget what was told too long ago."""
-        oldest_s = self.clock() - TRUST_S
-        self.told = {
+        """Drop loads of other cells that have expired."""
+        oldest_s = self.clock() - MAX_AGE_S
+        self.received = {
             cell: (message, at_s)
-            for cell, (message, at_s) in list(self.told.items())
+            for cell, (message, at_s) in list(self.received.items())
             if at_s > oldest_s
         }
-        self.loads.forget_cells(TRUST_S)
+        self.loads.expire_cells(MAX_AGE_S)
--- a/src/briarseam/placement/cell_weights.py
+++ b/src/briarseam/placement/cell_weights.py
@@ -1,8 +1,8 @@
-"""Telling other cells which engines are being given new weights.
+"""Exchange of weight changes between cells.
 
-Heartbeats tell it within the cell of the instance that gives orders.  The
-other cells would go on sending prompts to an engine that takes none until it
-has loaded.
+Heartbeats carry them only within the cell of the instance that issues
+orders.  Without this exchange other cells would keep sending prompts to an
+engine that accepts none until it has loaded its weights.
 """
 
 from __future__ import annotations
@@ -20,29 +20,30 @@
 if typing.TYPE_CHECKING:
     import collections.abc
 
-# An order is given 0.6 s after the word that an engine takes no work, and
-# heartbeats, which tell what another cell told, are half a second apart.
-REVIEW_S = 0.1
-# A word counts for three seconds, and a load of weights takes longer.
-REPEAT_S = 1.0
-# What was told rides on heartbeats until it should have been repeated: its
-# teller may be gone, and engines without work are missed.
+# An order is issued 0.6 s after the engine is announced as taking no work.
+# Heartbeats, which relay what other cells publish, are 0.5 s apart, so 0.1 s
+# remain.
+REVIEW_INTERVAL_S = 0.1
+# A published change expires after 3 s, and loading weights takes longer.
+REPEAT_INTERVAL_S = 1.0
+# Heartbeats relay a change only until its next repetition is overdue.  Its
+# sender may be gone, and the engine would stay without work.
 RELAY_S = 1.5
 log = structlog.get_logger("briarseam.placement")
 
-Told = list[tuple[str, bytes]]
+SectionRows = list[tuple[str, bytes]]
 
 
 @codec.message("cell-weights")
 class WeightsTold(msgspec.Struct, frozen=True):
-    """Tell another cell what an instance does to engines' weights.
+    """Changes that an instance makes to engines' weights.
 
     Attributes
     ----------
     teller
         Name of the instance.
     content
-        What its heartbeats tell of weights.
+        The weights section of its heartbeats.
     """
 
     teller: str
@@ -51,53 +52,53 @@
 
 @codec.message("cell-weights-noted")
 class WeightsNoted(msgspec.Struct, frozen=True):
-    """Reply that carries nothing but that it was taken in."""
+    """Acknowledges weight changes."""
 
 
 class KnownWeights(typing.Protocol):
-    """What an instance knows of engines' weights.
+    """An instance's view of engines' weights.
 
     Attributes
     ----------
     changing
-        Engines that this instance is giving new weights.
+        Engines whose weights this instance is replacing.
     own
-        Weights by engine and model, as this instance found them.
+        Weight versions by engine and model, as observed by this instance.
     """
 
     changing: set[str]
     own: dict[tuple[str, str], int]
 
     def provide(self) -> bytes:
-        """Return what others should know."""
+        """Return the local state to publish."""
 
     def consume(self, member: str, data: bytes) -> None:
-        """Take in what another instance knows."""
+        """Apply the published state of another instance."""
 
 
 class OtherCells(typing.Protocol):
     """One instance of each other cell."""
 
     def addresses(self) -> collections.abc.Sequence[str]:
-        """Return where to reach one instance of each other cell."""
+        """Return the address of one instance of each other cell."""
 
     def publish_weights(self, address: str, message: WeightsTold) -> None:
-        """Tell an instance.
+        """Send weight changes to an instance.
 
         Raises
         ------
         NoReplyError
-            When it may not have been taken in.
+            If the instance may not have applied them.
         """
 
 
 class CellWeights:
-    """Tells other cells what changes here, and takes in what they tell.
+    """Publishes weight changes to other cells and applies theirs.
 
     Parameters
     ----------
     known_weights
-        What is known of engines' weights.
+        This instance's view of engines' weights.
     cells
         Calls to other cells.
     me
@@ -110,101 +111,101 @@
         self,
         known_weights: KnownWeights,
         cells: OtherCells,
-        me: str,
+        local_name: str,
         clock: typing.Callable[[], float] = clocks.boot_clock,
     ) -> None:
         self.known_weights = known_weights
         self.cells = cells
-        self.me = me
+        self.local_name = local_name
         self.clock = clock
         self.changing: frozenset[str] = frozenset()
         self.own: dict[tuple[str, str], int] = {}
-        self.told_s = 0.0
-        self.untold: frozenset[str] = frozenset()
-        self.heard: dict[str, tuple[bytes, float]] = {}
+        self.published_s = 0.0
+        self.unreached: frozenset[str] = frozenset()
+        self.received: dict[str, tuple[bytes, float]] = {}
         self.reviews = repeating.Repeater(
-            "cell-weights", self.review, REVIEW_S
+            "cell-weights", self.review, REVIEW_INTERVAL_S
         )
 
     def start(self) -> None:
-        """Begin telling."""
+        """Start publishing."""
         self.reviews.start()
 
     def stop(self) -> None:
-        """Tell nothing further."""
+        """Stop publishing."""
         self.reviews.stop()
 
     def review(self) -> None:
-        """Tell what has changed, and again while an engine is changed."""
-        # Copies of a set and a dict are atomic, other threads change both.
+        """Publish changes, and repeat them while an engine is changing."""
+        # Copying a set or a dict is atomic; other threads modify both.
         changing = frozenset(self.known_weights.changing)
         own = dict(self.known_weights.own)
         changed = changing != self.changing or own != self.own
-        pending = bool(changing or self.untold)
-        repeat_s = self.told_s + REPEAT_S
+        pending = bool(changing or self.unreached)
+        repeat_s = self.published_s + REPEAT_INTERVAL_S
         if changed or (pending and self.clock() >= repeat_s):
             self.changing = changing
             self.own = own
-            self.told_s = self.clock()
-            self.tell_all(changed)
+            self.published_s = self.clock()
+            self.publish(changed)
 
-    def tell_all(self, changed: bool) -> None:
-        """Tell one instance of each other cell.
+    def publish(self, changed: bool) -> None:
+        """Send the local state to one instance of each other cell.
 
         Parameters
         ----------
         changed
-            Whether it is news; the log is to hold it once.
+            Whether the state is new; repetitions are not logged.
         """
         addresses = self.cells.addresses()
         if not addresses:
-            self.untold = frozenset()
+            self.unreached = frozenset()
             return
-        message = WeightsTold(self.me, self.known_weights.provide())
-        untold = set()
+        message = WeightsTold(self.local_name, self.known_weights.provide())
+        unreached = set()
         for address in addresses:
             try:
                 self.cells.publish_weights(address, message)
             except replies.NoReplyError as error:
-                untold.add(address)
-                if address not in self.untold:
+                unreached.add(address)
+                if address not in self.unreached:
                     log.warning(
                         "cell_not_told_weights",
                         address=address,
                         detail=str(error),
                     )
-        self.untold = frozenset(untold)
+        self.unreached = frozenset(unreached)
         if changed:
             log.info(
                 "cells_told_weights",
                 changing=sorted(self.changing),
                 cells=len(addresses),
-                untold=len(untold),
+                untold=len(unreached),
             )
 
     def answer(self, message: WeightsTold) -> WeightsNoted:
-        """Take in what an instance of another cell told this one."""
-        self.heard[message.teller] = (message.content, self.clock())
+        """Apply a message from an instance of another cell."""
+        self.received[message.teller] = (message.content, self.clock())
         self.known_weights.consume(message.teller, message.content)
         return WeightsNoted()
 
     def provide(self) -> bytes:
-        """Return what other cells told this instance, for its cell."""
+        """Return the changes received from other cells, for this cell."""
         oldest_s = self.clock() - RELAY_S
-        self.heard = {
+        self.received = {
             teller: (content, at_s)
-            for teller, (content, at_s) in list(self.heard.items())
+            for teller, (content, at_s) in list(self.received.items())
             if at_s > oldest_s
         }
-        told = [
+        rows = [
             (teller, content)
-            for teller, (content, _at_s) in list(self.heard.items())
+            for teller, (content, _at_s) in list(self.received.items())
         ]
-        return msgspec.msgpack.encode(told)
+        return msgspec.msgpack.encode(rows)
 
     def consume(self, member: str, data: bytes) -> None:
-        """Take in what other cells told a peer."""
+        """Apply the changes that a peer received from other cells."""
         del member
-        for teller, content in msgspec.msgpack.decode(data, type=Told):
-            if teller != self.me:
+        for teller, content in msgspec.msgpack.decode(data, type=SectionRows):
+            if teller != self.local_name:
                 self.known_weights.consume(teller, content)
--- a/src/briarseam/placement/chooser.py
+++ b/src/briarseam/placement/chooser.py
@@ -14,22 +14,23 @@
 from briarseam.placement import fetching
 from briarseam.placement import kept as kept_module
 from briarseam.placement import loads as load_module
-from briarseam.placement import reading
+from briarseam.placement import mean_sizes
+from briarseam.placement import prefill_time
 from briarseam.placement import requests
 from briarseam.placement import residency as residencies
-from briarseam.placement import usual_sizes
 from briarseam.weights import engine_weights
 
 if typing.TYPE_CHECKING:
     from briarseam.discovery import model as discovery
 
-# An endpoint that could not be reached, or broke off, is left alone for
-# this long if there are others: about as long as a restart takes.
+# An endpoint that was unreachable or broke off an answer is avoided for about
+# the time that a restart takes, unless there is no other.
 AVOID_S = 1.0
-# Up to so many engines all are compared for each prompt; of more, so many at
-# a time.  Two choices already keep the busiest near the mean.
-FEW_ENGINES = 8
-CHOICES = 3
+# Up to COMPARE_ALL_MAX engines are all compared for each prompt; more are
+# compared in groups of GROUP_SIZE.  Two choices already keep the load of the
+# busiest engine near the mean.
+COMPARE_ALL_MAX = 8
+GROUP_SIZE = 3
 RETRY_AFTER_S = 0.5
 TOO_LARGE = verdict.NotRun(
     verdict.Reason.OVERLOADED, "the prompt exceeds the engines' memory"
@@ -37,20 +38,20 @@
 
 
 class Chooser:
-    """Chooses endpoints; thread-safe.
+    """Chooses the endpoint for each request; thread-safe.
 
     Parameters
     ----------
     endpoints
-        Returns the endpoints of a service that take new work.
+        Returns the endpoints of a service that accept new requests.
     required
-        Returns the oldest weights of a model that may still be used.
+        Returns the oldest weight version of a model that may still be used.
     known_weights
-        Which weights engines have, and which take none just now.
+        Weight versions of engines, and engines that are changing weights.
     endpoints_age_s
-        Returns the time since the endpoints were read, in seconds.
+        Returns the time since the list of endpoints was read, in seconds.
     loads
-        Work at endpoints.
+        Load of endpoints.
     clock
         Seconds.
     """
@@ -73,20 +74,20 @@
         self.endpoints_age_s = endpoints_age_s
         self.kept_index = kept_module.KeptIndex(clock)
         self.avoided: dict[str, float] = {}
-        self.usual_sizes = usual_sizes.UsualSizes()
-        self.readings: dict[str, reading.ReadingTime] = {}
+        self.mean_sizes = mean_sizes.MeanSizes()
+        self.prefill_times: dict[str, prefill_time.PrefillTime] = {}
 
     def record_arrival(self, request: requests.Request) -> None:
-        """Take in what a request that has just arrived tells of its kind."""
+        """Update the mean prompt size of a new request's route."""
         prompt = request.call.prompt
         if prompt is not None:
             tokens = requests.memory_of(prompt)
-            self.usual_sizes.note(request.route.name, tokens)
+            self.mean_sizes.record(request.route.name, tokens)
 
     def choose(
         self, request: requests.Request
     ) -> requests.Placement | requests.NoCapacity | verdict.NotRun:
-        """Return where a request goes, or why nowhere."""
+        """Return the placement of a request, or why it has none."""
         candidates = [
             endpoint
             for endpoint in self.endpoints(request.service.name)
@@ -95,31 +96,31 @@
         if not candidates:
             return verdict.NotRun(
                 verdict.Reason.NO_ENDPOINT,
-                "no endpoint of the service takes work",
+                "no endpoint of the service accepts requests",
                 RETRY_AFTER_S,
             )
         now_s = self.clock()
-        good = [
+        preferred = [
             endpoint
             for endpoint in candidates
             if self.avoided.get(endpoint.id, 0.0) <= now_s
         ]
         prompt = request.call.prompt
         if prompt is None:
-            return self.place_plain(request, good or candidates)
+            return self.place_without_prompt(request, preferred or candidates)
         if not requests.can_fit(request, prompt):
             return TOO_LARGE
-        good = [
+        preferred = [
             endpoint
-            for endpoint in good
+            for endpoint in preferred
             if not self.known_weights.is_changing(endpoint.id)
         ]
-        return self.place_prompt(request, prompt, good or candidates)
+        return self.place_prompt(request, prompt, preferred or candidates)
 
-    def place_plain(
+    def place_without_prompt(
         self, request: requests.Request, candidates: list[discovery.Endpoint]
     ) -> requests.Placement:
-        """Place a request on the endpoint with the fewest per slot."""
+        """Place a request where there are the fewest requests per slot."""
         best = min(
             candidates,
             key=lambda endpoint: (
@@ -129,7 +130,7 @@
         )
         return requests.Placement(
             best,
-            self.instruct(request, best),
+            self.instructions_for(request, best),
             load=self.loads.of(best.id),
             endpoints_age_s=self.endpoints_age_s(),
         )
@@ -140,16 +141,17 @@
         prompt: calls.Prompt,
         candidates: list[discovery.Endpoint],
     ) -> requests.Placement | requests.NoCapacity:
-        """Place a prompt where it will be read soonest.
+        """Place a prompt where it will be prefilled soonest.
 
-        Of many engines only a few are compared, the session's own, and the
-        next ones while these are full or have old weights.  What is known
-        of others' work is up to 1.5 s old: were all compared, all instances
-        would send to the same idlest one until they know better.
+        Of many engines only a few are compared: the session's own first, and
+        further ones while these are full or have old weights.  Other
+        instances' loads are known up to 1.5 s late; if all engines were
+        compared, all instances would choose the same least loaded engine
+        until they learn of each other's requests.
         """
         key = requests.session_of(prompt)
-        # By name, which all instances know alike also while only some of
-        # them have heard of a restart.
+        # Ranks by name, on which all instances agree even while only some of
+        # them have learned of an engine's restart.
         ranked = rank.ranked(
             key, candidates, lambda endpoint: endpoint.start.name
         )
@@ -161,41 +163,41 @@
             version: self.plan(request, prompt, version)
             for version in set(versions.values())
         }
-        usual_tokens = self.usual_sizes.of(request.route.name)
-        if usual_tokens is None:
-            usual_tokens = requests.memory_of(prompt)
-        ask = cost.PromptAsk(
+        typical_tokens = self.mean_sizes.of(request.route.name)
+        if typical_tokens is None:
+            typical_tokens = requests.memory_of(prompt)
+        query = cost.PlacementQuery(
             request=request,
             prompt=prompt,
             home=ranked[0].id,
             parts=tuple((part.id, part.tokens) for part in prompt.parts),
-            usual_tokens=usual_tokens,
-            most_fill=requests.fill_limit(usual_tokens),
+            typical_tokens=typical_tokens,
+            max_fill=requests.fill_limit(typical_tokens),
             versions=versions,
             newest=max(versions.values()),
             required=self.required(prompt.model),
             plans=plans,
         )
-        size = CHOICES if len(ranked) > FEW_ENGINES else len(ranked)
+        size = GROUP_SIZE if len(ranked) > COMPARE_ALL_MAX else len(ranked)
         best: cost.Candidate | None = None
-        without_room: list[cost.Candidate] = []
+        rejected: list[cost.Candidate] = []
         for first in range(0, len(ranked), size):
             for endpoint in ranked[first : first + size]:
-                found = self.candidate(ask, endpoint)
-                if not ask.may_go(found):
-                    without_room.append(found)
-                elif best is None or found.cost < best.cost:
-                    best = found
-            if best is not None and not best.is_old:
+                candidate = self.candidate(query, endpoint)
+                if not query.allows(candidate):
+                    rejected.append(candidate)
+                elif best is None or candidate.cost < best.cost:
+                    best = candidate
+            if best is not None and not best.has_old_weights:
                 break
         if best is None:
-            return cost.full(ask, without_room)
-        return self.placement(ask, best)
+            return cost.no_capacity(query, rejected)
+        return self.placement(query, best)
 
     def plan(
         self, request: requests.Request, prompt: calls.Prompt, version: int
     ) -> cost.VersionPlan:
-        """Return what is the same on all engines with the same weights."""
+        """Return the plan for all engines with the same weight version."""
         salt = requests.salt_of(request, version)
         if not version:
             return cost.VersionPlan(salt, kept_module.NOTHING)
@@ -204,45 +206,50 @@
         )
 
     def candidate(
-        self, ask: cost.PromptAsk, endpoint: discovery.Endpoint
+        self, query: cost.PlacementQuery, endpoint: discovery.Endpoint
     ) -> cost.Candidate:
-        """Return what it would mean to run a prompt on an engine."""
+        """Return a prompt's cost and fit on an engine."""
         load = self.loads.of(endpoint.id)
-        salt = ask.plans[ask.versions[endpoint.id]].salt
-        held = self.residency.held_tokens(endpoint.id, salt, ask.parts)
-        return cost.candidate(ask, endpoint, load, held)
+        salt = query.plans[query.versions[endpoint.id]].salt
+        held = self.residency.held_tokens(endpoint.id, salt, query.parts)
+        return cost.candidate(query, endpoint, load, held)
 
-    def reading_time(self, request: requests.Request) -> reading.ReadingTime:
-        """Return how fast the engines of a request's service read."""
+    def prefill_time_of(
+        self, request: requests.Request
+    ) -> prefill_time.PrefillTime:
+        """Return the prefill time estimate of a request's service."""
         name = request.service.name
-        found = self.readings.get(name)
-        if found is None:
-            # Two threads may both find none: the first one's stays.
-            found = self.readings.setdefault(name, reading.ReadingTime())
-        return found
+        times = self.prefill_times.get(name)
+        if times is None:
+            # If two threads get here at once, the first one's object stays.
+            times = self.prefill_times.setdefault(
+                name, prefill_time.PrefillTime()
+            )
+        return times
 
     def placement(
-        self, ask: cost.PromptAsk, chosen: cost.Candidate
+        self, query: cost.PlacementQuery, chosen: cost.Candidate
     ) -> requests.Placement:
-        """Return the placement of a prompt on the engine that was chosen."""
+        """Return the placement of a prompt on the chosen engine."""
         stores = chosen.plan.stores
-        version = ask.versions[chosen.endpoint.id]
-        times = self.reading_time(ask.request)
-        waiting_s = times.of(chosen.load.waiting_tokens)
+        version = query.versions[chosen.endpoint.id]
+        times = self.prefill_time_of(query.request)
+        waiting_s = times.seconds(chosen.load.waiting_tokens)
         late_after_s = fetching.late_after_s(
-            ask.request.aim_left_s,
-            waiting_s + times.of(ask.prompt.input_tokens - chosen.held_tokens),
-            waiting_s + times.of(chosen.fetched_tokens),
+            query.request.target_remaining_s,
+            waiting_s
+            + times.seconds(query.prompt.input_tokens - chosen.held_tokens),
+            waiting_s + times.seconds(chosen.fetched_tokens),
         )
         instructions = dataclasses.replace(
-            self.instruct(ask.request, chosen.endpoint, version),
+            self.instructions_for(query.request, chosen.endpoint, version),
             fetch_from=(*stores.fetch_from, ""),
             save_to=(*stores.save_to, ""),
         )
         return requests.Placement(
             chosen.endpoint,
             instructions,
-            chosen.missing_tokens,
+            chosen.prefill_tokens,
             chosen.held_tokens,
             chosen.fetched_tokens,
             late_after_s,
@@ -251,17 +258,17 @@
         )
 
     def version_of(self, endpoint: discovery.Endpoint, model: str) -> int:
-        """Return an engine's weights, as far as known."""
+        """Return an engine's last known weight version of a model."""
         announced = endpoint.versions.get(model, 0)
         return self.known_weights.version(endpoint.id, model, announced)
 
-    def instruct(
+    def instructions_for(
         self,
         request: requests.Request,
         endpoint: discovery.Endpoint,
         version: int = 0,
     ) -> calls.Instructions:
-        """Return what to tell an endpoint about a request."""
+        """Return the instructions that an endpoint gets with a request."""
         organisation = request.organisation
         priority = request.route.priority
         if organisation is not None and organisation.priority is not None:
@@ -278,7 +285,7 @@
     def record_start(
         self, placement: requests.Placement, call: calls.Call
     ) -> load_module.Load:
-        """Count a request that is about to be sent; return what it adds."""
+        """Count a request that is about to be sent; return its load."""
         prompt = call.prompt
         if prompt is None:
             added = load_module.Load(requests=1)
@@ -288,12 +295,12 @@
                 prompt.shared,
                 placement.instructions.save_to,
             )
-            self.kept_index.health.note_begun(
+            self.kept_index.health.record_start(
                 placement.sources(), call.id, placement.fetch_late_s
             )
             added = load_module.Load(
                 requests=1,
-                waiting_tokens=placement.missing_tokens,
+                waiting_tokens=placement.prefill_tokens,
                 memory_tokens=requests.memory_of(prompt),
             )
         self.loads.add(placement.endpoint.id, added)
@@ -306,10 +313,10 @@
         added: load_module.Load,
         took_s: float,
     ) -> load_module.Load:
-        """Note that an engine has read a prompt; return what it adds now."""
-        begun = dataclasses.replace(added, waiting_tokens=0, running=1)
-        self.loads.add(placement.endpoint.id, begun.minus(added))
-        self.learn(placement, request, took_s)
+        """Record that an endpoint began to answer; return the new load."""
+        running = dataclasses.replace(added, waiting_tokens=0, running=1)
+        self.loads.add(placement.endpoint.id, running.minus(added))
+        self.update_estimates(placement, request, took_s)
         prompt = request.call.prompt
         if prompt is not None and request.service.engine is not None:
             self.residency.record(
@@ -318,25 +325,25 @@
                 [(part.id, part.tokens) for part in prompt.parts],
                 request.service.engine.cache_tokens,
             )
-        return begun
+        return running
 
-    def learn(
+    def update_estimates(
         self,
         placement: requests.Placement,
         request: requests.Request,
         took_s: float,
     ) -> None:
-        """Take in what the time to a first event tells."""
-        times = self.reading_time(request)
-        tokens = placement.load.waiting_tokens + placement.missing_tokens
+        """Update the estimates with the time to a first event."""
+        times = self.prefill_time_of(request)
+        tokens = placement.load.waiting_tokens + placement.prefill_tokens
         sources = placement.sources()
         if not sources:
-            times.note(tokens, took_s)
+            times.record(tokens, took_s)
             return
-        # What it had to read comes after the fetch.
-        in_time = took_s <= placement.fetch_late_s + times.of(tokens)
-        self.kept_index.health.note_over(sources, request.call.id)
-        self.kept_index.health.note_first_event(sources, in_time)
+        # The engine prefills the remaining tokens after the fetch.
+        in_time = took_s <= placement.fetch_late_s + times.seconds(tokens)
+        self.kept_index.health.record_end(sources, request.call.id)
+        self.kept_index.health.record_first_event(sources, in_time)
 
     def record_end(
         self,
@@ -344,16 +351,16 @@
         call: calls.Call,
         added: load_module.Load,
     ) -> None:
-        """Take back what a request added that has left its endpoint."""
-        self.kept_index.health.note_over(placement.sources(), call.id)
-        self.loads.take(placement.endpoint.id, added)
+        """Remove the load of a request that has ended."""
+        self.kept_index.health.record_end(placement.sources(), call.id)
+        self.loads.subtract(placement.endpoint.id, added)
 
     def avoid(self, endpoint: str) -> None:
-        """Leave an endpoint alone for a while."""
+        """Avoid an endpoint for AVOID_S, unless there is no other."""
         self.avoided[endpoint] = self.clock() + AVOID_S
 
     def forget_old(self, endpoints: typing.Collection[str]) -> None:
-        """Forget all endpoints but these, and what counts no longer."""
+        """Drop all endpoints but these, and expired entries."""
         now_s = self.clock()
         self.residency.keep_only(endpoints)
         self.kept_index.forget_old()
--- a/src/briarseam/placement/cost.py
+++ b/src/briarseam/placement/cost.py
@@ -1,4 +1,4 @@
-"""What a prompt costs on an engine, and whether it may go there."""
+"""Cost of a prompt on an engine, and whether the engine may take it."""
 
 from __future__ import annotations
 
@@ -13,42 +13,39 @@
     from briarseam.placement import kept as kept_module
     from briarseam.placement import loads as load_module
 
-# Reading a prompt while a stream runs takes about as much longer as reading
-# this many tokens more: one step with a slot more takes 0.1 ms of the 9 ms
-# that a piece of 1,024 tokens takes, over the ten steps that a prompt needs.
-TOKENS_PER_STREAM = 100
-# A prompt that no endpoint holds goes to the endpoint that ranks first for
-# its session unless that has this much more to read than another: about the
-# shared part of a large prompt.  Not varied in a measurement.
+# Each running stream delays a prefill by about this many tokens: a step with
+# one more slot takes 0.1 ms more, a piece of 1,024 tokens takes 9 ms, and a
+# prompt needs ten steps.
+STREAM_COST_TOKENS = 100
+# Advantage of the engine that ranks first for a session, so that a prompt
+# that no engine holds goes there: about the shared part of a large prompt.
 HOME_BONUS_TOKENS = 6000
-# An answer that begins on older weights than others have loses part of its
-# worth, so that engines with newer weights are preferred, but not by so much
-# that they are swamped.  Not varied in a measurement.
-OLD_WEIGHTS_TOKENS = 4000
-# Above this fill another engine is preferred, by so many tokens for all of
-# the memory.
-EASY_FILL = 0.6
-FILL_TOKENS = 40_000
-# An engine runs as many requests at once as it has slots.  One more waits
-# for one to end: at 32 slots and some two seconds a run about 70 ms, in
-# which 157 tokens a ms are read elsewhere.
-TOKENS_PER_WAITING = 10_000
-# Fetching a token's KV cache takes about a tenth of the time of reading it,
-# by the links' speed and the size of a token: 158 MB for 8,610 tokens take
-# 7 ms at 170 Gbit/s, and reading them 77 ms.
-FETCH_COST = 0.1
+# Cost of weights that are older than those of other engines.  An answer on
+# them is worth less, but engines with newer weights must not be swamped.
+OLD_WEIGHTS_COST_TOKENS = 4000
+# Cost of memory use above the threshold; it would be FILL_COST_TOKENS for the
+# whole memory.
+FILL_THRESHOLD = 0.6
+FILL_COST_TOKENS = 40_000
+# Cost of a request beyond the engine's slots, which waits for another one to
+# end: about 70 ms at 32 slots and 2 s a run, in which another engine
+# prefills 157 tokens per ms.
+QUEUED_COST_TOKENS = 10_000
+# Time to fetch a token's KV cache, relative to its prefill: 158 MB for 8,610
+# tokens take 7 ms at 170 Gbit/s, and their prefill takes 77 ms.
+FETCH_COST_FACTOR = 0.1
 
 
 @dataclasses.dataclass(frozen=True)
 class VersionPlan:
-    """What is the same on all engines with the same weights.
+    """Plan of a prompt for all engines with the same weight version.
 
     Attributes
     ----------
     salt
-        Text under which the prompt's parts are cached.
+        Salt of the prompt's cached parts.
     stores
-        Where they come from and go to.
+        Stores that the parts are fetched from and saved to.
     """
 
     salt: str
@@ -56,8 +53,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class PromptAsk:
-    """A prompt that is to be placed.
+class PlacementQuery:
+    """A prompt to be placed, and what is needed to compare engines.
 
     Attributes
     ----------
@@ -67,45 +64,45 @@
         Id of the engine that ranks first for its session.
     parts
         Ids and lengths of its parts.
-    usual_tokens, most_fill
-        What a usual prompt of its kind takes of an engine's memory, and how
-        full the engine may get with that.  Were room judged by a prompt's
-        own size, the next smaller one would take what is freed before a
-        large one finds enough.
+    typical_tokens, max_fill
+        Memory that a typical prompt of its route takes, and the share of an
+        engine's memory that may be in use with it.  If a prompt's own size
+        were compared instead, smaller ones would take freed memory before
+        there is enough for a large one.
     versions
-        Weights of the engines by their ids.
+        Weight versions by engine id.
     newest, required
         The newest of these, and the oldest that may still be used.
     plans
-        By version of weights.
+        Plans by weight version.
     """
 
     request: requests.Request
     prompt: calls.Prompt
     home: str
     parts: tuple[tuple[str, int], ...]
-    usual_tokens: float
-    most_fill: float
+    typical_tokens: float
+    max_fill: float
     versions: dict[str, int]
     newest: int
     required: int
     plans: dict[int, VersionPlan]
 
-    def may_go(self, found: Candidate) -> bool:
-        """Tell whether it may run on an engine at all."""
-        version = self.versions[found.endpoint.id]
-        return self.has_room(found) and version >= self.required
+    def allows(self, candidate: Candidate) -> bool:
+        """Return whether the prompt may run on an engine at all."""
+        version = self.versions[candidate.endpoint.id]
+        return self.has_room(candidate) and version >= self.required
 
-    def has_room(self, found: Candidate) -> bool:
-        """Tell whether an engine has memory and a free slot.
+    def has_room(self, candidate: Candidate) -> bool:
+        """Return whether an engine has memory and a free slot.
 
-        An answer that was begun and is broken off is worse than a late one,
-        so its rest is made wherever it can be.
+        A broken-off answer is worse than a late one, so a partly answered
+        request is always accepted.
         """
-        if self.request.begun:
+        if self.request.partly_answered:
             return True
-        has_memory = found.usual_fill <= self.most_fill
-        return has_memory and found.free_slots > 0
+        has_memory = candidate.typical_fill <= self.max_fill
+        return has_memory and candidate.free_slots > 0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -117,92 +114,94 @@
     endpoint
         The engine.
     plan
-        Of its weights.
+        Plan for its weight version.
     load
-        Work known there.
-    missing_tokens, held_tokens, fetched_tokens
+        Its known load.
+    prefill_tokens, held_tokens, fetched_tokens
         As in :class:`briarseam.placement.requests.Placement`.
-    usual_fill
-        How full its memory would be with a usual prompt of its kind.
-    is_old
-        Whether others have newer weights.
+    typical_fill
+        Share of its memory in use, with a typical prompt of the route.
+    has_old_weights
+        Whether other engines have newer weights.
     cost
-        When the prompt would be read, in tokens to be read until then.
+        Time until the prompt would be prefilled, as a number of tokens.
     """
 
     endpoint: discovery.Endpoint
     plan: VersionPlan
     load: load_module.Load
-    missing_tokens: int
+    prefill_tokens: int
     held_tokens: int
     fetched_tokens: int
-    usual_fill: float
-    is_old: bool
+    typical_fill: float
+    has_old_weights: bool
     cost: float
 
     @property
     def free_slots(self) -> int:
-        """Slots that nobody is known to have taken."""
+        """Number of slots not known to be in use."""
         return max(0, self.endpoint.slots - self.load.requests)
 
 
 def candidate(
-    ask: PromptAsk,
+    query: PlacementQuery,
     endpoint: discovery.Endpoint,
     load: load_module.Load,
     held: int,
 ) -> Candidate:
-    """Return what it would mean to run a prompt on an engine.
+    """Return a prompt's cost and fit on an engine.
 
     Parameters
     ----------
-    ask
+    query
         The prompt.
     endpoint
         The engine.
     load
-        Work known there.
+        Its known load.
     held
-        Tokens of the prompt that it holds.
+        Tokens of the prompt in its memory.
     """
-    version = ask.versions[endpoint.id]
-    plan = ask.plans[version]
+    version = query.versions[endpoint.id]
+    plan = query.plans[version]
     fetched = max(plan.stores.fetched_tokens - held, 0)
-    missing = max(ask.prompt.input_tokens - held - fetched, 0)
-    missing += int(fetched * FETCH_COST)
-    own_tokens = requests.memory_of(ask.prompt)
-    fill = requests.fill_of(load, ask.request, own_tokens)
-    usual_fill = requests.fill_of(load, ask.request, ask.usual_tokens)
-    waiting = max(0, load.requests + 1 - endpoint.slots)
-    is_old = version < ask.newest
-    cost = float(load.waiting_tokens + missing)
-    cost += load.running * TOKENS_PER_STREAM
-    cost += max(0.0, fill - EASY_FILL) * FILL_TOKENS
-    cost += waiting * TOKENS_PER_WAITING
-    cost += OLD_WEIGHTS_TOKENS if is_old else 0
-    cost -= HOME_BONUS_TOKENS if endpoint.id == ask.home else 0
+    prefill = max(query.prompt.input_tokens - held - fetched, 0)
+    prefill += int(fetched * FETCH_COST_FACTOR)
+    own_tokens = requests.memory_of(query.prompt)
+    fill = requests.fill_of(load, query.request, own_tokens)
+    typical_fill = requests.fill_of(load, query.request, query.typical_tokens)
+    queued = max(0, load.requests + 1 - endpoint.slots)
+    has_old_weights = version < query.newest
+    cost = float(load.waiting_tokens + prefill)
+    cost += load.running * STREAM_COST_TOKENS
+    cost += max(0.0, fill - FILL_THRESHOLD) * FILL_COST_TOKENS
+    cost += queued * QUEUED_COST_TOKENS
+    cost += OLD_WEIGHTS_COST_TOKENS if has_old_weights else 0
+    cost -= HOME_BONUS_TOKENS if endpoint.id == query.home else 0
     return Candidate(
         endpoint,
         plan,
         load,
-        missing,
+        prefill,
         held,
         fetched,
-        usual_fill,
-        is_old,
+        typical_fill,
+        has_old_weights,
         cost,
     )
 
 
-def full(ask: PromptAsk, engines: list[Candidate]) -> requests.NoCapacity:
-    """Return why none of the engines that were looked at may take a prompt."""
+def no_capacity(
+    query: PlacementQuery, engines: list[Candidate]
+) -> requests.NoCapacity:
+    """Return why none of the compared engines may take a prompt."""
     return requests.NoCapacity(
-        least_fill=min(engine.usual_fill for engine in engines),
-        most_fill=ask.most_fill,
+        min_fill=min(engine.typical_fill for engine in engines),
+        max_fill=query.max_fill,
         engines=len(engines),
         free_slots=sum(engine.free_slots for engine in engines),
         outdated=sum(
-            ask.versions[engine.endpoint.id] < ask.required
+            query.versions[engine.endpoint.id] < query.required
             for engine in engines
         ),
     )
--- a/src/briarseam/placement/fetching.py
+++ b/src/briarseam/placement/fetching.py
@@ -1,8 +1,8 @@
-"""Which stores deliver too late, and are to be left alone.
+"""Detection of stores that deliver too late.
 
-A fetch from a store saves an engine's time, but an engine's transfers run
-one after another: one that waits for a slow store holds up all others of
-its engine, and callers of prompts that fetch nothing wait with them.
+A fetch from a store saves prefill time, but an engine runs its transfers one
+after another.  One that waits for a slow store delays all others of its
+engine, and prompts that fetch nothing wait with them.
 """
 
 from __future__ import annotations
@@ -15,69 +15,72 @@
 
 from briarseam import clocks
 
-# Some steps of an engine, in which all but the largest parts come from a store
-# that is well.
-LEAST_S = 0.2
-# So many late fetches in a row, and a store is left alone.  A single one may
-# be late since its engine had other work.
-LATE_IN_A_ROW = 2
-# One more fetch is tried after this; it makes one caller wait.
-PAUSE_S = 1.0
+# Some steps of an engine; a healthy store delivers all but the largest parts
+# in less.
+MIN_LATE_S = 0.2
+# Consecutive late fetches after which a store is avoided.  A single one may
+# be late because its engine was busy.
+LATE_LIMIT = 2
+# Interval of trial fetches from a slow store; each may delay one caller.
+RETRY_INTERVAL_S = 1.0
 NEVER_S = float("-inf")
 log = structlog.get_logger("briarseam.placement")
 
 
-def late_after_s(aim_left_s: float, whole_s: float, fetched_s: float) -> float:
-    """Return after which time a fetch counts as late, in seconds.
+def late_after_s(
+    remaining_s: float, prefill_s: float, fetched_s: float
+) -> float:
+    """Return the time after which a fetch counts as late, in seconds.
 
-    It is no longer of use once the prompt could not be read any more in time
-    instead.  One that can't be read in time anyhow counts as late when it
-    takes longer than reading what is fetched.
+    A fetch is late once prefilling the prompt instead could no longer meet
+    the target.  If the target can't be met at all, it is late when it takes
+    longer than prefilling the fetched tokens.
 
     Parameters
     ----------
-    aim_left_s
-        Until the first event should be there.
-    whole_s, fetched_s
-        In which all of the prompt would be read, and what is fetched.
+    remaining_s
+        Time until the first event is due, in seconds.
+    prefill_s, fetched_s
+        Times to prefill the whole prompt, and only the fetched tokens, in
+        seconds.
     """
-    return max(LEAST_S, aim_left_s - whole_s, fetched_s)
+    return max(MIN_LATE_S, remaining_s - prefill_s, fetched_s)
 
 
 @dataclasses.dataclass
-class Record:
-    """How the last fetches from one store went.
+class StoreRecord:
+    """Recent fetches from one store.
 
     Attributes
     ----------
-    late
-        How many in a row were not ready in time.
-    tried_s
-        When the last one began or turned out late.
+    consecutive_late
+        Number of consecutive late fetches.
+    last_try_s
+        Time at which the last fetch started or turned out late.
     due_s
-        When each that is under way should be ready, by its prompt.
+        Due times of the fetches in progress, by prompt.
     """
 
-    late: int = 0
-    tried_s: float = NEVER_S
+    consecutive_late: int = 0
+    last_try_s: float = NEVER_S
     due_s: dict[str, float] = dataclasses.field(default_factory=dict)
 
     def is_slow(self, now_s: float) -> bool:
-        """Tell whether too many in a row are late, with those under way.
+        """Return whether too many fetches are late or overdue.
 
-        An engine that still waits for a fetch tells so a third of a second
-        before its first event does.
+        An overdue fetch shows a third of a second earlier than a late first
+        event does.
         """
         overdue = sum(due_s < now_s for due_s in self.due_s.values())
-        return self.late + overdue >= LATE_IN_A_ROW
+        return self.consecutive_late + overdue >= LATE_LIMIT
 
 
 class StoreHealth:
-    """Which stores deliver in time; thread-safe.
+    """Health of stores, by their fetches; thread-safe.
 
-    A store whose link has become slow still answers all calls.  It shows in
-    late first events only, and every prompt that fetches from it makes the
-    queue of its engine longer.
+    A store with a slow link still answers all calls.  Only late first events
+    reveal it, and each prompt that fetches from it lengthens the queue of its
+    engine.
 
     Parameters
     ----------
@@ -89,64 +92,64 @@
         self, clock: typing.Callable[[], float] = clocks.boot_clock
     ) -> None:
         self.clock = clock
-        self.records: dict[str, Record] = {}
+        self.records: dict[str, StoreRecord] = {}
         self.lock = threading.Lock()
 
     def may_use(self, address: str) -> bool:
-        """Tell whether parts may be fetched from a store."""
+        """Return whether parts may be fetched from a store."""
         now_s = self.clock()
         with self.lock:
             record = self.records.get(address)
             if record is None or not record.is_slow(now_s):
                 return True
-            return now_s >= record.tried_s + PAUSE_S
+            return now_s >= record.last_try_s + RETRY_INTERVAL_S
 
     def is_slow(self, address: str) -> bool:
-        """Tell whether a store's last fetches were late."""
+        """Return whether a store's recent fetches were late."""
         now_s = self.clock()
         with self.lock:
             record = self.records.get(address)
             return record is not None and record.is_slow(now_s)
 
-    def note_begun(
+    def record_start(
         self, addresses: typing.Iterable[str], prompt: str, late_after_s: float
     ) -> None:
-        """Note that a prompt is about to fetch from stores."""
+        """Record that a prompt is about to fetch from stores."""
         now_s = self.clock()
         with self.lock:
             for address in addresses:
-                record = self.records.setdefault(address, Record())
+                record = self.records.setdefault(address, StoreRecord())
                 if record.is_slow(now_s):
-                    record.tried_s = now_s
+                    record.last_try_s = now_s
                 record.due_s[prompt] = now_s + late_after_s
 
-    def note_first_event(
+    def record_first_event(
         self, addresses: typing.Iterable[str], in_time: bool
     ) -> None:
-        """Note whether a prompt's fetches were ready in time."""
+        """Record whether a prompt's fetches completed in time."""
         now_s = self.clock()
         with self.lock:
             for address in addresses:
-                record = self.records.setdefault(address, Record())
+                record = self.records.setdefault(address, StoreRecord())
                 if in_time:
-                    if record.late >= LATE_IN_A_ROW:
+                    if record.consecutive_late >= LATE_LIMIT:
                         log.info("cache_store_in_time", address=address)
-                    record.late = 0
+                    record.consecutive_late = 0
                     continue
-                record.late += 1
-                record.tried_s = now_s
-                if record.late == LATE_IN_A_ROW:
+                record.consecutive_late += 1
+                record.last_try_s = now_s
+                if record.consecutive_late == LATE_LIMIT:
                     log.warning("cache_store_slow", address=address)
 
-    def note_over(self, addresses: typing.Iterable[str], prompt: str) -> None:
-        """Note that a prompt fetches no more."""
+    def record_end(self, addresses: typing.Iterable[str], prompt: str) -> None:
+        """Record that a prompt's fetches have ended."""
         with self.lock:
             for address in addresses:
                 if address in self.records:
                     self.records[address].due_s.pop(prompt, None)
 
     def keep_only(self, addresses: typing.Collection[str]) -> None:
-        """Forget all stores but these."""
+        """Drop the records of all stores but these."""
         with self.lock:
             for address in self.records.keys() - set(addresses):
                 del self.records[address]
--- a/src/briarseam/placement/load_exchange.py
+++ b/src/briarseam/placement/load_exchange.py
@@ -1,9 +1,9 @@
-"""Telling the peers of a cell this instance's work as it changes.
+"""Exchange of load changes between the instances of a cell.
 
-Heartbeats tell it, too, but twice a second, while an engine reads a prompt in
-less: several instances would send to an engine that seems to be idle.  So
-each change goes out at once, by datagrams, and the heartbeats make up for
-those that are lost.
+Heartbeats carry an instance's load, too, but only twice a second, and an
+engine reads a prompt in less time.  Several instances would send to an engine
+that appears idle.  Each change is therefore sent to all peers at once by
+datagram; heartbeats make up for lost datagrams.
 """
 
 from __future__ import annotations
@@ -24,127 +24,130 @@
 if typing.TYPE_CHECKING:
     import collections.abc
 
-# Changes within this time go out together: a third of the time in which a
-# small prompt is read.
+# Changes within this interval share a datagram; a third of the time that
+# prefilling a small prompt takes.
 BATCH_S = 0.025
-# Datagrams that one instance sends in a second, at most; a cell's instances
-# receive as many from all others together.  To make one and to take one in
-# takes 35 us of processor time with work at nine engines, and to send it 2 us
-# (mean of 5,000): all in all 1% of a core.
-MOST_PER_S = 250.0
-# After a receive that failed, so that failures in a row don't take a core.
-SHORTEST_WAIT_S = 0.005
+# Maximum rate at which one instance sends.  The instances of a cell together
+# receive as many from all others.  With load at nine engines, encoding and
+# decoding one datagram takes 35 us of processor time and sending it 2 us,
+# which makes 1% of a core in all.
+MAX_DATAGRAMS_PER_S = 250.0
+# Pause after a failed receive, so that repeated failures don't use up a core.
+MIN_RETRY_S = 0.005
 log = structlog.get_logger("briarseam.placement")
 
 
-class Told(msgspec.Struct, array_like=True):
-    """What one datagram tells: whose work, and its work."""
+class LoadDatagram(msgspec.Struct, array_like=True):
+    """Content of a datagram: name of the sender, and its encoded load."""
 
     member: str
-    work: bytes
+    report: bytes
 
 
 class LoadExchange:
-    """Tells peers this instance's work, and takes in theirs.
+    """Sends this instance's load to its peers and applies theirs.
 
     Parameters
     ----------
     loads
-        What is known of endpoints' work.
-    me
+        Known load of endpoints.
+    local_name
         Name of this instance.
     address
-        Where this instance receives, ``ip:port``.
+        Address at which this instance receives, ``ip:port``.
     peers
-        Returns where the other instances of the cell receive.
+        Returns the addresses of the other instances of the cell.
     key
-        The shared key of the wire.
-    tally
-        Notes what can't be read.
+        The shared key of the wire protocol.
+    counter
+        Counts malformed datagrams.
     """
 
     def __init__(
         self,
         loads: load_module.Loads,
-        me: str,
+        local_name: str,
         address: str,
         peers: typing.Callable[[], collections.abc.Sequence[str]],
         key: bytes,
-        tally: malformed.Tally,
+        counter: malformed.Tally,
     ) -> None:
         self.loads = loads
-        self.me = me
+        self.local_name = local_name
         self.peers = peers
         self.key = key
-        self.tally = tally
+        self.counter = counter
         self.socket = datagrams.open_socket(address)
         self.sent = 0
         self.stopping = threading.Event()
         self.threads = [
             threading.Thread(target=target, name=name, daemon=True)
             for target, name in (
-                (self.tell, "load-telling"),
-                (self.listen, "load-listening"),
+                (self.send_loop, "load-telling"),
+                (self.receive_loop, "load-listening"),
             )
         ]
 
     def start(self) -> None:
-        """Begin to tell and to listen."""
+        """Start sending and receiving."""
         for thread in self.threads:
             thread.start()
 
     def stop(self) -> None:
-        """Tell and take in nothing further."""
+        """Stop sending and receiving."""
         self.stopping.set()
         self.loads.changed.set()
-        # A read under way ends with an error; closing alone would leave it.
+        # Makes a pending receive fail; closing alone would leave it blocked.
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_RDWR)
         self.socket.close()
 
-    def tell(self) -> None:
-        """Tell each change until stopped."""
+    def send_loop(self) -> None:
+        """Send each change until stopped."""
         while not self.stopping.is_set():
             self.loads.changed.wait()
             self.loads.changed.clear()
             peers = self.peers()
-            self.tell_all(peers)
-            self.stopping.wait(max(BATCH_S, len(peers) / MOST_PER_S))
-
-    def tell_all(self, peers: collections.abc.Sequence[str]) -> None:
-        """Tell all peers this instance's work as it is now."""
-        content = msgspec.msgpack.encode(Told(self.me, self.loads.provide()))
+            self.send(peers)
+            self.stopping.wait(max(BATCH_S, len(peers) / MAX_DATAGRAMS_PER_S))
+
+    def send(self, peers: collections.abc.Sequence[str]) -> None:
+        """Send this instance's current load to peers."""
+        content = msgspec.msgpack.encode(
+            LoadDatagram(self.local_name, self.loads.provide())
+        )
         try:
             datagram = datagrams.seal(self.key, content)
         except datagrams.TooLargeError as error:
             log.warning("load_not_told", detail=str(error))
             return
         for address in peers:
-            # A peer that can't be reached learns from heartbeats, which
-            # also say that it is gone.
+            # An unreachable peer gets the load by heartbeats, which also
+            # detect that it is gone.
             with contextlib.suppress(OSError):
                 self.socket.sendto(
                     datagram, connections.parse_address(address)
                 )
                 self.sent += 1
 
-    def listen(self) -> None:
-        """Take in what peers tell until stopped."""
+    def receive_loop(self) -> None:
+        """Receive datagrams until stopped."""
         while not self.stopping.is_set():
             try:
                 datagram = self.socket.recv(datagrams.MOST_BYTES)
             except OSError as error:
-                # An earlier datagram found no listener; the next may.
-                if not self.stopping.wait(SHORTEST_WAIT_S):
+                # The error may stem from an earlier datagram to a closed
+                # port; the next receive may succeed.
+                if not self.stopping.wait(MIN_RETRY_S):
                     log.info("load_not_received", detail=str(error))
                 continue
-            self.take(datagram)
+            self.handle(datagram)
 
-    def take(self, datagram: bytes) -> None:
-        """Take in one datagram; one that can't be read is noted."""
+    def handle(self, datagram: bytes) -> None:
+        """Apply one datagram, or count it as malformed."""
         try:
             content = datagrams.unseal(self.key, datagram)
-            told = msgspec.msgpack.decode(content, type=Told)
-            self.loads.consume(told.member, told.work)
+            message = msgspec.msgpack.decode(content, type=LoadDatagram)
+            self.loads.consume(message.member, message.report)
         except (connections.WireError, msgspec.MsgspecError) as error:
-            self.tally.note(malformed.Kind.DATAGRAM, "endpoint loads", error)
+            self.counter.note(malformed.Kind.DATAGRAM, "endpoint loads", error)
--- a/src/briarseam/placement/loads.py
+++ b/src/briarseam/placement/loads.py
@@ -1,4 +1,4 @@
-"""How busy each endpoint is, by this instance's work and its peers'."""
+"""Load of each endpoint, from this instance, its peers and other cells."""
 
 from __future__ import annotations
 
@@ -11,56 +11,59 @@
 
 from briarseam import clocks
 
-# A peer's numbers are summed with others' and told on, in messages that
-# carry 64 bits.
-MOST = 2**53
-Number = typing.Annotated[int, msgspec.Meta(ge=-MOST, le=MOST)]
-# Endpoint, then the numbers of its load.
+# Numbers of several peers are summed and published in messages that carry
+# 64-bit integers.
+MAX_NUMBER = 2**53
+Number = typing.Annotated[int, msgspec.Meta(ge=-MAX_NUMBER, le=MAX_NUMBER)]
+# Endpoint id, followed by the fields of its Load.
 Row = tuple[str, Number, Number, Number, Number]
 
 
-class Told(msgspec.Struct, array_like=True):
-    """All work of one instance at some moment.
+class LoadReport(msgspec.Struct, array_like=True):
+    """Complete load caused by one instance at one moment.
 
     Attributes
     ----------
-    life
-        Random; another one for each process of the instance.  A start's
-        time would not do: a clock that was set back would have a restarted
-        process taken for an old one.
+    incarnation
+        Random number of the instance's process.  A start time would fail
+        after the clock is set back: a restarted process would be taken for
+        an older one.
     sequence
-        Number of changes in this life.
+        Number of changes in this incarnation.
     rows
-        Its work by endpoint.
+        Load by endpoint.
     """
 
-    life: int
+    incarnation: int
     sequence: int
     rows: list[Row]
 
-    def is_after(self, other: Told) -> bool:
-        """Tell whether this may be newer than what was heard before."""
-        return self.life != other.life or self.sequence > other.sequence
+    def is_newer_than(self, other: LoadReport) -> bool:
+        """Return whether this may be newer than an earlier report."""
+        return (
+            self.incarnation != other.incarnation
+            or self.sequence > other.sequence
+        )
 
 
-LIFE_BITS = 53
-NEVER = Told(-1, 0, [])
+INCARNATION_BITS = 53
+NO_REPORT = LoadReport(-1, 0, [])
 
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """Work at one endpoint.
+    """Load of one endpoint.
 
     Attributes
     ----------
     requests
-        Requests sent and not answered.
+        Requests sent and not yet answered.
     waiting_tokens
-        Prompt tokens to be read of requests without a first event.
+        Prompt tokens yet to be prefilled, of requests without a first event.
     running
-        Streams that have begun.
+        Streams that have started.
     memory_tokens
-        Tokens of prompts and answers that its memory has to hold.
+        Tokens of prompts and answers that the endpoint's memory must hold.
     """
 
     requests: int = 0
@@ -100,17 +103,17 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class CellWork:
-    """Work of the instances of another cell.
+class CellTotals:
+    """Load caused by all instances of another cell.
 
     Attributes
     ----------
     loads
-        By endpoint.
+        Load by endpoint.
     instances
-        How many they are.
+        Number of instances in the cell.
     at_s
-        When it was told.
+        Time at which it was received.
     """
 
     loads: dict[str, Load]
@@ -119,102 +122,102 @@
 
 
 class Loads:
-    """Own work by endpoint and what the peers told; thread-safe.
+    """Load of endpoints; thread-safe.
 
     Parameters
     ----------
-    here, everywhere
-        Return how many instances tell their work here, this one included,
-        and how many there are.  Those whose work is not told are taken to
-        have about as much each.
+    reporting_instances, total_instances
+        Return the number of instances that exchange their load with this
+        one, itself included, and the number of all instances.  Each instance
+        whose load is unknown is assumed to cause an average load.
     clock
         Seconds.
     """
 
     def __init__(
         self,
-        here: typing.Callable[[], int] = lambda: 1,
-        everywhere: typing.Callable[[], int] = lambda: 1,
+        reporting_instances: typing.Callable[[], int] = lambda: 1,
+        total_instances: typing.Callable[[], int] = lambda: 1,
         clock: typing.Callable[[], float] = clocks.boot_clock,
     ) -> None:
-        self.instances_here = here
-        self.instances_everywhere = everywhere
+        self.reporting_instances = reporting_instances
+        self.total_instances = total_instances
         self.clock = clock
         self.own: dict[str, Load] = {}
-        self.life = secrets.randbits(LIFE_BITS)
+        self.incarnation = secrets.randbits(INCARNATION_BITS)
         self.sequence = 0
         self.changed = threading.Event()
-        self.heard: dict[str, Told] = {}
+        self.last_reports: dict[str, LoadReport] = {}
         self.peers: dict[str, dict[str, Load]] = {}
-        self.told: dict[str, Load] = {}
-        self.cells: dict[str, CellWork] = {}
+        self.peer_totals: dict[str, Load] = {}
+        self.cells: dict[str, CellTotals] = {}
         self.lock = threading.Lock()
-        self.eased = threading.Condition(self.lock)
+        self.decreased = threading.Condition(self.lock)
 
     def add(self, endpoint: str, load: Load) -> None:
-        """Add to the work of this instance at an endpoint."""
+        """Add to this instance's load of an endpoint."""
         with self.lock:
             self.own[endpoint] = self.own.get(endpoint, NO_LOAD).plus(load)
-            self.note_change()
+            self.record_change()
 
-    def take(self, endpoint: str, load: Load) -> None:
-        """Take from the work of this instance at an endpoint."""
+    def subtract(self, endpoint: str, load: Load) -> None:
+        """Subtract from this instance's load of an endpoint."""
         with self.lock:
-            left = self.own.get(endpoint, NO_LOAD).minus(load)
-            if left == NO_LOAD:
+            remaining = self.own.get(endpoint, NO_LOAD).minus(load)
+            if remaining == NO_LOAD:
                 self.own.pop(endpoint, None)
             else:
-                self.own[endpoint] = left
-            self.note_change()
-            self.eased.notify_all()
+                self.own[endpoint] = remaining
+            self.record_change()
+            self.decreased.notify_all()
 
-    def note_change(self) -> None:
-        """Note that this instance's work has changed; under the lock."""
+    def record_change(self) -> None:
+        """Count a change of this instance's load; requires the lock."""
         self.sequence += 1
         self.changed.set()
 
     def wait_for_decrease(self, timeout_s: float) -> None:
-        """Wait until some work has ended, here or as a peer told."""
+        """Wait until the load may have decreased, locally or elsewhere."""
         with self.lock:
-            self.eased.wait(timeout_s)
+            self.decreased.wait(timeout_s)
 
     def of(self, endpoint: str) -> Load:
-        """Return all work at an endpoint, as far as it can be known."""
+        """Return the total load of an endpoint, estimated where unknown."""
         with self.lock:
             known = self.own.get(endpoint, NO_LOAD)
-            told = self.told.get(endpoint)
-            if told is not None:
-                known = known.plus(told)
+            peers = self.peer_totals.get(endpoint)
+            if peers is not None:
+                known = known.plus(peers)
             for cell in self.cells.values():
                 if endpoint in cell.loads:
                     known = known.plus(cell.loads[endpoint])
-            instances = self.instances_here() + sum(
+            instances = self.reporting_instances() + sum(
                 cell.instances for cell in self.cells.values()
             )
-        share = instances / max(self.instances_everywhere(), 1)
+        share = instances / max(self.total_instances(), 1)
         return known if share >= 1.0 else known.times(1.0 / share)
 
-    def here(self) -> dict[str, Load]:
-        """Return the work of this cell at each endpoint."""
+    def cell_loads(self) -> dict[str, Load]:
+        """Return the local cell's load of each endpoint."""
         with self.lock:
-            names = self.own.keys() | self.told.keys()
+            names = self.own.keys() | self.peer_totals.keys()
             return {
                 name: self.own.get(name, NO_LOAD).plus(
-                    self.told.get(name, NO_LOAD)
+                    self.peer_totals.get(name, NO_LOAD)
                 )
                 for name in names
             }
 
-    def take_cell(
+    def set_cell(
         self, cell: str, loads: dict[str, Load], instances: int
     ) -> None:
-        """Take in the work of another cell."""
+        """Replace the load of another cell."""
         with self.lock:
-            self.cells[cell] = CellWork(loads, instances, self.clock())
-            self.eased.notify_all()
+            self.cells[cell] = CellTotals(loads, instances, self.clock())
+            self.decreased.notify_all()
 
-    def forget_cells(self, age_s: float) -> None:
-        """Forget the work of cells that were not heard of for so long."""
+    def expire_cells(self, age_s: float) -> None:
+        """Drop loads of other cells that were received too long ago."""
         oldest_s = self.clock() - age_s
         with self.lock:
             self.cells = {
@@ -224,7 +227,7 @@
             }
 
     def provide(self) -> bytes:
-        """Return this instance's work, for its peers."""
+        """Return this instance's load report, for its peers."""
         with self.lock:
             rows: list[Row] = [
                 (
@@ -236,42 +239,49 @@
                 )
                 for name, load in self.own.items()
             ]
-            told = Told(self.life, self.sequence, rows)
-        return msgspec.msgpack.encode(told)
+            report = LoadReport(self.incarnation, self.sequence, rows)
+        return msgspec.msgpack.encode(report)
 
     def consume(self, member: str, data: bytes) -> None:
-        """Take in a peer's work, unless something newer was heard of it.
+        """Apply a peer's load report, unless a newer one is already applied.
 
-        Guard: it comes by heartbeats and by datagrams, and each may overtake
-        the other.  Taken in late, work that has ended would stand until the
+        Guard: reports arrive by heartbeats and by datagrams, in any order.
+        Applying an older one would restore load that has ended, until the
         peer's next change.
         """
-        told = msgspec.msgpack.decode(data, type=Told)
-        loads = {name: Load(*numbers) for name, *numbers in told.rows}
+        report = msgspec.msgpack.decode(data, type=LoadReport)
+        loads = {name: Load(*numbers) for name, *numbers in report.rows}
         with self.lock:
-            if not told.is_after(self.heard.get(member, NEVER)):
+            if not report.is_newer_than(
+                self.last_reports.get(member, NO_REPORT)
+            ):
                 return
-            self.heard[member] = Told(told.life, told.sequence, [])
+            self.last_reports[member] = LoadReport(
+                report.incarnation, report.sequence, []
+            )
             self.replace(member, loads)
-            self.eased.notify_all()
+            self.decreased.notify_all()
 
     def keep_only(self, members: frozenset[str]) -> None:
-        """Forget what members that are gone had told."""
+        """Drop the loads of all peers but these."""
         with self.lock:
             for name in self.peers.keys() - members:
                 self.replace(name, {})
                 del self.peers[name]
-                self.heard.pop(name, None)
+                self.last_reports.pop(name, None)
 
-    def replace(self, member: str, told: dict[str, Load]) -> None:
-        """Put a member's work in place of what it told before.
+    def replace(self, member: str, loads: dict[str, Load]) -> None:
+        """Replace a peer's load; requires the lock.
 
-        Sums are kept since each request asks for those of all endpoints.
+        Totals over all peers are maintained because each request reads them
+        for every endpoint.
         """
         for endpoint, load in self.peers.get(member, {}).items():
-            self.told[endpoint] = self.told[endpoint].minus(load)
-            if self.told[endpoint] == NO_LOAD:
-                del self.told[endpoint]
-        for endpoint, load in told.items():
-            self.told[endpoint] = self.told.get(endpoint, NO_LOAD).plus(load)
-        self.peers[member] = told
+            self.peer_totals[endpoint] = self.peer_totals[endpoint].minus(load)
+            if self.peer_totals[endpoint] == NO_LOAD:
+                del self.peer_totals[endpoint]
+        for endpoint, load in loads.items():
+            self.peer_totals[endpoint] = self.peer_totals.get(
+                endpoint, NO_LOAD
+            ).plus(load)
+        self.peers[member] = loads
--- a/src/briarseam/placement/requests.py
+++ b/src/briarseam/placement/requests.py
@@ -1,4 +1,4 @@
-"""What is to be placed, where it goes, and whether it fits there."""
+"""Requests to be placed, their placements, and memory limits."""
 
 from __future__ import annotations
 
@@ -13,67 +13,67 @@
     from briarseam.forwarding import calls
     from briarseam.routes import model as routes
 
-# An engine whose memory is full preempts runs and reads their prompts again,
-# which makes all of them slower.  Kinds of small prompts may use what others
-# must leave.
+# An engine whose memory is full preempts runs and prefills their prompts
+# again, which slows down all of them.  Routes with small prompts may use the
+# reserve that others must leave.
 SMALL_TOKENS = 3000
-SMALL_FILL = 1.0
-LARGE_FILL = 0.9
+SMALL_MAX_FILL = 1.0
+LARGE_MAX_FILL = 0.9
 
 
 @dataclasses.dataclass(frozen=True)
 class Request:
-    """What is to be placed.
+    """A request to be placed.
 
     Attributes
     ----------
     call, route, service
-        What is asked, and of which service.
+        The call, its route, and the service that is to answer it.
     organisation
-        Who asks; ``None`` for anyone.
-    aim_left_s
-        Until its answer, or the first event of it, should be there, in
-        seconds; negative once that is over.
+        The caller; ``None`` for an anonymous one.
+    target_remaining_s
+        Time until the answer, or its first event, is due by the target
+        latency, in seconds; negative once it is overdue.
     tried
-        Endpoints that it was sent to already.
-    begun
-        Whether its caller has a part of the answer.
+        Endpoints that it was already sent to.
+    partly_answered
+        Whether the caller has received part of the answer.
     """
 
     call: calls.Call
     route: routes.Route
     service: routes.Service
     organisation: routes.Organisation | None
-    aim_left_s: float
+    target_remaining_s: float
     tried: frozenset[str] = frozenset()
-    begun: bool = False
+    partly_answered: bool = False
 
 
 @dataclasses.dataclass(frozen=True)
 class Placement:
-    """Where a request goes.
+    """The endpoint chosen for a request.
 
     Attributes
     ----------
     endpoint
         The endpoint.
     instructions
-        What to tell it.
-    missing_tokens
-        Prompt tokens that it has to read, as far as known.
+        Instructions that are sent to it with the request.
+    prefill_tokens
+        Prompt tokens that it is expected to prefill.
     held_tokens, fetched_tokens
-        Prompt tokens that it has, and that it can fetch.
+        Prompt tokens in its memory, and those that it is to fetch.
     fetch_late_s
-        Time after which what it fetches comes late.
+        Time after which the fetch counts as late, in seconds.
     load
-        Work known at the endpoint when it was chosen.
+        Known load of the endpoint when it was chosen.
     endpoints_age_s
         Time since the list of endpoints was read, in seconds.
     """
 
     endpoint: discovery.Endpoint
     instructions: calls.Instructions
-    missing_tokens: int = 0
+    prefill_tokens: int = 0
     held_tokens: int = 0
     fetched_tokens: int = 0
     fetch_late_s: float = 0.0
@@ -81,64 +81,64 @@
     endpoints_age_s: float = 0.0
 
     def sources(self) -> frozenset[str]:
-        """Return the stores that it fetches from."""
+        """Return the stores that are fetched from."""
         return frozenset(filter(None, self.instructions.fetch_from))
 
     def log_fields(self) -> dict[str, int | str]:
-        """Return what decided, for the log."""
-        found: dict[str, int | str] = {
+        """Return the grounds for the choice, as log fields."""
+        fields: dict[str, int | str] = {
             "requests_there": self.load.requests,
             "endpoints_age_ms": round(self.endpoints_age_s * 1000),
         }
         if self.instructions.salt:
-            found["tokens_waiting_there"] = self.load.waiting_tokens
-            found["memory_taken_there"] = self.load.memory_tokens
-            found["tokens_held"] = self.held_tokens
-            found["tokens_fetched"] = self.fetched_tokens
-            found["tokens_to_read"] = self.missing_tokens
-            found["fetch_late_ms"] = round(self.fetch_late_s * 1000)
-            found["weights"] = self.instructions.version or 0
-            found["fetch_from"] = ",".join(
+            fields["tokens_waiting_there"] = self.load.waiting_tokens
+            fields["memory_taken_there"] = self.load.memory_tokens
+            fields["tokens_held"] = self.held_tokens
+            fields["tokens_fetched"] = self.fetched_tokens
+            fields["tokens_to_read"] = self.prefill_tokens
+            fields["fetch_late_ms"] = round(self.fetch_late_s * 1000)
+            fields["weights"] = self.instructions.version or 0
+            fields["fetch_from"] = ",".join(
                 filter(None, self.instructions.fetch_from)
             )
-        return found
+        return fields
 
 
 @dataclasses.dataclass(frozen=True)
 class NoCapacity:
-    """No endpoint has room for the request just now.
+    """No engine currently has capacity for a prompt.
 
     Attributes
     ----------
-    least_fill, most_fill
-        How full the emptiest engine's memory would be with a usual request
-        of its kind, and how full it may be.
+    min_fill, max_fill
+        Lowest share of an engine's memory in use, with a typical prompt of
+        the route, and the share that may be in use.
     engines, free_slots
-        How many were looked at, and their slots that are free.
+        Number of compared engines, and of their free slots.
     outdated
-        How many have weights that are too old for any request.
+        Number of engines with weights too old for any request.
     """
 
-    least_fill: float
-    most_fill: float
+    min_fill: float
+    max_fill: float
     engines: int
     free_slots: int
     outdated: int
 
     def __str__(self) -> str:
-        """Return what decided, for the log."""
-        fill = f"least-fill={self.least_fill:.2f} of {self.most_fill:.2f}"
+        """Return the grounds for the refusal, for the log."""
+        fill = f"least-fill={self.min_fill:.2f} of {self.max_fill:.2f}"
         engines = f"engines={self.engines} outdated={self.outdated}"
         return f"{fill} {engines} free-slots={self.free_slots}"
 
 
 def memory_of(prompt: calls.Prompt) -> int:
-    """Return the tokens that an engine's memory has to hold for a prompt."""
+    """Return the tokens that a prompt takes of an engine's memory."""
     return prompt.input_tokens + prompt.output_tokens
 
 
 def fill_of(load: load_module.Load, request: Request, tokens: float) -> float:
-    """Return how full an engine's memory would be with so much more."""
+    """Return the share of an engine's memory in use after adding tokens."""
     engine = request.service.engine
     if engine is None or engine.cache_tokens <= 0:
         return 0.0
@@ -146,28 +146,28 @@
 
 
 def can_fit(request: Request, prompt: calls.Prompt) -> bool:
-    """Tell whether an engine could hold a prompt at all."""
+    """Return whether a prompt fits into an engine's whole memory."""
     engine = request.service.engine
     if engine is None or engine.cache_tokens <= 0:
         return True
     return prompt.input_tokens <= engine.cache_tokens
 
 
-def fill_limit(usual_tokens: float) -> float:
-    """Return how full an engine may get with a usual prompt of a kind."""
-    if usual_tokens <= SMALL_TOKENS:
-        return SMALL_FILL
-    return LARGE_FILL
+def fill_limit(typical_tokens: float) -> float:
+    """Return the share of an engine's memory that may be in use."""
+    if typical_tokens <= SMALL_TOKENS:
+        return SMALL_MAX_FILL
+    return LARGE_MAX_FILL
 
 
 def session_of(prompt: calls.Prompt) -> str:
-    """Return what prompts of one session have in common."""
+    """Return the id of the session that a prompt belongs to."""
     shared = prompt.shared or prompt.parts
     return shared[-1].id if shared else ""
 
 
 def salt_of(request: Request, version: int) -> str:
-    """Return the text under which a request's parts are cached, if any."""
+    """Return the salt of a request's parts; empty without a prompt."""
     prompt = request.call.prompt
     if prompt is None:
         return ""
--- a/src/briarseam/placement/residency.py
+++ b/src/briarseam/placement/residency.py
@@ -1,4 +1,4 @@
-"""Which parts of prompts an endpoint's memory holds, as far as known."""
+"""Parts of prompts that endpoints are known to hold in memory."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 import threading
 import typing
 
-# Part of an endpoint's memory that is taken to hold cached parts; running
-# requests need the rest.
+# Share of an endpoint's memory assumed to hold cached parts; running requests
+# need the rest.
 CACHED_SHARE = 0.6
 UNKNOWN_CAPACITY = 100_000
 
@@ -15,9 +15,9 @@
 
 
 class Residency:
-    """Parts by endpoint, the least recently used forgotten first.
+    """Parts held by each endpoint, with LRU eviction; thread-safe.
 
-    A part's key is the salt under which it is cached and its id.
+    A part's key consists of its salt and its id.
     """
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
         salt: str,
         parts: typing.Sequence[tuple[str, int]],
     ) -> int:
-        """Return the tokens of leading parts that an endpoint holds."""
+        """Return the tokens of a prompt's leading parts that are held."""
         tokens = 0
         with self.lock:
             held = self.held.get(endpoint)
@@ -50,20 +50,20 @@
         parts: typing.Sequence[tuple[str, int]],
         capacity: int,
     ) -> None:
-        """Note that an endpoint has read a prompt's parts.
+        """Record that an endpoint has prefilled a prompt's parts.
 
         Parameters
         ----------
         endpoint
-            Its id.
+            Id of the endpoint.
         salt
-            Text under which they are cached.
+            Salt of the parts.
         parts
             Ids and lengths, in order.
         capacity
-            Tokens that fit into the endpoint's memory.
+            Tokens that fit into the endpoint's memory; 0 if unknown.
         """
-        room = int((capacity or UNKNOWN_CAPACITY) * CACHED_SHARE)
+        max_tokens = int((capacity or UNKNOWN_CAPACITY) * CACHED_SHARE)
         with self.lock:
             held = self.held.setdefault(endpoint, collections.OrderedDict())
             for part, length in parts:
@@ -73,23 +73,23 @@
                     )
                 held[salt, part] = length
                 held.move_to_end((salt, part))
-            while self.totals[endpoint] > room and held:
+            while self.totals[endpoint] > max_tokens and held:
                 _key, length = held.popitem(last=False)
                 self.totals[endpoint] -= length
 
     def forget(self, endpoint: str) -> None:
-        """Forget an endpoint that is gone or has dropped its memory."""
+        """Drop an endpoint that is gone or has lost its memory."""
         with self.lock:
             self.held.pop(endpoint, None)
             self.totals.pop(endpoint, None)
 
     def keep_only(self, endpoints: typing.Collection[str]) -> None:
-        """Forget all endpoints but these.
+        """Drop all endpoints but these.
 
-        An answer that was on its way when its endpoint was forgotten has
-        noted it again.
+        An answer that arrives after its endpoint was dropped records the
+        endpoint again.
         """
         with self.lock:
-            over = [name for name in self.held if name not in endpoints]
-        for name in over:
+            removed = [name for name in self.held if name not in endpoints]
+        for name in removed:
             self.forget(name)
--- a/src/briarseam/placement/salts.py
+++ b/src/briarseam/placement/salts.py
@@ -1,26 +1,27 @@
-"""Texts under which parts are cached: model, weights, organisation."""
+"""Salts of cached parts: model, weight version and organisation."""
 
 from __future__ import annotations
 
 import dataclasses
 
-# Versions stay below 2**53, as in the messages between instances.
-MOST_DIGITS = 16
+# Versions are below 2**53, as in messages between instances.
+MAX_VERSION_DIGITS = 16
 
 
 @dataclasses.dataclass(frozen=True)
 class Salt:
-    """What parts must have in common to be shared.
+    """Values that requests must have in common to share cached parts.
 
-    Parts of an isolated organisation must not be found by another one, and
-    parts that were made by other weights must not be found at all.
+    Parts of an isolated organisation must not be used by another one, and
+    parts computed with other weights must not be used at all.
 
     Attributes
     ----------
     model, version
-        Which weights made them.
+        Model and weight version that computed the parts.
     organisation
-        Whose they are alone; empty for all others together.
+        The isolated organisation that owns the parts; empty for parts shared
+        by all other organisations.
     """
 
     model: str
@@ -28,19 +29,18 @@
     organisation: str = ""
 
     def __str__(self) -> str:
-        """Return the text that endpoints and stores see."""
+        """Return the encoded form that is sent to endpoints and stores."""
         return f"{self.model}/{self.version}/{self.organisation}"
 
 
 def parse(text: str) -> Salt | None:
-    """Return the salt of a text, ``None`` if it is none of ours."""
+    """Parse an encoded salt; return ``None`` for another writer's text."""
     model, _, rest = text.partition("/")
     version, slash, organisation = rest.partition("/")
-    # Others may save parts under texts of their own.  Beyond ASCII there are
-    # digits that ``int`` does not read, and it reads no number of thousands
-    # of digits.
+    # Other writers may use salts of another form.  ``int`` rejects some
+    # non-ASCII digits, and numbers of thousands of digits.
     if not slash or not version.isascii() or not version.isdigit():
         return None
-    if len(version) > MOST_DIGITS:
+    if len(version) > MAX_VERSION_DIGITS:
         return None
     return Salt(model, int(version), organisation)
--- a/tests/placement/test_cell_loads.py
+++ b/tests/placement/test_cell_loads.py
@@ -69,13 +69,13 @@
     """
     near.loads.add("engine-1", WORK)
     far.loads.add("engine-1", WORK)
-    near.tell_all()
+    near.publish()
     assert far.loads.of("engine-1") == WORK.plus(WORK)
 
 
 def test_what_one_instance_is_told_its_whole_cell_knows(near, far, clock):
     near.loads.add("engine-1", WORK)
-    near.tell_all()
+    near.publish()
     peer = instance(Cells("b"), clock)
     peer.consume("speaker", far.provide())
     assert peer.loads.of("engine-1") == WORK
@@ -84,11 +84,11 @@
 def test_own_work_that_comes_back_is_not_counted_twice(near, far, clock):
     """Cells are cut anew, and an instance hears of its own cell."""
     near.loads.add("engine-1", WORK)
-    near.tell_all()
+    near.publish()
     far.cells.cell = "a"
     far.consume("speaker", far.provide())
     far.forget_old()
-    clock.now_s += cell_loads.TRUST_S + 0.1
+    clock.now_s += cell_loads.MAX_AGE_S + 0.1
     far.forget_old()
     assert far.loads.cells == {}
 
@@ -96,10 +96,10 @@
 def test_cell_that_is_silent_is_estimated_again(near, far, clock):
     near.loads.add("engine-1", WORK)
     far.loads.add("engine-1", WORK)
-    near.tell_all()
+    near.publish()
     near.cells.away = True
-    near.tell_all()
-    clock.now_s += cell_loads.TRUST_S + 0.1
+    near.publish()
+    clock.now_s += cell_loads.MAX_AGE_S + 0.1
     far.forget_old()
     assert far.provide() == instance(Cells("b"), clock).provide()
     assert far.loads.of("engine-1") == WORK.plus(WORK)
--- a/tests/placement/test_cell_weights.py
+++ b/tests/placement/test_cell_weights.py
@@ -93,7 +93,7 @@
     cells.giver.known_weights.begin_change(ENGINE)
     for _ in range(20):
         cells.giver.review()
-        clock.now_s += cell_weights.REPEAT_S / 2
+        clock.now_s += cell_weights.REPEAT_INTERVAL_S / 2
         assert cells.speaker.known_weights.is_changing(ENGINE)
     assert cells.giver.cells.told == 10
 
@@ -101,7 +101,7 @@
 def test_nothing_is_told_while_nothing_changes(cells, clock):
     for _ in range(5):
         cells.giver.review()
-        clock.now_s += cell_weights.REPEAT_S
+        clock.now_s += cell_weights.REPEAT_INTERVAL_S
     assert cells.giver.cells.told == 0
 
 
@@ -110,7 +110,7 @@
     cells.giver.known_weights.record_version(ENGINE, MODEL, 2)
     cells.giver.review()
     cells.giver.cells.away = False
-    clock.now_s += cell_weights.REPEAT_S
+    clock.now_s += cell_weights.REPEAT_INTERVAL_S
     cells.giver.review()
     assert cells.speaker.known_weights.version(ENGINE, MODEL, 1) == 2
 
--- a/tests/placement/test_chooser.py
+++ b/tests/placement/test_chooser.py
@@ -138,7 +138,9 @@
     full = case.place(tokens=100)
     assert isinstance(full, requests.NoCapacity)
     assert "free-slots=0" in str(full)
-    assert isinstance(case.place(tokens=100, begun=True), requests.Placement)
+    assert isinstance(
+        case.place(tokens=100, partly_answered=True), requests.Placement
+    )
 
 
 def test_idlest_of_many_engines_is_not_everybodys_choice():
@@ -317,7 +319,7 @@
     """
     while isinstance(case.place(tokens=20_000), requests.Placement):
         case.run(tokens=20_000)
-    begun = case.place(tokens=20_000, begun=True)
+    begun = case.place(tokens=20_000, partly_answered=True)
     assert isinstance(begun, requests.Placement)
 
 
@@ -353,13 +355,13 @@
     """A store's link is slow for five seconds; each prompt that fetches
     from it holds up all others of its engine.
     """
-    for _ in range(fetching.LATE_IN_A_ROW):
+    for _ in range(fetching.LATE_LIMIT):
         fetch_late(keeping)
     placed = keeping.place()
     assert placed.sources() == frozenset()
     assert not any(placed.instructions.save_to)
-    assert placed.missing_tokens == 1000
-    keeping.clock.now_s += fetching.PAUSE_S
+    assert placed.prefill_tokens == 1000
+    keeping.clock.now_s += fetching.RETRY_INTERVAL_S
     tried = keeping.place()
     added = keeping.chooser.record_start(tried, keeping.request().call)
     assert keeping.place().sources() == frozenset()
@@ -372,6 +374,6 @@
     of its engine as what others fetch.
     """
     assert STORE in keeping.place(session="other").instructions.save_to
-    for _ in range(fetching.LATE_IN_A_ROW):
+    for _ in range(fetching.LATE_LIMIT):
         fetch_late(keeping)
     assert not any(keeping.place(session="other").instructions.save_to)
--- a/tests/placement/test_fetching.py
+++ b/tests/placement/test_fetching.py
@@ -20,16 +20,16 @@
     return fetching.StoreHealth(clock)
 
 
-def late(health, *addresses, times=fetching.LATE_IN_A_ROW):
+def late(health, *addresses, times=fetching.LATE_LIMIT):
     for _ in range(times):
-        health.note_first_event(addresses, in_time=False)
+        health.record_first_event(addresses, in_time=False)
 
 
 def test_store_is_left_alone_after_several_late_fetches(health):
     """A store's link is slow, and each prompt that fetches from it waits
     for the time that reading takes before it is read.
     """
-    late(health, STORE, times=fetching.LATE_IN_A_ROW - 1)
+    late(health, STORE, times=fetching.LATE_LIMIT - 1)
     assert health.may_use(STORE)
     late(health, STORE, times=1)
     assert not health.may_use(STORE)
@@ -38,8 +38,8 @@
 
 
 def test_a_single_fetch_in_time_clears_a_store(health):
-    late(health, STORE, times=fetching.LATE_IN_A_ROW - 1)
-    health.note_first_event([STORE], in_time=True)
+    late(health, STORE, times=fetching.LATE_LIMIT - 1)
+    health.record_first_event([STORE], in_time=True)
     late(health, STORE, times=1)
     assert health.may_use(STORE)
 
@@ -49,43 +49,43 @@
     ones still wait for it.
     """
     for prompt in "ab":
-        health.note_begun([STORE], prompt, 0.5)
+        health.record_start([STORE], prompt, 0.5)
     clock.now_s += 0.4
     assert health.may_use(STORE)
     clock.now_s += 0.2
     assert health.is_slow(STORE)
-    health.note_begun([STORE], "c", 0.5)
+    health.record_start([STORE], "c", 0.5)
     assert not health.may_use(STORE)
     for prompt in "ab":
-        health.note_over([STORE], prompt)
+        health.record_end([STORE], prompt)
     assert not health.is_slow(STORE)
 
 
 def test_slow_store_is_tried_by_one_prompt_at_a_time(health, clock):
     late(health, STORE)
-    clock.now_s += fetching.PAUSE_S
+    clock.now_s += fetching.RETRY_INTERVAL_S
     assert health.may_use(STORE)
-    health.note_begun([STORE], "a", 0.5)
+    health.record_start([STORE], "a", 0.5)
     assert not health.may_use(STORE)
-    health.note_first_event([STORE], in_time=True)
+    health.record_first_event([STORE], in_time=True)
     assert health.may_use(STORE)
     assert not health.is_slow(STORE)
 
 
 def test_store_that_is_still_slow_is_left_alone_again(health, clock):
     late(health, STORE)
-    clock.now_s += fetching.PAUSE_S
-    health.note_begun([STORE], "a", 0.5)
-    health.note_first_event([STORE], in_time=False)
-    clock.now_s += fetching.PAUSE_S / 2
+    clock.now_s += fetching.RETRY_INTERVAL_S
+    health.record_start([STORE], "a", 0.5)
+    health.record_first_event([STORE], in_time=False)
+    clock.now_s += fetching.RETRY_INTERVAL_S / 2
     assert not health.may_use(STORE)
 
 
 def test_changes_of_belief_are_logged_once(health):
     with testing.capture_logs() as lines:
-        late(health, STORE, times=fetching.LATE_IN_A_ROW + 3)
+        late(health, STORE, times=fetching.LATE_LIMIT + 3)
         for _ in range(2):
-            health.note_first_event([STORE], in_time=True)
+            health.record_first_event([STORE], in_time=True)
     assert [line["event"] for line in lines] == [
         "cache_store_slow",
         "cache_store_in_time",
@@ -107,4 +107,4 @@
     late.
     """
     assert fetching.late_after_s(0.8, 0.9, 0.6) == 0.6
-    assert fetching.late_after_s(-1.0, 0.1, 0.05) == fetching.LEAST_S
+    assert fetching.late_after_s(-1.0, 0.1, 0.05) == fetching.MIN_LATE_S
--- a/tests/placement/test_load_exchange.py
+++ b/tests/placement/test_load_exchange.py
@@ -84,7 +84,7 @@
             0.4,
             "the work is known within a part of a heartbeat's interval",
         )
-    cell.loads["a"].take("engine-1", WORK)
+    cell.loads["a"].subtract("engine-1", WORK)
     for name in "bc":
         waiting.until(
             lambda name=name: cell.loads[name].of("engine-1") == loads.NO_LOAD,
@@ -97,7 +97,7 @@
         cell.loads["a"].add(f"engine-{number % 9}", WORK)
     waiting.until(
         lambda: (
-            cell.loads["b"].here().keys() == cell.loads["a"].own.keys()
+            cell.loads["b"].cell_loads().keys() == cell.loads["a"].own.keys()
             and all(
                 cell.loads["b"].of(name) == load
                 for name, load in cell.loads["a"].own.items()
@@ -108,13 +108,13 @@
 
 
 def test_forged_and_unreadable_datagrams_are_noted_and_change_nothing(cell):
-    content = msgspec.msgpack.encode(load_exchange.Told("a", b"\xc1"))
+    content = msgspec.msgpack.encode(load_exchange.LoadDatagram("a", b"\xc1"))
     cell.send("b", b"anything")
     cell.send("b", datagrams.seal(b"another key", content))
     cell.send("b", datagrams.seal(KEY, content))
     cell.send("b", datagrams.seal(KEY, b"\xc1"))
     waiting.until(lambda: cell.malformed[malformed.Kind.DATAGRAM] == 4)
-    assert cell.loads["b"].told == {}
+    assert cell.loads["b"].peer_totals == {}
     cell.loads["a"].add("engine-1", WORK)
     waiting.until(lambda: cell.loads["b"].of("engine-1") == WORK)
 
@@ -135,7 +135,7 @@
 def test_more_work_than_a_datagram_holds_is_left_to_heartbeats(cell):
     told = cell.loads["a"].provide
     cell.loads["a"].provide = lambda: bytes(datagrams.MOST_BYTES)
-    cell.telling["a"].tell_all(["127.0.0.1:9"])
+    cell.telling["a"].send(["127.0.0.1:9"])
     cell.loads["a"].provide = told
     cell.loads["a"].add("engine-1", WORK)
     waiting.until(lambda: cell.loads["b"].of("engine-1") == WORK)
--- a/tests/placement/test_loads.py
+++ b/tests/placement/test_loads.py
@@ -23,10 +23,10 @@
     here.add("engine-1", WORK)
     here.consume("peer", peer.provide())
     assert here.of("engine-1") == WORK.plus(WORK)
-    peer.take("engine-1", WORK)
+    peer.subtract("engine-1", WORK)
     here.consume("peer", peer.provide())
     assert here.of("engine-1") == WORK
-    assert here.told == {}
+    assert here.peer_totals == {}
 
 
 def test_late_news_does_not_bring_ended_work_back(peer):
@@ -37,7 +37,7 @@
     """
     here = loads.Loads()
     late = peer.provide()
-    peer.take("engine-1", WORK)
+    peer.subtract("engine-1", WORK)
     here.consume("peer", peer.provide())
     here.consume("peer", late)
     assert here.of("engine-1") == loads.NO_LOAD
@@ -80,12 +80,12 @@
     clock = clocks.ManualClock()
     here = loads.Loads(lambda: 2, lambda: 6, clock)
     here.consume("peer", peer.provide())
-    here.take_cell("cell-b", {"engine-1": WORK}, 2)
-    here.take_cell("cell-c", {"engine-2": WORK}, 2)
+    here.set_cell("cell-b", {"engine-1": WORK}, 2)
+    here.set_cell("cell-c", {"engine-2": WORK}, 2)
     assert here.of("engine-1") == WORK.plus(WORK)
     assert here.of("engine-2") == WORK
     clock.now_s += 5.0
-    here.forget_cells(3.0)
+    here.expire_cells(3.0)
     assert here.of("engine-1") == WORK.plus(WORK).plus(WORK)
 
 
@@ -93,8 +93,8 @@
     here = loads.Loads()
     here.consume("peer", peer.provide())
     here.add("engine-2", WORK)
-    here.take_cell("cell-b", {"engine-3": WORK}, 2)
-    assert here.here() == {"engine-1": WORK, "engine-2": WORK}
+    here.set_cell("cell-b", {"engine-3": WORK}, 2)
+    assert here.cell_loads() == {"engine-1": WORK, "engine-2": WORK}
 
 
 @pytest.mark.parametrize(
--- a/tests/placement/test_load.py
+++ b/tests/placement/test_simulated_load.py
@@ -61,7 +61,7 @@
     """
     part = {"from_s": SLOW_S[0], "to_s": SLOW_S[1] + 1.0}
     left_alone = mean_late(playing.Policy(), True, SLOW_S, **part)
-    monkeypatch.setattr(fetching, "LATE_IN_A_ROW", 10**6)
+    monkeypatch.setattr(fetching, "LATE_LIMIT", 10**6)
     used = mean_late(playing.Policy(), True, SLOW_S, **part)
     assert used > 0.9
     assert left_alone < 0.7
