--- a/src/briarseam/placement/chooser.py
+++ b/src/briarseam/placement/chooser.py
@@ -200,7 +200,7 @@
         """Return the plan for all engines with the same weight version."""
         salt = requests.salt_of(request, version)
         if not version:
-            return cost.VersionPlan(salt, kept_module.NOTHING)
+            return cost.VersionPlan(salt, kept_module.NO_TRANSFERS)
         return cost.VersionPlan(
             salt, self.kept_index.plan(salt, prompt.shared)
         )
--- a/src/briarseam/placement/cost.py
+++ b/src/briarseam/placement/cost.py
@@ -49,7 +49,7 @@
     """
 
     salt: str
-    stores: kept_module.Plan
+    stores: kept_module.TransferPlan
 
 
 @dataclasses.dataclass(frozen=True)
--- a/src/briarseam/placement/kept.py
+++ b/src/briarseam/placement/kept.py
@@ -1,4 +1,4 @@
-"""Which parts of prompts the stores keep, and what to fetch and save."""
+"""Index of the parts that stores keep; plans what to fetch and save."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
     from briarseam.forwarding import calls
     from briarseam.routes import model as routes
 
-# A part that was sent to be saved shows in the store's events when it is
-# whole.  After this long it may be sent again.
-SAVING_S = 5.0
-# Saves reserve their room at once and are lost where there is none; the
-# index lags by some hundred ms of other instances' saves.
-FULL_SHARE = 0.97
+# A saved part appears in the store's events once it is complete.  After this
+# time it may be saved again.
+SAVE_TIMEOUT_S = 5.0
+# A save reserves its space at once and fails if there is none; other
+# instances' saves appear in the index some hundred ms late.
+MAX_USED_SHARE = 0.97
 
-# What was not confirmed for so long is not fetched.  A process that was
-# suspended, or whose source of changes is silent, would fetch parts that a
-# store has lost and is being written again.  A confirmation is at most two
-# long polls of a second and their pauses old.
-TRUST_S = 3.0
+# Content that was not confirmed for this long is not fetched.  A process that
+# was suspended or receives no changes would fetch parts that a store has lost
+# and that are being written again.  A confirmation is at most two long polls
+# of 1 s and their pauses old.
+MAX_AGE_S = 3.0
 
 
 @dataclasses.dataclass(frozen=True)
-class Saving:
-    """A part that was sent to be saved.
+class PendingSave:
+    """A part that is being saved.
 
     Attributes
     ----------
     address
-        The store.
+        Address of the store.
     until_s
-        When it is no longer expected, by the index's clock.
+        Time after which the save counts as failed, by the index's clock.
     """
 
     address: str
@@ -50,15 +50,15 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Plan:
-    """Where a prompt's parts come from and go to.
+class TransferPlan:
+    """Stores that a prompt's parts are fetched from and saved to.
 
     Attributes
     ----------
     fetch_from, save_to
-        Addresses for the parts in their order; empty for none.
+        Store addresses in the order of the parts; empty for none.
     fetched_tokens
-        Tokens that need not be read.
+        Tokens that need no prefill.
     """
 
     fetch_from: tuple[str, ...] = ()
@@ -66,11 +66,11 @@
     fetched_tokens: int = 0
 
 
-NOTHING = Plan()
+NO_TRANSFERS = TransferPlan()
 
 
 class KeptIndex:
-    """The index over all stores; thread-safe.
+    """Index of all stores' parts; thread-safe.
 
     Parameters
     ----------
@@ -83,7 +83,7 @@
     ) -> None:
         self.clock = clock
         self.stores: dict[str, store_index.StoreIndex] = {}
-        self.saving: dict[store_index.PartKey, Saving] = {}
+        self.pending_saves: dict[store_index.PartKey, PendingSave] = {}
         self.lock = threading.Lock()
         self.changed = changes.Change(self.lock)
         self.health = fetching.StoreHealth(clock)
@@ -91,7 +91,7 @@
     def set_stores(
         self, stores: collections.abc.Sequence[routes.StoreTraits]
     ) -> None:
-        """Take in which stores there are."""
+        """Replace the list of stores; known ones keep their index."""
         with self.lock:
             known = self.stores
             self.stores = {}
@@ -103,54 +103,53 @@
                 self.stores[traits.address] = index
             self.health.keep_only(self.stores)
 
-    def take_content(
+    def apply_content(
         self, address: str, content: store_index.Content, age_s: float = 0.0
     ) -> None:
-        """Take in all that a store keeps; it may be fetched from now on.
+        """Replace the content of a store and mark it readable.
 
         Parameters
         ----------
         address
-            The store.
+            Address of the store.
         content
-            What it keeps.
+            Its content.
         age_s
-            Seconds since the store told so.
+            Seconds since the store reported it.
         """
         with self.lock:
             index = self.stores.get(address)
-            if index is None or index.is_over(content.born_ms):
+            if index is None or index.is_superseded(content.born_ms):
                 return
-            if index.is_anew(content):
-                self.forget_saving(address)
+            if index.is_restart(content):
+                self.forget_saves(address)
             index.clear()
             index.epoch = content.epoch
             index.born_ms = content.born_ms or index.born_ms
             index.readable = True
             index.confirmed_s = self.clock() - age_s
             for part in content.parts:
-                index.put(part)
-                self.saving.pop((part.salt, part.part), None)
+                index.set_part(part)
+                self.pending_saves.pop((part.salt, part.part), None)
             self.changed.notify_all()
 
-    def take_changes(
+    def apply_changes(
         self, address: str, changes: store_index.Changes, age_s: float = 0.0
     ) -> bool:
-        """Take in changes; tell whether the content is still known.
+        """Apply changes; return whether the content is still known.
 
-        A store that started anew lost everything.  A part of its former
-        content may be written again just now, and must not be fetched
-        before it is whole.
+        A restarted store has lost all content.  A part of it may be being
+        written again and must not be fetched before it is complete.
         """
         with self.lock:
             index = self.stores.get(address)
             if index is None:
                 return False
-            if index.is_over(changes.born_ms):
+            if index.is_superseded(changes.born_ms):
                 return False
-            if changes.lost or index.is_anew(changes):
-                if index.is_anew(changes):
-                    self.forget_saving(address)
+            if changes.lost or index.is_restart(changes):
+                if index.is_restart(changes):
+                    self.forget_saves(address)
                 index.born_ms = max(index.born_ms, changes.born_ms)
                 index.clear()
                 index.readable = False
@@ -159,100 +158,102 @@
             index.born_ms = changes.born_ms or index.born_ms
             index.confirmed_s = self.clock() - age_s
             for event in changes.events:
-                index.change(event)
-                self.saving.pop((event.salt, event.part), None)
+                index.record_change(event)
+                self.pending_saves.pop((event.salt, event.part), None)
             if changes.events:
                 self.changed.notify_all()
             return True
 
-    def lose(self, address: str, born_ms: int = starts.UNKNOWN_MS) -> None:
-        """Forget a store's content, since the store does not answer.
+    def mark_unreadable(
+        self, address: str, born_ms: int = starts.UNKNOWN_MS
+    ) -> None:
+        """Drop the content of a store that does not answer.
 
         Parameters
         ----------
         address
-            The store.
+            Address of the store.
         born_ms
-            Of the start that does not answer, where that is known.
+            Start time of the store's process that does not answer, if known.
         """
         with self.lock:
             index = self.stores.get(address)
-            if index is None or index.is_over(born_ms):
+            if index is None or index.is_superseded(born_ms):
                 return
             index.clear()
             index.readable = False
             self.changed.notify_all()
 
-    def forget_saving(self, address: str) -> None:
-        """Forget what a store lost while it was written; under the lock."""
-        self.saving = {
+    def forget_saves(self, address: str) -> None:
+        """Drop a restarted store's pending saves; requires the lock."""
+        self.pending_saves = {
             key: saving
-            for key, saving in self.saving.items()
+            for key, saving in self.pending_saves.items()
             if saving.address != address
         }
 
-    def is_trusted(self, index: store_index.StoreIndex) -> bool:
-        """Tell whether a store's content is known; under the lock."""
+    def is_confirmed(self, index: store_index.StoreIndex) -> bool:
+        """Return whether a store's content is known; requires the lock."""
         age_s = self.clock() - index.confirmed_s
-        return index.readable and age_s <= TRUST_S
+        return index.readable and age_s <= MAX_AGE_S
 
     def plan(
         self, salt: str, parts: collections.abc.Sequence[calls.PromptPart]
-    ) -> Plan:
-        """Return where a prompt's shared parts come from and go to.
+    ) -> TransferPlan:
+        """Plan where a prompt's shared parts are fetched from and saved to.
 
-        A part behind one that is nowhere is of no use, since it can only
-        be used if all before it are there.  One that a slow store keeps is
-        not saved a second time: it is there again soon.
+        A part can only be used if all parts before it are available, so
+        parts after a missing one are not fetched.  A part at a slow store is
+        not saved elsewhere, because slow stores usually recover soon.
         """
         fetch_from: list[str] = []
         save_to: list[str] = []
         fetched = 0
-        unbroken = True
+        contiguous = True
         with self.lock:
             for part in parts:
                 holder = self.holder_of(salt, part)
                 if holder is None:
-                    unbroken = False
-                    save_to.append(self.place(salt, part))
+                    contiguous = False
+                    save_to.append(self.save_target(salt, part))
                     fetch_from.append("")
                     continue
                 save_to.append("")
-                unbroken = unbroken and self.health.may_use(holder)
-                fetch_from.append(holder if unbroken else "")
-                fetched += part.tokens if unbroken else 0
-        return Plan(tuple(fetch_from), tuple(save_to), fetched)
+                contiguous = contiguous and self.health.may_use(holder)
+                fetch_from.append(holder if contiguous else "")
+                fetched += part.tokens if contiguous else 0
+        return TransferPlan(tuple(fetch_from), tuple(save_to), fetched)
 
     def holder_of(self, salt: str, part: calls.PromptPart) -> str | None:
-        """Return the address of a store that keeps a part whole."""
+        """Return the address of a store that keeps a complete part."""
         for address, index in self.stores.items():
-            if (salt, part.id) in index.held and self.is_trusted(index):
+            if (salt, part.id) in index.held and self.is_confirmed(index):
                 return address
         return None
 
-    def place(self, salt: str, part: calls.PromptPart) -> str:
-        """Return where a part may be saved; empty for nowhere just now."""
+    def save_target(self, salt: str, part: calls.PromptPart) -> str:
+        """Return the store to save a part to; empty for none."""
         now_s = self.clock()
-        saving = self.saving.get((salt, part.id))
+        saving = self.pending_saves.get((salt, part.id))
         if saving is not None and saving.until_s > now_s:
             return ""
         candidates = [
             index
             for index in self.stores.values()
-            if self.is_trusted(index)
+            if self.is_confirmed(index)
             and not self.health.is_slow(index.traits.address)
             and index.used + part.tokens
-            < index.traits.capacity_tokens * FULL_SHARE
+            < index.traits.capacity_tokens * MAX_USED_SHARE
         ]
-        order = rank.ranked(
+        ranked = rank.ranked(
             f"{salt}/{part.id}",
             candidates,
             lambda index: index.traits.address,
             lambda index: float(index.traits.capacity_tokens),
         )
-        if not order:
+        if not ranked:
             return ""
-        return order[0].traits.address
+        return ranked[0].traits.address
 
     def record_saves(
         self,
@@ -260,30 +261,32 @@
         parts: collections.abc.Sequence[calls.PromptPart],
         save_to: collections.abc.Sequence[str],
     ) -> None:
-        """Note which parts are about to be saved by a request."""
-        until_s = self.clock() + SAVING_S
+        """Record the parts that a request is about to save."""
+        until_s = self.clock() + SAVE_TIMEOUT_S
         with self.lock:
             for part, address in zip(parts, save_to, strict=False):
                 if address:
-                    self.saving[salt, part.id] = Saving(address, until_s)
+                    self.pending_saves[salt, part.id] = PendingSave(
+                        address, until_s
+                    )
 
-    def stale(
+    def stale_parts(
         self, address: str, is_stale: collections.abc.Callable[[str], bool]
     ) -> tuple[int, list[store_index.PartKey]]:
-        """Return a store's epoch and its parts under stale salts."""
+        """Return a store's epoch, and its parts with stale salts."""
         with self.lock:
             index = self.stores.get(address)
             if index is None or not index.readable:
                 return 0, []
-            found = [key for key in index.held if is_stale(key[0])]
-            return index.epoch, found
+            stale = [key for key in index.held if is_stale(key[0])]
+            return index.epoch, stale
 
     def forget_old(self) -> None:
-        """Forget saves that came to nothing."""
+        """Drop pending saves that have timed out."""
         now_s = self.clock()
         with self.lock:
-            self.saving = {
+            self.pending_saves = {
                 key: saving
-                for key, saving in self.saving.items()
+                for key, saving in self.pending_saves.items()
                 if saving.until_s > now_s
             }
--- a/src/briarseam/placement/shared_watch.py
+++ b/src/briarseam/placement/shared_watch.py
@@ -1,4 +1,4 @@
-"""Following stores through the instance that reads them."""
+"""Follows the content of stores through an instance that reads them."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 
     from briarseam.placement import kept as kept_module
 
-# A reader that is gone without a word shows this long after, and what it
-# told is trusted for little longer.
+# Longest wait for an answer.  It bounds the time to detect a lost reader,
+# whose last answer is trusted for little longer.
 WAIT_S = 1.0
 SLACK_S = 0.6
-# Between two questions, so that changes come in batches.
+# Pause between two queries, so that changes are batched.
 PAUSE_S = 0.4
 RETRY_S = 0.3
 
 
 class ReaderUnavailableError(Exception):
-    """The instance that reads the stores does not answer, or reads none."""
+    """The reader does not answer, or does not read these stores."""
 
 
 class Readers(typing.Protocol):
-    """Calls to instances that read stores."""
+    """Calls to instances that read stores directly."""
 
     def read_stores(
-        self, reader: str, asked: messages.StoresAsked, timeout_s: float
+        self, reader: str, query: messages.StoresAsked, timeout_s: float
     ) -> messages.StoresTold:
-        """Ask an instance for changes.
+        """Query an instance for changes.
 
         Raises
         ------
         ReaderUnavailableError
-            When it does not answer.
+            If it does not answer.
         """
 
 
@@ -47,13 +47,13 @@
     Parameters
     ----------
     readers
-        Calls to instances that read stores.
+        Calls to instances that read stores directly.
     reader
-        Name of the instance.
+        Name of the reader.
     addresses
-        The stores.
+        Addresses of the stores.
     index
-        What is known of all stores.
+        Index of all stores.
     """
 
     def __init__(
@@ -75,52 +75,54 @@
         )
 
     def start(self) -> None:
-        """Begin following."""
+        """Start following."""
         self.poller.start()
 
     def stop(self) -> None:
-        """Stop after the question under way."""
+        """Stop after the current query."""
         self.poller.stop()
 
     def poll(self) -> float:
-        """Ask once, and take in the answer; return the pause.
+        """Query the reader once and apply the reply; return the pause.
 
         Raises
         ------
         ReaderUnavailableError
-            When there is none.  The content stays as it is: the index
-            trusts no content that is not confirmed for long.
+            If there is no reply.  The index keeps the content, which expires
+            unless it is confirmed.
         """
-        asked = messages.StoresAsked(
+        query = messages.StoresAsked(
             tuple(
                 (address, generation, sequence)
                 for address, (generation, sequence) in self.cursors.items()
             ),
             WAIT_S,
         )
-        told = self.readers.read_stores(self.reader, asked, WAIT_S + SLACK_S)
-        if not told.reads:
-            raise ReaderUnavailableError("it does not read these stores")
+        reply = self.readers.read_stores(self.reader, query, WAIT_S + SLACK_S)
+        if not reply.reads:
+            raise ReaderUnavailableError(
+                "the instance does not read these stores"
+            )
         if not self.poller.stopping.is_set():
-            for store in told.stores:
-                self.take(store)
+            for store in reply.stores:
+                self.apply(store)
         return PAUSE_S
 
-    def take(self, store: messages.StoreUpdate) -> None:
-        """Take in what is new of one store."""
+    def apply(self, store: messages.StoreUpdate) -> None:
+        """Apply the update of one store."""
         events = tuple(store_index.PartEvent(*part) for part in store.parts)
         self.cursors[store.address] = (store.generation, store.sequence)
         if not store.readable:
-            self.index.lose(store.address, store.born_ms)
+            self.index.mark_unreadable(store.address, store.born_ms)
             return
         if store.whole:
             content = store_index.Content(
                 store.epoch, 0, events, store.born_ms
             )
-            self.index.take_content(store.address, content, store.age_s)
+            self.index.apply_content(store.address, content, store.age_s)
             return
         changes = store_index.Changes(
             store.epoch, 0, False, events, store.born_ms
         )
-        if not self.index.take_changes(store.address, changes, store.age_s):
+        if not self.index.apply_changes(store.address, changes, store.age_s):
             self.cursors[store.address] = ("", 0)
--- a/src/briarseam/placement/store_index.py
+++ b/src/briarseam/placement/store_index.py
@@ -1,4 +1,4 @@
-"""What one store keeps, as far as known, and what it tells of it."""
+"""Index of one store's parts, and the events that change it."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 if typing.TYPE_CHECKING:
     from briarseam.routes import model as routes
 
-# Changes that another instance may ask for before it has to read all: some
-# ten seconds of a busy store's.
-HISTORY = 4000
+# Changes kept for other instances; one that is further behind has to read the
+# complete content.  Covers about 10 s of a busy store.
+HISTORY_LENGTH = 4000
 GENERATION_BYTES = 6
 
 PartKey = tuple[str, str]
@@ -22,14 +22,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class PartEvent:
-    """A change of what a store keeps.
+    """A change of a store's content.
 
     Attributes
     ----------
     salt, part
-        Which part.
+        Salt and id of the part.
     tokens
-        Its length, once it is whole; 0 when it was dropped.
+        Length of the part once it is complete; 0 if it was dropped.
     """
 
     salt: str
@@ -39,21 +39,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class Changes:
-    """What a store tells of changes.
+    """Changes reported by a store.
 
     Attributes
     ----------
     epoch
-        Changes when the store starts anew, empty.
+        Differs after each restart, which leaves the store empty.
     next
-        Number to ask from next.
+        Number to continue from in the next query.
     lost
         Whether changes before these are missing.
     events
-        In order.
+        Changes, in order.
     born_ms
-        When the store started, in milliseconds since the epoch by its own
-        clock; 0 where it does not say.
+        Start time of the store, in milliseconds since the Unix epoch by its
+        own clock; 0 if not reported.
     """
 
     epoch: int
@@ -65,14 +65,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Content:
-    """All that a store keeps whole.
+    """Complete content of a store.
 
     Attributes
     ----------
     epoch, next, born_ms
         As in :class:`Changes`.
     parts
-        Whole parts.
+        Complete parts.
     """
 
     epoch: int
@@ -83,28 +83,28 @@
 
 @dataclasses.dataclass
 class StoreIndex:
-    """What one store keeps, as far as known.
+    """Known content of one store.
 
     Attributes
     ----------
     traits
-        The store.
+        The store's configuration.
     readable
-        Whether it answers, so that its content is known to be there.
+        Whether the store answers, so that its content is known.
     confirmed_s
-        When its content was last known to be this, by the index's clock.
+        Time of the last confirmation of the content, by the index's clock.
     epoch, born_ms
-        Of the content.
+        Epoch and start time of the store that the content belongs to.
     held
-        Tokens of whole parts.
+        Tokens of each complete part.
     used
         Sum of these.
     generation
-        Random; another one after the content was read or lost as a whole.
+        Random id; replaced whenever the complete content is read or dropped.
     sequence
-        Number of changes taken in since then.
+        Number of changes applied in this generation.
     history
-        The newest of them, the last one with number ``sequence``.
+        The newest of these changes; the last one has number ``sequence``.
     """
 
     traits: routes.StoreTraits
@@ -117,43 +117,43 @@
     generation: str = ""
     sequence: int = 0
     history: collections.deque[PartEvent] = dataclasses.field(
-        default_factory=lambda: collections.deque(maxlen=HISTORY)
+        default_factory=lambda: collections.deque(maxlen=HISTORY_LENGTH)
     )
 
-    def is_over(self, born_ms: int) -> bool:
-        """Tell whether another start has followed the one of some news.
+    def is_superseded(self, born_ms: int) -> bool:
+        """Return whether a newer start of the store is already known.
 
-        Guard: another instance that lags may tell what a store kept before
-        it started anew, after this one has seen the new start.  Fetched,
-        such parts would be garbage while they are written again.
+        Guard: an instance that lags behind may report content from before a
+        restart that this one has already seen.  Such parts may be being
+        written again, and fetching them would yield garbage.
         """
         return starts.UNKNOWN_MS < born_ms < self.born_ms
 
-    def is_anew(self, told: Changes | Content) -> bool:
-        """Tell whether news is of a later start than the content.
+    def is_restart(self, update: Changes | Content) -> bool:
+        """Return whether an update is from a later start of the store.
 
-        The epoch tells starts apart, the time of birth also which is the
-        later one; either may be missing or the same by chance.
+        The epoch only distinguishes starts, while the start time also orders
+        them.  Either may be missing, or be the same by chance.
         """
-        is_later = starts.UNKNOWN_MS < self.born_ms < told.born_ms
-        return is_later or told.epoch != self.epoch
+        is_later = starts.UNKNOWN_MS < self.born_ms < update.born_ms
+        return is_later or update.epoch != self.epoch
 
-    def put(self, event: PartEvent) -> None:
-        """Take in one change."""
+    def set_part(self, event: PartEvent) -> None:
+        """Apply one change."""
         key = (event.salt, event.part)
         self.used -= self.held.pop(key, 0)
         if event.tokens > 0:
             self.held[key] = event.tokens
             self.used += event.tokens
 
-    def change(self, event: PartEvent) -> None:
-        """Take in one change, and remember it for who asks."""
-        self.put(event)
+    def record_change(self, event: PartEvent) -> None:
+        """Apply one change and add it to the history."""
+        self.set_part(event)
         self.sequence += 1
         self.history.append(event)
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Drop the content and start a new generation."""
         self.held.clear()
         self.used = 0
         self.generation = secrets.token_hex(GENERATION_BYTES)
--- a/src/briarseam/placement/store_messages.py
+++ b/src/briarseam/placement/store_messages.py
@@ -1,4 +1,4 @@
-"""Messages between instances about what stores of KV cache keep."""
+"""Messages between instances about the content of KV cache stores."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 @codec.message("stores-asked")
 class StoresAsked(msgspec.Struct, frozen=True):
-    """Ask an instance that reads stores for what has changed.
+    """Query to an instance that reads stores, for changes.
 
     Attributes
     ----------
     cursors
-        For each store its address, and generation and sequence of what the
-        asker has; an empty generation asks for all.
+        For each store its address, and the generation and sequence that the
+        sender has; an empty generation requests the complete content.
     wait_s
-        How long to wait for a change, in seconds.
+        Longest time to wait for a change, in seconds.
     """
 
     cursors: tuple[tuple[str, str, int], ...]
@@ -25,26 +25,26 @@
 
 
 class StoreUpdate(msgspec.Struct, frozen=True):
-    """What is new of one store.
+    """Update of one store's content.
 
     Attributes
     ----------
     address
-        The store.
+        Address of the store.
     readable
-        Whether it answers the instance that reads it.
+        Whether the store answers its reader.
     epoch
-        The store's own, which frees parts only for who knows it.
+        Epoch of the store; a request to free parts must name it.
     generation, sequence
-        Where this ends.
+        Position of the reader's index after this update.
     age_s
-        Seconds since the store told so.
+        Seconds since the store reported this.
     whole
-        Whether ``parts`` is all that the store keeps, not what changed.
+        Whether ``parts`` is the complete content rather than changes.
     parts
-        Salt, part and length in tokens; 0 tokens when it was dropped.
+        Salt, part id and length in tokens; 0 tokens if it was dropped.
     born_ms
-        When the store started, by its own clock; 0 where it did not say.
+        Start time of the store, by its own clock; 0 if not reported.
     """
 
     address: str
@@ -60,15 +60,16 @@
 
 @codec.message("stores-told")
 class StoresTold(msgspec.Struct, frozen=True):
-    """What is new of the stores that were asked for.
+    """Updates of the queried stores.
 
     Attributes
     ----------
     reads
-        Whether the instance reads these stores itself; what it only knows
-        from others would be handed on in circles.
+        Whether the instance reads these stores directly.  Content that it
+        only has from other readers would circulate between instances.
     stores
-        All that were asked for and are known; unchanged ones with no parts.
+        Updates of the queried stores that are known; unchanged ones have no
+        parts.
     """
 
     reads: bool
--- a/src/briarseam/placement/store_sharing.py
+++ b/src/briarseam/placement/store_sharing.py
@@ -1,4 +1,4 @@
-"""Answering other instances about the stores that this one reads."""
+"""Answers other instances' queries about the stores this one reads."""
 
 from __future__ import annotations
 
@@ -13,23 +13,22 @@
     from briarseam.placement import kept as kept_module
     from briarseam.placement import store_index
 
-# Longest wait for a change, in seconds; a reader that is gone without a word
-# shows at its end.
+# Longest wait for a change.  It bounds the time to detect a lost reader.
 MAX_WAIT_S = 1.0
-# Parts of whole contents in one answer, some 60 bytes each: far below the
-# largest frame.  What is left out is asked for next.
+# Parts in one answer, some 60 bytes each: far below the largest frame.  The
+# next query returns the remaining stores.
 MAX_PARTS = 20_000
 
 
 class StoreSharing:
-    """Answers from the index of the stores; thread-safe.
+    """Answers queries from the index of the stores; thread-safe.
 
     Parameters
     ----------
     index
-        What is known of all stores.
+        Index of all stores.
     reads
-        Tells whether this instance reads a store itself.
+        Returns whether this instance reads a store directly.
     """
 
     def __init__(
@@ -40,29 +39,29 @@
         self.index = index
         self.reads = reads
 
-    async def await_changes(self, asked: messages.StoresAsked) -> None:
-        """Wait until there is a change to answer with."""
-        if self.reads_all(asked):
+    async def await_changes(self, query: messages.StoresAsked) -> None:
+        """Wait until the answer to a query holds a change."""
+        if self.reads_all(query):
             await self.index.changed.reached(
-                lambda: self.is_behind(asked.cursors),
-                min(asked.wait_s, MAX_WAIT_S),
+                lambda: self.is_behind(query.cursors),
+                min(query.wait_s, MAX_WAIT_S),
             )
 
-    def reads_all(self, asked: messages.StoresAsked) -> bool:
-        """Tell whether this instance reads all stores that are meant."""
-        return all(self.reads(address) for address, *_ in asked.cursors)
+    def reads_all(self, query: messages.StoresAsked) -> bool:
+        """Return whether this instance reads all queried stores."""
+        return all(self.reads(address) for address, *_ in query.cursors)
 
-    def answer(self, asked: messages.StoresAsked) -> messages.StoresTold:
-        """Answer with the changes that there are, at once."""
-        if not self.reads_all(asked):
+    def answer(self, query: messages.StoresAsked) -> messages.StoresTold:
+        """Answer a query with the current changes, without waiting."""
+        if not self.reads_all(query):
             return messages.StoresTold(False, ())
         with self.index.lock:
-            return messages.StoresTold(True, self.told(asked.cursors))
+            return messages.StoresTold(True, self.updates(query.cursors))
 
     def is_behind(
         self, cursors: collections.abc.Iterable[tuple[str, str, int]]
     ) -> bool:
-        """Tell whether anything is new; call it under the index's lock."""
+        """Return whether there are changes; requires the index's lock."""
         for address, generation, sequence in cursors:
             index = self.index.stores.get(address)
             if index is None:
@@ -71,32 +70,32 @@
                 return True
         return False
 
-    def told(
+    def updates(
         self, cursors: collections.abc.Iterable[tuple[str, str, int]]
     ) -> tuple[messages.StoreUpdate, ...]:
-        """Return what is new; call it under the index's lock."""
-        found: list[messages.StoreUpdate] = []
+        """Return the changes of stores; requires the index's lock."""
+        updates: list[messages.StoreUpdate] = []
         parts = 0
         for address, generation, sequence in cursors:
             index = self.index.stores.get(address)
             if index is None or not index.generation:
                 continue
-            told = self.store_told(index, generation, sequence)
-            parts += len(told.parts)
-            if found and parts > MAX_PARTS:
+            update = self.store_update(index, generation, sequence)
+            parts += len(update.parts)
+            if updates and parts > MAX_PARTS:
                 break
-            found.append(told)
-        return tuple(found)
+            updates.append(update)
+        return tuple(updates)
 
-    def store_told(
+    def store_update(
         self, index: store_index.StoreIndex, generation: str, sequence: int
     ) -> messages.StoreUpdate:
-        """Return what is new of one store."""
+        """Return the changes of one store, or its complete content."""
         behind = index.sequence - sequence
-        whole = generation != index.generation or not 0 <= behind <= len(
+        complete = generation != index.generation or not 0 <= behind <= len(
             index.history
         )
-        if whole:
+        if complete:
             parts = tuple(
                 (salt, part, tokens)
                 for (salt, part), tokens in index.held.items()
@@ -114,7 +113,7 @@
             generation=index.generation,
             sequence=index.sequence,
             age_s=max(0.0, self.index.clock() - index.confirmed_s),
-            whole=whole,
+            whole=complete,
             parts=parts,
             born_ms=index.born_ms,
         )
--- a/src/briarseam/placement/store_watch.py
+++ b/src/briarseam/placement/store_watch.py
@@ -1,4 +1,4 @@
-"""Following what one store keeps."""
+"""Follows the content of one store."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 from briarseam.placement import kept as kept_module
 from briarseam.placement import store_index
 
-# Length of one long poll.  Its end without an answer shows that a store is
-# gone without a word, before a new one can be whole at its address.
+# Length of a long poll.  If it ends without an answer the store is lost; it is
+# short enough to end before another store is complete at the same address.
 WAIT_S = 1.0
-# Between two polls, so that events are read in batches.
+# Pause between two polls, so that events are batched.
 PAUSE_S = 0.15
 RETRY_S = 0.5
 log = structlog.get_logger("briarseam.placement")
 
 
 class StoreUnavailableError(Exception):
-    """A store of KV cache does not answer properly."""
+    """A KV cache store gives no valid answer."""
 
 
 class Stores(typing.Protocol):
-    """Calls to stores of KV cache."""
+    """Calls to KV cache stores."""
 
     def content(self, address: str) -> store_index.Content:
-        """Return all that a store keeps."""
+        """Return the complete content of a store."""
 
     def changes(
         self, address: str, since: int, wait_s: float
     ) -> store_index.Changes:
-        """Return changes, waiting for the first."""
+        """Return changes, waiting for the first one."""
 
 
 class StoreWatch:
@@ -43,9 +43,9 @@
     stores
         Calls to stores.
     address
-        The store.
+        Address of the store.
     index
-        What is known of all stores.
+        Index of all stores.
     """
 
     def __init__(
@@ -60,19 +60,19 @@
             self.poll,
             StoreUnavailableError,
             RETRY_S,
-            self.lose,
+            self.mark_unreadable,
         )
 
     def start(self) -> None:
-        """Begin following."""
+        """Start following."""
         self.poller.start()
 
     def stop(self) -> None:
-        """Stop after the poll under way."""
+        """Stop after the current poll."""
         self.poller.stop()
 
     def poll(self) -> float:
-        """Read the content, or what changed since; return the pause."""
+        """Read the content or its changes; return the pause."""
         if self.cursor is None:
             self.read_content()
         else:
@@ -80,11 +80,11 @@
         return PAUSE_S
 
     def read_content(self) -> None:
-        """Read all that the store keeps."""
+        """Read the complete content of the store."""
         content = self.stores.content(self.address)
         if self.poller.stopping.is_set():
             return
-        self.index.take_content(self.address, content)
+        self.index.apply_content(self.address, content)
         self.cursor = content.next
         log.info(
             "cache_store_read",
@@ -94,11 +94,11 @@
         )
 
     def read_changes(self, since: int) -> None:
-        """Read what changed since."""
+        """Read the changes after an event number."""
         changes = self.stores.changes(self.address, since, WAIT_S)
         if self.poller.stopping.is_set():
             return
-        if self.index.take_changes(self.address, changes):
+        if self.index.apply_changes(self.address, changes):
             self.cursor = changes.next
             return
         log.warning(
@@ -106,8 +106,8 @@
         )
         self.cursor = None
 
-    def lose(self, error: Exception) -> None:
-        """Forget the content of a store that does not answer."""
+    def mark_unreadable(self, error: Exception) -> None:
+        """Drop the content of a store that does not answer."""
         del error
-        self.index.lose(self.address)
+        self.index.mark_unreadable(self.address)
         self.cursor = None
--- a/src/briarseam/placement/store_watches.py
+++ b/src/briarseam/placement/store_watches.py
@@ -1,4 +1,4 @@
-"""Which instance of a cell reads which store, and following them all."""
+"""Assigns stores to the readers of a cell, and follows all stores."""
 
 from __future__ import annotations
 
@@ -17,44 +17,43 @@
     from briarseam.placement import kept as kept_module
 
 REVIEW_S = 0.25
-# Peers are heard within two heartbeats of half a second after they are met;
-# before, this instance alone seems to be there, and would read all stores.
+# After joining, all peers' heartbeats arrive within two intervals of 0.5 s.
+# Until then the instance seems to be alone and would read all stores.
 SETTLE_S = 1.5
-# Instances of a cell among which the stores are divided.  A store takes
-# twelve callers at once, and each cell has one; each of its instances asks
-# as many peers as this.
-READERS = 3
+# Instances of a cell among which the stores are divided.  A store accepts
+# twelve callers at once, of which each cell is one.  Each instance of the cell
+# queries this many peers.
+READERS_PER_CELL = 3
 READERS_KEY = "store-readers"
-# Up to so many instances each reads all stores itself, and depends on no
-# other: while a reader is lost or suspended, prompts are computed again.
-DIRECT_UP_TO = 10
+# Up to this number of instances, each reads all stores directly.  Otherwise
+# prompts are prefilled again while a reader is lost or suspended.
+MAX_DIRECT_INSTANCES = 10
 
 
 class StoreWatches:
-    """Follows all stores; in large deployments one reader a store and cell.
+    """Follows all stores; large deployments use one reader per store and cell.
 
-    A store refuses callers beyond some number, and each of its changes is a
-    message to each caller.  So few instances read it, and the others ask
-    those.
+    A store refuses callers beyond a limit and sends each change to every
+    caller.  Therefore few instances read it, and the others query those.
 
     Parameters
     ----------
     stores
         Calls to stores.
     readers
-        Calls to instances that read stores.
+        Calls to instances that read stores directly.
     index
-        What is known of all stores.
-    me
+        Index of all stores.
+    local_name
         Name of this instance.
-    cell
-        Returns the instances of this cell that stay, this one included;
-        empty before peers are met.
-    count
+    cell_members
+        Returns the instances of this cell that are not leaving, this one
+        included; empty before peers are known.
+    instance_count
         Returns the number of all instances.
     weight_of
-        Returns the work an instance can take, relative to others: a weak
-        link cannot tell thirty others what fifteen stores keep.
+        Returns an instance's relative capacity: an instance with a slow link
+        can't send the content of fifteen stores to thirty others.
     clock
         Seconds.
     """
@@ -64,21 +63,21 @@
         stores: store_watch.Stores,
         readers: shared_watch.Readers,
         index: kept_module.KeptIndex,
-        me: str,
-        cell: typing.Callable[[], collections.abc.Collection[str]],
-        count: typing.Callable[[], int],
+        local_name: str,
+        cell_members: typing.Callable[[], collections.abc.Collection[str]],
+        instance_count: typing.Callable[[], int],
         weight_of: typing.Callable[[str], float] = rank.equal_weight,
         clock: typing.Callable[[], float] = clocks.boot_clock,
     ) -> None:
         self.stores = stores
         self.readers = readers
         self.index = index
-        self.me = me
-        self.cell = cell
-        self.count = count
+        self.local_name = local_name
+        self.cell_members = cell_members
+        self.instance_count = instance_count
         self.weight_of = weight_of
         self.clock = clock
-        self.met_s: float | None = None
+        self.peers_known_s: float | None = None
         self.addresses: frozenset[str] = frozenset()
         self.direct: dict[str, store_watch.StoreWatch] = {}
         self.shared: dict[str, shared_watch.SharedWatch] = {}
@@ -87,7 +86,7 @@
         )
 
     def start(self) -> None:
-        """Begin following."""
+        """Start following."""
         self.reviews.start()
 
     def stop(self) -> None:
@@ -99,44 +98,47 @@
             shared.stop()
 
     def follow(self, addresses: collections.abc.Iterable[str]) -> None:
-        """Follow these stores and no others, from the next review on."""
+        """Set the stores to follow, effective from the next review."""
         self.addresses = frozenset(addresses)
 
     def reads(self, address: str) -> bool:
-        """Tell whether this instance reads a store itself."""
+        """Return whether this instance reads a store directly."""
         return address in self.direct
 
     def review(self) -> None:
-        """Watch each store as falls to this instance just now."""
-        if self.count() <= DIRECT_UP_TO:
+        """Match the watches to the current assignment of stores."""
+        if self.instance_count() <= MAX_DIRECT_INSTANCES:
             self.match_shared({})
             self.match_direct(self.addresses)
             return
-        cell = self.cell()
-        if not cell:
+        members = self.cell_members()
+        if not members:
             return
-        if self.met_s is None:
-            self.met_s = self.clock()
-        if self.clock() - self.met_s < SETTLE_S:
+        if self.peers_known_s is None:
+            self.peers_known_s = self.clock()
+        if self.clock() - self.peers_known_s < SETTLE_S:
             return
-        assigned = self.assign(cell)
-        self.match_direct(assigned.pop(self.me, frozenset()))
+        assigned = self.assign(members)
+        self.match_direct(assigned.pop(self.local_name, frozenset()))
         self.match_shared(assigned)
 
     def assign(
-        self, cell: collections.abc.Iterable[str]
+        self, members: collections.abc.Iterable[str]
     ) -> dict[str, frozenset[str]]:
-        """Return the stores by the instance that reads them."""
-        pool = rank.strongest(READERS_KEY, cell, self.weight_of)[:READERS]
-        found: dict[str, set[str]] = collections.defaultdict(set)
+        """Assign the stores to readers; return them by reader."""
+        readers = rank.strongest(READERS_KEY, members, self.weight_of)[
+            :READERS_PER_CELL
+        ]
+        assigned: dict[str, set[str]] = collections.defaultdict(set)
         for address in self.addresses:
-            found[rank.ranked(address, pool, str)[0]].add(address)
+            assigned[rank.ranked(address, readers, str)[0]].add(address)
         return {
-            reader: frozenset(addresses) for reader, addresses in found.items()
+            reader: frozenset(addresses)
+            for reader, addresses in assigned.items()
         }
 
     def match_direct(self, addresses: frozenset[str]) -> None:
-        """Read these stores here, and no others."""
+        """Read exactly these stores directly."""
         for address in self.direct.keys() - addresses:
             self.direct.pop(address).stop()
         for address in addresses - self.direct.keys():
@@ -145,7 +147,7 @@
             self.direct[address] = watch
 
     def match_shared(self, assigned: dict[str, frozenset[str]]) -> None:
-        """Ask these instances about these stores, and no others."""
+        """Query exactly these readers, each about its stores."""
         for reader, watch in list(self.shared.items()):
             if assigned.get(reader) != watch.cursors.keys():
                 self.shared.pop(reader).stop()
--- a/src/briarseam/placement/sweeping.py
+++ b/src/briarseam/placement/sweeping.py
@@ -1,4 +1,4 @@
-"""Freeing what stores keep of weights that no engine has any more."""
+"""Frees stored parts of weight versions that no engine has any more."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
     from briarseam.placement import kept as kept_module
 
 REVIEW_S = 0.5
-# All engines must have been seen beyond a version for this long before its
-# parts are freed.  A fetch that began before takes no longer than this: one
-# that would wait for two seconds is not started.
+# Parts of a version are freed once all engines have had newer weights for this
+# time.  A fetch started before takes less: one that would have to wait for 2 s
+# is not started.
 GRACE_S = 4.0
-# Parts freed with one call.
-BATCH = 500
+# Parts freed per call.
+BATCH_SIZE = 500
 log = structlog.get_logger("briarseam.placement")
 
 
-class Freeing(typing.Protocol):
+class StoreClient(typing.Protocol):
     """Calls that free parts."""
 
     def free(
@@ -35,93 +35,94 @@
         epoch: int,
         parts: typing.Sequence[tuple[str, str]],
     ) -> None:
-        """Free parts at once, if the store has not started anew."""
+        """Free parts, unless the store has restarted since the epoch."""
 
 
 class Sweeper:
-    """Frees stale parts of the stores that fall to this instance.
+    """Frees stale parts of the stores that this instance owns.
 
-    A part must not be freed while it is fetched.  Requests name the weights
-    that they must run on, so once no engine has a version any more, nothing
-    that would fetch its parts can start.
+    A part must not be freed while it is fetched.  Requests name the weight
+    version that they must run on, so no fetch of its parts can start once no
+    engine has that version.
 
     Parameters
     ----------
     stores
         Calls to stores.
     index
-        What stores keep.
+        Index of all stores.
     oldest
-        Returns the oldest weights that any engine of a model may have;
-        ``None`` while that is not known.
-    me, members
-        This instance, and all that are alive.
+        Returns the oldest weight version that any engine of a model may
+        have; ``None`` while unknown.
+    local_name, members
+        Name of this instance, and a function that returns the names of all
+        live instances.
     clock
         Seconds.
     """
 
     def __init__(
         self,
-        stores: Freeing,
+        stores: StoreClient,
         index: kept_module.KeptIndex,
         oldest: typing.Callable[[str], int | None],
-        me: str,
+        local_name: str,
         members: typing.Callable[[], typing.Sequence[str]],
         clock: typing.Callable[[], float] = clocks.boot_clock,
     ) -> None:
         self.stores = stores
         self.index = index
         self.oldest = oldest
-        self.me = me
+        self.local_name = local_name
         self.members = members
         self.clock = clock
-        self.since: dict[tuple[str, int], float] = {}
+        self.stale_at_s: dict[tuple[str, int], float] = {}
         self.reviews = repeating.Repeater("sweeper", self.review, REVIEW_S)
 
     def start(self) -> None:
-        """Begin."""
+        """Start the reviews."""
         self.reviews.start()
 
     def stop(self) -> None:
-        """Free nothing further."""
+        """Stop the reviews."""
         self.reviews.stop()
 
     def review(self) -> None:
-        """Sweep all stores that fall to this instance once."""
+        """Sweep each store that this instance owns once."""
         for address in list(self.index.stores):
             if self.owns(address):
                 self.sweep(address)
 
     def owns(self, address: str) -> bool:
-        """Tell whether a store falls to this instance."""
+        """Return whether this instance frees parts of a store."""
         members = list(self.members())
-        if self.me not in members:
+        if self.local_name not in members:
             return False
-        return rank.ranked(address, members, str)[0] == self.me
+        return rank.ranked(address, members, str)[0] == self.local_name
 
     def sweep(self, address: str) -> None:
         """Free the stale parts of one store."""
-        epoch, parts = self.index.stale(address, self.is_stale)
+        epoch, parts = self.index.stale_parts(address, self.is_stale)
         if not parts:
             return
-        batch = parts[:BATCH]
+        batch = parts[:BATCH_SIZE]
         try:
             self.stores.free(address, epoch, batch)
         except store_watch.StoreUnavailableError as error:
             log.warning("parts_not_freed", address=address, detail=str(error))
             return
-        salts_of = collections.Counter(salt for salt, _part in batch)
-        log.info("parts_freed", address=address, salts=dict(salts_of))
+        counts = collections.Counter(salt for salt, _part in batch)
+        log.info("parts_freed", address=address, salts=dict(counts))
 
     def is_stale(self, text: str) -> bool:
-        """Tell whether parts under a salt can be used by no engine."""
+        """Return whether no engine can use parts with a salt."""
         salt = salts.parse(text)
         if salt is None:
             return False
         oldest = self.oldest(salt.model)
         key = (salt.model, salt.version)
         if oldest is None or salt.version >= oldest:
-            self.since.pop(key, None)
+            self.stale_at_s.pop(key, None)
             return False
-        since_s = self.since.setdefault(key, self.clock())
-        return self.clock() - since_s >= GRACE_S
+        stale_at_s = self.stale_at_s.setdefault(key, self.clock())
+        return self.clock() - stale_at_s >= GRACE_S
--- a/tests/placement/simulation.py
+++ b/tests/placement/simulation.py
@@ -312,8 +312,8 @@
                 if not self.now_s():
                     parts = self.parts_of(number) if self.kept else ()
                     content = store_index.Content(1, 0, parts)
-                    chooser.kept_index.take_content(address, content)
-                chooser.kept_index.take_changes(
+                    chooser.kept_index.apply_content(address, content)
+                chooser.kept_index.apply_changes(
                     address,
                     store_index.Changes(1, 1, False, ()),
                 )
--- a/tests/placement/test_chooser.py
+++ b/tests/placement/test_chooser.py
@@ -285,7 +285,7 @@
     case.chooser.kept_index.set_stores(
         [routes.StoreTraits("s:1", "a", 10**6, 1.0, 0.0, True)]
     )
-    case.chooser.kept_index.take_content("s:1", store_index.Content(1, 0, ()))
+    case.chooser.kept_index.apply_content("s:1", store_index.Content(1, 0, ()))
     placed = case.place()
     assert placed.instructions.save_to == ("s:1", "")
     assert placed.instructions.fetch_from == ("", "")
@@ -335,7 +335,7 @@
     )
     salt = case.place().instructions.salt
     part = store_index.PartEvent(salt, "s", 500)
-    chooser.kept_index.take_content(STORE, store_index.Content(1, 0, (part,)))
+    chooser.kept_index.apply_content(STORE, store_index.Content(1, 0, (part,)))
     return case
 
 
--- a/tests/placement/test_kept.py
+++ b/tests/placement/test_kept.py
@@ -29,13 +29,13 @@
     made = kept.KeptIndex(clock)
     made.set_stores([store("s1"), store("s2")])
     for address in ("s1", "s2"):
-        made.take_content(address, store_index.Content(1, 0, ()))
+        made.apply_content(address, store_index.Content(1, 0, ()))
     return made
 
 
 def whole(index, address, *names, salt=SALT, epoch=1):
     events = tuple(store_index.PartEvent(salt, name, 100) for name in names)
-    return index.take_changes(
+    return index.apply_changes(
         address, store_index.Changes(epoch, 9, False, events)
     )
 
@@ -47,7 +47,7 @@
     plan = index.plan(SALT, parts("a"))
     assert plan.fetch_from == ("",)
     index.record_saves(SALT, parts("a"), plan.save_to)
-    assert index.plan(SALT, parts("a")) == kept.Plan(("",), ("",), 0)
+    assert index.plan(SALT, parts("a")) == kept.TransferPlan(("",), ("",), 0)
     whole(index, plan.save_to[0], "a")
     assert index.plan(SALT, parts("a")).fetch_from == plan.save_to
 
@@ -74,7 +74,7 @@
     whole(index, "s1", "a")
     assert not whole(index, "s1", epoch=2)
     assert index.plan(SALT, parts("a")).fetch_from == ("",)
-    index.take_content(
+    index.apply_content(
         "s1",
         store_index.Content(2, 5, (store_index.PartEvent(SALT, "b", 100),)),
     )
@@ -83,14 +83,14 @@
 
 def test_store_whose_events_were_lost_is_read_anew(index):
     whole(index, "s1", "a")
-    assert not index.take_changes("s1", store_index.Changes(1, 9, True, ()))
+    assert not index.apply_changes("s1", store_index.Changes(1, 9, True, ()))
     assert index.plan(SALT, parts("a")).fetch_from == ("",)
 
 
 def test_store_that_does_not_answer_is_neither_read_nor_written(index):
     whole(index, "s1", "a")
-    index.lose("s1")
-    index.lose("s2")
+    index.mark_unreadable("s1")
+    index.mark_unreadable("s2")
     plan = index.plan(SALT, parts("a", "b"))
     assert plan.fetch_from == ("", "")
     assert plan.save_to == ("", "")
@@ -99,7 +99,7 @@
 def test_nothing_is_saved_where_there_is_no_room(clock):
     made = kept.KeptIndex(clock)
     made.set_stores([store("s1", capacity=150)])
-    made.take_content("s1", store_index.Content(1, 0, ()))
+    made.apply_content("s1", store_index.Content(1, 0, ()))
     whole(made, "s1", "a")
     assert made.plan(SALT, parts("a", "b")).save_to == ("", "")
 
@@ -107,7 +107,7 @@
 def test_save_that_came_to_nothing_is_tried_again(index, clock):
     plan = index.plan(SALT, parts("a"))
     index.record_saves(SALT, parts("a"), plan.save_to)
-    clock.now_s += kept.SAVING_S + 0.1
+    clock.now_s += kept.SAVE_TIMEOUT_S + 0.1
     for address in ("s1", "s2"):
         whole(index, address)
     assert index.plan(SALT, parts("a")).save_to == plan.save_to
@@ -119,7 +119,7 @@
     """
     first = index.plan(SALT, parts("a")).save_to
     index.record_saves(SALT, parts("a"), first)
-    clock.now_s += kept.SAVING_S + 0.1
+    clock.now_s += kept.SAVE_TIMEOUT_S + 0.1
     for address in ("s1", "s2"):
         whole(index, address)
     (second,) = index.plan(SALT, parts("a")).save_to
@@ -135,7 +135,7 @@
     """
     whole(index, "s1", "a")
     assert index.plan(SALT, parts("a")).fetch_from == ("s1",)
-    clock.now_s += kept.TRUST_S + 0.1
+    clock.now_s += kept.MAX_AGE_S + 0.1
     plan = index.plan(SALT, parts("a", "b"))
     assert plan.fetch_from == ("", "")
     assert plan.save_to == ("", "")
@@ -143,7 +143,7 @@
 
 def test_dropped_part_is_not_fetched_and_its_room_is_free(index):
     whole(index, "s1", "a")
-    index.take_changes(
+    index.apply_changes(
         "s1",
         store_index.Changes(
             1, 9, False, (store_index.PartEvent(SALT, "a", 0),)
--- a/tests/placement/test_shared_watch.py
+++ b/tests/placement/test_shared_watch.py
@@ -40,8 +40,8 @@
 def read_here(clock):
     """Index of the instance that reads the stores."""
     made = empty_index(clock)
-    made.take_content("s1", store_index.Content(1, 0, (event("a"),)))
-    made.take_content("s2", store_index.Content(5, 0, ()))
+    made.apply_content("s1", store_index.Content(1, 0, (event("a"),)))
+    made.apply_content("s2", store_index.Content(5, 0, ()))
     return made
 
 
@@ -84,7 +84,7 @@
 
 
 def change(read_here, address, *events, epoch=1):
-    read_here.take_changes(
+    read_here.apply_changes(
         address, store_index.Changes(epoch, 0, False, tuple(events))
     )
 
@@ -111,7 +111,7 @@
     change(read_here, "s1", epoch=2)
     watch.poll()
     assert not index.stores["s1"].readable
-    read_here.take_content("s1", store_index.Content(2, 0, (event("c"),)))
+    read_here.apply_content("s1", store_index.Content(2, 0, (event("c"),)))
     watch.poll()
     assert held(index, "s1") == {"c"}
     assert index.stores["s1"].epoch == 2
@@ -133,10 +133,10 @@
 
     Counted from the answer, what it tells would be trusted again and again.
     """
-    clock.now_s += kept.TRUST_S + 0.1
+    clock.now_s += kept.MAX_AGE_S + 0.1
     watch.poll()
     assert held(index, "s1") == {"a"}
-    assert not index.is_trusted(index.stores["s1"])
+    assert not index.is_confirmed(index.stores["s1"])
 
 
 def test_instance_that_reads_no_store_tells_nothing(peers, watch, index):
@@ -155,9 +155,9 @@
     peers.sharing.reads = lambda address: False
     with pytest.raises(shared_watch.ReaderUnavailableError):
         watch.poll()
-    assert index.is_trusted(index.stores["s1"])
-    clock.now_s += kept.TRUST_S + 0.1
-    assert not index.is_trusted(index.stores["s1"])
+    assert index.is_confirmed(index.stores["s1"])
+    clock.now_s += kept.MAX_AGE_S + 0.1
+    assert not index.is_confirmed(index.stores["s1"])
 
 
 def test_question_waits_for_a_change(sharing, read_here):
@@ -188,7 +188,7 @@
 ):
     """Both stores are full; what is left out is told next."""
     monkeypatch.setattr(store_sharing, "MAX_PARTS", 1)
-    read_here.take_content("s2", store_index.Content(5, 0, (event("c"),)))
+    read_here.apply_content("s2", store_index.Content(5, 0, (event("c"),)))
     watch.poll()
     assert (held(index, "s1"), held(index, "s2")) == ({"a"}, set())
     watch.poll()
--- a/tests/placement/test_store_watches.py
+++ b/tests/placement/test_store_watches.py
@@ -77,14 +77,21 @@
     review(watches, clock)
     read = list(itertools.chain(*(one.direct for one in watches)))
     assert sorted(read) == sorted(STORES)
-    assert len([one for one in watches if one.direct]) == store_watches.READERS
+    assert (
+        len([one for one in watches if one.direct])
+        == store_watches.READERS_PER_CELL
+    )
 
 
 def test_others_ask_the_readers(watches, clock):
     review(watches, clock)
-    readers = {one.me: set(one.direct) for one in watches if one.direct}
+    readers = {
+        one.local_name: set(one.direct) for one in watches if one.direct
+    }
     for one in watches:
-        others = {name: readers[name] for name in readers if name != one.me}
+        others = {
+            name: readers[name] for name in readers if name != one.local_name
+        }
         asked = {name: set(each.cursors) for name, each in one.shared.items()}
         assert asked == others
 
@@ -94,13 +101,13 @@
 ):
     review(watches, clock)
     gone = next(one for one in watches if one.direct)
-    cell.remove(gone.me)
+    cell.remove(gone.local_name)
     staying = [one for one in watches if one is not gone]
     for one in staying:
         one.review()
     read = list(itertools.chain(*(one.direct for one in staying)))
     assert sorted(read) == sorted(STORES)
-    assert all(gone.me not in one.shared for one in staying)
+    assert all(gone.local_name not in one.shared for one in staying)
 
 
 def test_store_of_no_configuration_is_not_read(watches, clock):
@@ -127,7 +134,7 @@
     The others know of no store for seconds, and read again what is kept.
     """
     for one in watches[:7]:
-        one.count = lambda: 7
+        one.instance_count = lambda: 7
         one.review()
         assert set(one.direct) == set(STORES)
         assert not one.shared
--- a/tests/placement/test_sweeping.py
+++ b/tests/placement/test_sweeping.py
@@ -34,7 +34,7 @@
             store_index.PartEvent("m/2/", "new", 100),
             store_index.PartEvent("foreign", "other", 100),
         )
-        index.take_content("s", store_index.Content(4, 0, content))
+        index.apply_content("s", store_index.Content(4, 0, content))
         self.sweeper = sweeping.Sweeper(
             self.stores,
             index,
@@ -95,6 +95,6 @@
     case.members.append("me")
     owners = []
     for name in case.members:
-        case.sweeper.me = name
+        case.sweeper.local_name = name
         owners.append(case.sweeper.owns("s"))
     assert sum(owners) == 1
--- a/tests/platform/test_restarted_store.py
+++ b/tests/platform/test_restarted_store.py
@@ -62,7 +62,7 @@
         return self.index.plan(SALT, PARTS).fetch_from != ("",)
 
     def is_saving(self):
-        return (SALT, "b") in self.index.saving
+        return (SALT, "b") in self.index.pending_saves
 
     def told(self, born, epoch, whole, readable=True):
         """Return what a peer tells that has part "a" of some start."""
