--- a/tests/placement/test_cell_loads.py
+++ b/tests/placement/test_cell_loads.py
@@ -1,4 +1,4 @@
-"""Two cells tell each other their work."""
+"""Exchange of loads between two cells."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from briarseam.wire import replies
 from tests import clocks
 
-WORK = loads.Load(2, 900, 1, 5000)
+LOAD = loads.Load(2, 900, 1, 5000)
 
 
 class Cells:
-    """A cell of two instances, and how it reaches the other one."""
+    """A cell of two instances, and its connection to the other cell."""
 
     def __init__(self, name):
         self.cell = name
         self.others = {}
-        self.away = False
+        self.unreachable = False
 
     def name(self):
         return self.cell
@@ -33,8 +33,8 @@
         return list(self.others)
 
     def publish_load(self, address, message):
-        if self.away:
-            raise replies.NoReplyError("away")
+        if self.unreachable:
+            raise replies.NoReplyError("unreachable")
         self.others[address].answer(message)
 
 
@@ -49,57 +49,59 @@
 
 
 @pytest.fixture
-def near(clock):
-    """The instance that speaks for the first cell."""
+def local(clock):
+    """The speaker of the first cell."""
     return instance(Cells("a"), clock)
 
 
 @pytest.fixture
-def far(clock, near):
-    """The instance that speaks for the second cell."""
+def remote(clock, local):
+    """The speaker of the second cell."""
     made = instance(Cells("b"), clock)
-    near.cells.others["10.0.0.2:1"] = made
+    local.cells.others["10.0.0.2:1"] = made
     return made
 
 
-def test_engine_is_as_busy_as_all_cells_make_it(near, far):
-    """Each cell has filled half of an engine's memory.
+def test_loads_of_all_cells_are_added(local, remote):
+    """Guards against two cells that together overfill an engine.
 
-    Told nothing by each other, both go on filling it.
+    Each has filled half of its memory and knows only its own load.
     """
-    near.loads.add("engine-1", WORK)
-    far.loads.add("engine-1", WORK)
-    near.publish()
-    assert far.loads.of("engine-1") == WORK.plus(WORK)
+    local.loads.add("engine-1", LOAD)
+    remote.loads.add("engine-1", LOAD)
+    local.publish()
+    assert remote.loads.of("engine-1") == LOAD.plus(LOAD)
 
 
-def test_what_one_instance_is_told_its_whole_cell_knows(near, far, clock):
-    near.loads.add("engine-1", WORK)
-    near.publish()
+def test_peer_learns_loads_that_the_speaker_received(local, remote, clock):
+    local.loads.add("engine-1", LOAD)
+    local.publish()
     peer = instance(Cells("b"), clock)
-    peer.consume("speaker", far.provide())
-    assert peer.loads.of("engine-1") == WORK
-
-
-def test_own_work_that_comes_back_is_not_counted_twice(near, far, clock):
-    """Cells are cut anew, and an instance hears of its own cell."""
-    near.loads.add("engine-1", WORK)
-    near.publish()
-    far.cells.cell = "a"
-    far.consume("speaker", far.provide())
-    far.forget_old()
+    peer.consume("speaker", remote.provide())
+    assert peer.loads.of("engine-1") == LOAD
+
+
+def test_own_cells_load_is_not_counted_twice_when_relayed(
+    local, remote, clock
+):
+    """After a regrouping, an instance gets the load of its own cell."""
+    local.loads.add("engine-1", LOAD)
+    local.publish()
+    remote.cells.cell = "a"
+    remote.consume("speaker", remote.provide())
+    remote.forget_old()
     clock.now_s += cell_loads.MAX_AGE_S + 0.1
-    far.forget_old()
-    assert far.loads.cells == {}
+    remote.forget_old()
+    assert remote.loads.cells == {}
 
 
-def test_cell_that_is_silent_is_estimated_again(near, far, clock):
-    near.loads.add("engine-1", WORK)
-    far.loads.add("engine-1", WORK)
-    near.publish()
-    near.cells.away = True
-    near.publish()
+def test_load_of_a_silent_cell_is_estimated(local, remote, clock):
+    local.loads.add("engine-1", LOAD)
+    remote.loads.add("engine-1", LOAD)
+    local.publish()
+    local.cells.unreachable = True
+    local.publish()
     clock.now_s += cell_loads.MAX_AGE_S + 0.1
-    far.forget_old()
-    assert far.provide() == instance(Cells("b"), clock).provide()
-    assert far.loads.of("engine-1") == WORK.plus(WORK)
+    remote.forget_old()
+    assert remote.provide() == instance(Cells("b"), clock).provide()
+    assert remote.loads.of("engine-1") == LOAD.plus(LOAD)
--- a/tests/placement/test_cell_weights.py
+++ b/tests/placement/test_cell_weights.py
@@ -1,4 +1,4 @@
-"""Two cells tell each other which engines are being given new weights."""
+"""Exchange of weight changes between two cells."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 ENGINE = "engine-1"
 MODEL = "drafts"
-FAR = "10.0.0.2:1"
+OTHER_CELL = "10.0.0.2:1"
 
 
 class Cells:
-    """Reaches one instance of each other cell, unless it is away."""
+    """Connects to one instance of each other cell, if reachable."""
 
     def __init__(self):
         self.others = {}
-        self.away = False
-        self.told = 0
+        self.unreachable = False
+        self.sent = 0
 
     def addresses(self):
         return list(self.others)
 
     def publish_weights(self, address, message):
-        if self.away:
-            raise replies.NoReplyError("away")
-        self.told += 1
+        if self.unreachable:
+            raise replies.NoReplyError("unreachable")
+        self.sent += 1
         self.others[address].answer(message)
 
 
@@ -49,76 +49,80 @@
 
 @pytest.fixture
 def cells(clock):
-    """The giver of orders, who speaks for another cell, and its peer."""
-    found = types.SimpleNamespace(
-        giver=instance("giver", clock),
+    """The issuer of orders; the speaker of another cell and its peer."""
+    nodes = types.SimpleNamespace(
+        issuer=instance("issuer", clock),
         speaker=instance("speaker", clock),
         peer=instance("peer", clock),
     )
-    found.giver.cells.others[FAR] = found.speaker
-    return found
+    nodes.issuer.cells.others[OTHER_CELL] = nodes.speaker
+    return nodes
 
 
-def test_cell_is_told_before_the_order_and_after_the_load(cells):
-    cells.giver.known_weights.begin_change(ENGINE)
-    cells.giver.review()
+def test_other_cell_receives_start_and_end_of_a_change(cells):
+    cells.issuer.known_weights.begin_change(ENGINE)
+    cells.issuer.review()
     assert cells.speaker.known_weights.is_changing(ENGINE)
-    cells.giver.known_weights.record_version(ENGINE, MODEL, 2)
-    cells.giver.known_weights.end_change(ENGINE)
-    cells.giver.review()
+    cells.issuer.known_weights.record_version(ENGINE, MODEL, 2)
+    cells.issuer.known_weights.end_change(ENGINE)
+    cells.issuer.review()
     assert not cells.speaker.known_weights.is_changing(ENGINE)
     assert cells.speaker.known_weights.version(ENGINE, MODEL, 1) == 2
 
 
-def test_whole_cell_knows_what_one_instance_was_told(cells):
-    cells.giver.known_weights.begin_change(ENGINE)
-    cells.giver.review()
+def test_peer_learns_changes_that_the_speaker_received(cells):
+    cells.issuer.known_weights.begin_change(ENGINE)
+    cells.issuer.review()
     cells.peer.consume("speaker", cells.speaker.provide())
     assert cells.peer.known_weights.is_changing(ENGINE)
 
 
-def test_teller_does_not_take_its_own_word_back(cells):
-    """Its word came round through another cell after the load had ended.
+def test_issuer_ignores_its_own_changes_when_relayed(cells):
+    """Guards against applying one's own change after it has ended.
 
-    Taken in, it would keep an engine without work for three seconds more.
+    Another cell relays it late; applied, it would keep the engine without
+    work for three more seconds.
     """
-    cells.giver.known_weights.begin_change(ENGINE)
-    cells.giver.review()
-    cells.giver.known_weights.end_change(ENGINE)
-    cells.giver.consume("speaker", cells.speaker.provide())
-    assert not cells.giver.known_weights.is_changing(ENGINE)
+    cells.issuer.known_weights.begin_change(ENGINE)
+    cells.issuer.review()
+    cells.issuer.known_weights.end_change(ENGINE)
+    cells.issuer.consume("speaker", cells.speaker.provide())
+    assert not cells.issuer.known_weights.is_changing(ENGINE)
 
 
-def test_long_load_is_told_again(cells, clock):
-    cells.giver.known_weights.begin_change(ENGINE)
+def test_change_is_repeated_during_a_long_load(cells, clock):
+    cells.issuer.known_weights.begin_change(ENGINE)
     for _ in range(20):
-        cells.giver.review()
+        cells.issuer.review()
         clock.now_s += cell_weights.REPEAT_INTERVAL_S / 2
         assert cells.speaker.known_weights.is_changing(ENGINE)
-    assert cells.giver.cells.told == 10
+    assert cells.issuer.cells.sent == 10
 
 
-def test_nothing_is_told_while_nothing_changes(cells, clock):
+def test_nothing_is_published_without_changes(cells, clock):
     for _ in range(5):
-        cells.giver.review()
+        cells.issuer.review()
         clock.now_s += cell_weights.REPEAT_INTERVAL_S
-    assert cells.giver.cells.told == 0
+    assert cells.issuer.cells.sent == 0
 
 
-def test_cell_that_was_away_is_told_once_it_is_back(cells, clock):
-    cells.giver.cells.away = True
-    cells.giver.known_weights.record_version(ENGINE, MODEL, 2)
-    cells.giver.review()
-    cells.giver.cells.away = False
+def test_unreachable_cell_receives_the_change_later(cells, clock):
+    cells.issuer.cells.unreachable = True
+    cells.issuer.known_weights.record_version(ENGINE, MODEL, 2)
+    cells.issuer.review()
+    cells.issuer.cells.unreachable = False
     clock.now_s += cell_weights.REPEAT_INTERVAL_S
-    cells.giver.review()
+    cells.issuer.review()
     assert cells.speaker.known_weights.version(ENGINE, MODEL, 1) == 2
 
 
-def test_word_of_a_giver_that_is_gone_is_not_passed_on(cells, clock):
-    """Passed on for ever, an engine would get no work any more."""
-    cells.giver.known_weights.begin_change(ENGINE)
-    cells.giver.review()
+def test_change_of_a_lost_issuer_is_not_relayed(cells, clock):
+    """Guards against a relayed change that never expires.
+
+    The engine would get no more work.
+    """
+    cells.issuer.known_weights.begin_change(ENGINE)
+    cells.issuer.review()
     clock.now_s += cell_weights.RELAY_S + 0.1
     cells.peer.consume("speaker", cells.speaker.provide())
     assert not cells.peer.known_weights.is_changing(ENGINE)
--- a/tests/placement/test_loads.py
+++ b/tests/placement/test_loads.py
@@ -6,95 +6,95 @@
 from briarseam.placement import loads
 from tests import clocks
 
-WORK = loads.Load(
+LOAD = loads.Load(
     requests=2, waiting_tokens=900, running=1, memory_tokens=5000
 )
 
 
 @pytest.fixture
 def peer():
-    made = loads.Loads()
-    made.add("engine-1", WORK)
-    return made
+    peer_loads = loads.Loads()
+    peer_loads.add("engine-1", LOAD)
+    return peer_loads
 
 
-def test_work_of_peers_is_counted_until_it_ends(peer):
-    here = loads.Loads()
-    here.add("engine-1", WORK)
-    here.consume("peer", peer.provide())
-    assert here.of("engine-1") == WORK.plus(WORK)
-    peer.subtract("engine-1", WORK)
-    here.consume("peer", peer.provide())
-    assert here.of("engine-1") == WORK
-    assert here.peer_totals == {}
+def test_load_of_peers_is_counted_until_it_ends(peer):
+    local = loads.Loads()
+    local.add("engine-1", LOAD)
+    local.consume("peer", peer.provide())
+    assert local.of("engine-1") == LOAD.plus(LOAD)
+    peer.subtract("engine-1", LOAD)
+    local.consume("peer", peer.provide())
+    assert local.of("engine-1") == LOAD
+    assert local.peer_totals == {}
 
 
-def test_late_news_does_not_bring_ended_work_back(peer):
-    """An idle engine gets no prompts for up to half a second.
+def test_older_report_does_not_restore_ended_load(peer):
+    """Guards against an idle engine that gets no prompts for up to 0.5 s.
 
-    A peer's heartbeat was composed before its work ended and is read after
-    the datagram that told the end.
+    A heartbeat composed before the load ended is read after the datagram
+    that reports the end.
     """
-    here = loads.Loads()
+    local = loads.Loads()
     late = peer.provide()
-    peer.subtract("engine-1", WORK)
-    here.consume("peer", peer.provide())
-    here.consume("peer", late)
-    assert here.of("engine-1") == loads.NO_LOAD
+    peer.subtract("engine-1", LOAD)
+    local.consume("peer", peer.provide())
+    local.consume("peer", late)
+    assert local.of("engine-1") == loads.NO_LOAD
 
 
-def test_a_peer_that_started_anew_is_believed(peer):
-    """A restarted process counts its changes from the beginning."""
-    here = loads.Loads()
+def test_report_of_a_restarted_peer_is_applied(peer):
+    """A restarted process counts its changes from zero."""
+    local = loads.Loads()
     for _ in range(3):
-        peer.add("engine-1", WORK)
-    here.consume("peer", peer.provide())
+        peer.add("engine-1", LOAD)
+    local.consume("peer", peer.provide())
     restarted = loads.Loads()
-    restarted.add("engine-2", WORK)
-    here.consume("peer", restarted.provide())
-    assert here.of("engine-1") == loads.NO_LOAD
-    assert here.of("engine-2") == WORK
+    restarted.add("engine-2", LOAD)
+    local.consume("peer", restarted.provide())
+    assert local.of("engine-1") == loads.NO_LOAD
+    assert local.of("engine-2") == LOAD
 
 
-def test_work_of_a_peer_that_is_gone_is_forgotten(peer):
-    here = loads.Loads()
+def test_load_of_a_removed_peer_is_dropped(peer):
+    local = loads.Loads()
     for name in ("peer-1", "peer-2"):
-        here.consume(name, peer.provide())
-    here.keep_only(frozenset({"peer-2"}))
-    assert here.of("engine-1") == WORK
+        local.consume(name, peer.provide())
+    local.keep_only(frozenset({"peer-2"}))
+    assert local.of("engine-1") == LOAD
 
 
-def test_work_of_instances_that_tell_nothing_is_estimated(peer):
-    """Engines run out of memory at a large site.
+def test_load_of_unreporting_instances_is_estimated(peer):
+    """Guards against engines that run out of memory at a large site.
 
-    Instances tell their work within a cell, a third of all; by that alone
-    each cell fills the engines for itself.
+    Instances report their load within their cell, a third of the total;
+    each cell alone would fill the engines.
     """
-    here = loads.Loads(lambda: 2, lambda: 6)
-    here.consume("peer", peer.provide())
-    assert here.of("engine-1") == WORK.plus(WORK).plus(WORK)
-    assert here.of("engine-2") == loads.NO_LOAD
+    local = loads.Loads(lambda: 2, lambda: 6)
+    local.consume("peer", peer.provide())
+    assert local.of("engine-1") == LOAD.plus(LOAD).plus(LOAD)
+    assert local.of("engine-2") == loads.NO_LOAD
 
 
-def test_work_that_another_cell_told_is_counted_and_not_estimated(peer):
+def test_load_of_another_cell_is_counted_instead_of_estimated(peer):
     clock = clocks.ManualClock()
-    here = loads.Loads(lambda: 2, lambda: 6, clock)
-    here.consume("peer", peer.provide())
-    here.set_cell("cell-b", {"engine-1": WORK}, 2)
-    here.set_cell("cell-c", {"engine-2": WORK}, 2)
-    assert here.of("engine-1") == WORK.plus(WORK)
-    assert here.of("engine-2") == WORK
+    local = loads.Loads(lambda: 2, lambda: 6, clock)
+    local.consume("peer", peer.provide())
+    local.set_cell("cell-b", {"engine-1": LOAD}, 2)
+    local.set_cell("cell-c", {"engine-2": LOAD}, 2)
+    assert local.of("engine-1") == LOAD.plus(LOAD)
+    assert local.of("engine-2") == LOAD
     clock.now_s += 5.0
-    here.expire_cells(3.0)
-    assert here.of("engine-1") == WORK.plus(WORK).plus(WORK)
+    local.expire_cells(3.0)
+    assert local.of("engine-1") == LOAD.plus(LOAD).plus(LOAD)
 
 
-def test_work_of_this_cell_is_told_to_others(peer):
-    here = loads.Loads()
-    here.consume("peer", peer.provide())
-    here.add("engine-2", WORK)
-    here.set_cell("cell-b", {"engine-3": WORK}, 2)
-    assert here.cell_loads() == {"engine-1": WORK, "engine-2": WORK}
+def test_cell_loads_exclude_other_cells(peer):
+    local = loads.Loads()
+    local.consume("peer", peer.provide())
+    local.add("engine-2", LOAD)
+    local.set_cell("cell-b", {"engine-3": LOAD}, 2)
+    assert local.cell_loads() == {"engine-1": LOAD, "engine-2": LOAD}
 
 
 @pytest.mark.parametrize(
@@ -102,18 +102,17 @@
     [
         pytest.param(["engine-1", 1, 1], id="too short"),
         pytest.param(["engine-1", 1, 1, 1, 2**63], id="beyond 53 bits"),
-        pytest.param(["engine-1", 1, 1, 1, "9"], id="a text"),
-        pytest.param([7, 1, 1, 1, 1], id="endpoint a number"),
+        pytest.param(["engine-1", 1, 1, 1, "9"], id="a string"),
+        pytest.param([7, 1, 1, 1, 1], id="numeric endpoint"),
     ],
 )
-def test_malformed_work_of_a_peer_leaves_what_it_told_before(peer, row):
-    """A peer of another make tells a number near the end of 64 bits.
+def test_malformed_report_leaves_the_previous_one_in_place(peer, row):
+    """Guards against threads that end because a sum exceeds 64 bits.
 
-    Sums with it fit into no message, and the threads that tell the work to
-    peers and to other cells ended.
+    A peer of another implementation reports a number close to that limit.
     """
-    here = loads.Loads()
-    here.consume("peer", peer.provide())
+    local = loads.Loads()
+    local.consume("peer", peer.provide())
     with pytest.raises(ValueError):
-        here.consume("peer", msgpack.packb([7, 1, [row]]))
-    assert here.of("engine-1") == WORK
+        local.consume("peer", msgpack.packb([7, 1, [row]]))
+    assert local.of("engine-1") == LOAD
