--- a/tests/placement/prompt_kinds.py
+++ b/tests/placement/prompt_kinds.py
@@ -1,4 +1,4 @@
-"""Kinds of prompts of a played load."""
+"""Kinds of prompts in simulated loads."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import random
 
 # The largest session, as a multiple of the mean.
-MOST_SPREAD = 2.7
+MAX_SPREAD = 2.7
 
 
 @dataclasses.dataclass(frozen=True)
@@ -16,38 +16,38 @@
     Attributes
     ----------
     name
-        For the results.
+        Name of the kind and of its route.
     per_s
-        How many come in a second.
+        Arrivals per second.
     shared, own
-        Tokens of its session and of itself.
-    aim_s
-        When its first event should be there.
+        Tokens of the session's shared part and of the prompt's own part.
+    target_s
+        Target time to the first event.
     stream_s
-        How long it runs then.
+        Duration of the answer after the first event.
     deadline_s
-        How long its caller waits.
+        Longest time that the caller waits.
     spread
-        Of the sessions' sizes around `shared`, as the sigma of a log-normal
-        distribution.
+        Sigma of the log-normal distribution of the sessions' sizes around
+        `shared`.
     """
 
     name: str
     per_s: float
     shared: int
     own: int
-    aim_s: float
+    target_s: float
     stream_s: float
     deadline_s: float
     spread: float = 0.0
 
     def shared_of(self, session: str) -> int:
-        """Return the tokens of a session."""
+        """Return the tokens of a session's shared part."""
         if not self.spread:
             return self.shared
         mean = -(self.spread**2) / 2
         factor = random.Random(session).lognormvariate(mean, self.spread)
-        return round(self.shared * min(factor, MOST_SPREAD))
+        return round(self.shared * min(factor, MAX_SPREAD))
 
 
 LONG = Kind("long", 15.0, 7500, 1700, 0.8, 0.3, 6.0)
--- a/tests/placement/simulation.py
+++ b/tests/placement/simulation.py
@@ -1,9 +1,9 @@
-"""Plays a load on the real decisions, with modelled engines and stores.
+"""Simulates a load with real choosers and modelled engines and stores.
 
-Instances are real choosers with the time of the play as their clock.  What
-one knows of the others' work is what was told and has arrived.  An engine
-reads one prompt after another, and fetches one part after another; a store
-gives to one engine at a time.
+Instances are real choosers that use simulated time.  Each knows the loads of
+the others that were published and have arrived.  An engine prefills one
+prompt at a time and fetches one part at a time; a store serves one engine at
+a time.
 """
 
 from __future__ import annotations
@@ -28,24 +28,24 @@
 from tests import clocks
 from tests.placement import prompt_kinds
 
-# A deployment whose engines read slowly and hold four long prompts each.
+# A deployment with slow engines that hold four long prompts each.
 MODEL = "m"
 INSTANCES = 6
 ENGINES = 9
 MEMORY_TOKENS = 42_000
-# Of a token, without what an engine does beside it.
-READ_MS = 0.033
+# Time to prefill a token on an otherwise idle engine.
+PREFILL_MS = 0.033
 STORES = ("10.0.0.1:1", "10.0.0.2:1")
-# Of a token, from a store that is well.
+# Time to fetch a token from a healthy store.
 FETCH_MS = 0.01
-# A transfer that would have to wait longer is not begun.
-LONGEST_QUEUE_S = 2.0
+# A transfer that would have to wait longer is not started.
+MAX_QUEUE_S = 2.0
 CONFIRM_S = 1.0
-# After the last arrival, for answers under way.
-LINGER_S = 10.0
+# Simulated time after the last arrival, for answers in progress.
+DRAIN_S = 10.0
 SESSIONS = 400
-# How often a prompt without room looks again.
-ROOM_POLL_S = 0.05
+# Interval at which a prompt without capacity is placed again.
+CAPACITY_POLL_S = 0.05
 ROUTE = routes.Route(
     "r",
     "h",
@@ -61,22 +61,22 @@
 
 @dataclasses.dataclass
 class Engine:
-    """When an engine has read and fetched all it was given."""
+    """Times at which an engine has finished its prefills and fetches."""
 
-    read_s: float = 0.0
+    prefilled_s: float = 0.0
     fetched_s: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Result:
-    """What one caller got.
+    """Result of one request.
 
     Attributes
     ----------
     kind
-        What was asked.
+        Kind of the prompt.
     at_s
-        When.
+        Time of arrival.
     first_s
         Seconds until the first event; ``None`` for a refusal.
     tokens
@@ -90,45 +90,46 @@
 
     @property
     def in_time(self) -> bool:
-        """Whether the first event was there when it should be."""
-        return self.first_s is not None and self.first_s <= self.kind.aim_s
+        """Whether the first event met its target."""
+        return self.first_s is not None and self.first_s <= self.kind.target_s
 
 
 @dataclasses.dataclass(frozen=True)
 class Policy:
-    """What a play varies.
+    """Policies that are compared.
 
     Attributes
     ----------
-    told_after_s
-        From a change of an instance's work to its arrival at the others, or
-        the interval of telling it.
-    at_once
-        Whether each change is told, not each interval's last.
-    hold_s
-        How long a prompt waits for room.
+    delay_s
+        Time from a change of an instance's load to its arrival at the
+        others, or the interval between periodic reports.
+    immediate
+        Whether each change is published, instead of periodic reports.
+    max_wait_s
+        Longest time that a prompt waits for capacity.
     """
 
-    told_after_s: float = 0.03
-    at_once: bool = True
-    hold_s: float = 0.0
+    delay_s: float = 0.03
+    immediate: bool = True
+    max_wait_s: float = 0.0
 
 
-class Play:
-    """One play of a load.
+class Simulation:
+    """One simulation of a load.
 
     Parameters
     ----------
     seed
-        Of the arrivals.
+        Seed of the arrivals.
     policy
-        What is varied.
+        Policy to simulate.
     kept
         Whether the stores keep the sessions' parts.
     slow_s
-        From when to when the first store is four times as slow.
+        Start and end of the time in which the first store is four times
+        slower.
     memory_tokens
-        Of each engine.
+        Memory of each engine.
     """
 
     def __init__(
@@ -144,7 +145,7 @@
         self.kept = kept
         self.slow_s = slow_s
         self.clock = clocks.ManualClock()
-        self.begin_s = self.clock()
+        self.start_s = self.clock()
         self.events: list[tuple[float, int, typing.Callable[[], None]]] = []
         self.results: list[Result] = []
         self.kinds: tuple[prompt_kinds.Kind, ...] = ()
@@ -162,7 +163,7 @@
         self.instances = [self.instance() for _ in range(INSTANCES)]
 
     def instance(self) -> choosers.Chooser:
-        """Return one instance."""
+        """Return a new instance."""
         endpoints = [
             discovery.Endpoint(
                 name,
@@ -174,52 +175,52 @@
             )
             for port, name in enumerate(self.engines, 1)
         ]
-        made = choosers.Chooser(
+        chooser = choosers.Chooser(
             lambda service: endpoints,
             lambda model: 0,
             engine_weights.EngineWeights(goals.GoalHistory(), self.clock),
             loads=loads.Loads(clock=self.clock),
             clock=self.clock,
         )
-        made.kept_index.set_stores(
+        chooser.kept_index.set_stores(
             [
                 routes.StoreTraits(address, "a", 10**7, 140_000.0, 0.006, True)
                 for address in STORES
             ]
         )
-        return made
+        return chooser
 
     def now_s(self) -> float:
-        """Return the time of the play."""
-        return self.clock() - self.begin_s
+        """Return the simulated time."""
+        return self.clock() - self.start_s
 
-    def at(self, when_s: float, act: typing.Callable[[], None]) -> None:
-        """Do something at a time of the play."""
-        heapq.heappush(self.events, (when_s, next(self.order), act))
+    def at(self, time_s: float, action: typing.Callable[[], None]) -> None:
+        """Schedule an action at a simulated time."""
+        heapq.heappush(self.events, (time_s, next(self.order), action))
 
     def run(
-        self, length_s: float, kinds: tuple[prompt_kinds.Kind, ...]
+        self, duration_s: float, kinds: tuple[prompt_kinds.Kind, ...]
     ) -> list[Result]:
-        """Play, and return what callers got."""
+        """Run the simulation; return the results in order of arrival."""
         self.kinds = kinds
         for kind in kinds:
-            when_s = self.random.expovariate(kind.per_s)
-            while when_s < length_s:
-                self.at(when_s, functools.partial(self.arrive, kind))
-                when_s += self.random.expovariate(kind.per_s)
+            time_s = self.random.expovariate(kind.per_s)
+            while time_s < duration_s:
+                self.at(time_s, functools.partial(self.arrive, kind))
+                time_s += self.random.expovariate(kind.per_s)
         self.confirm()
-        if not self.policy.at_once:
-            self.tell_by_turns()
-        while self.events and self.events[0][0] < length_s + LINGER_S:
-            when_s, _order, act = heapq.heappop(self.events)
-            self.clock.now_s = self.begin_s + when_s
-            act()
+        if not self.policy.immediate:
+            self.publish_periodically()
+        while self.events and self.events[0][0] < duration_s + DRAIN_S:
+            time_s, _order, action = heapq.heappop(self.events)
+            self.clock.now_s = self.start_s + time_s
+            action()
         return sorted(self.results, key=lambda result: result.at_s)
 
-    # What instances do.
+    # Instances.
 
     def arrive(self, kind: prompt_kinds.Kind) -> None:
-        """Let a caller's prompt come to any instance."""
+        """Send a new prompt to a random instance."""
         chooser = self.random.choice(self.instances)
         session = f"{kind.name}-{self.random.randrange(SESSIONS)}"
         own = f"own-{next(self.order)}"
@@ -238,7 +239,7 @@
             dataclasses.replace(ROUTE, name=kind.name),
             self.service,
             None,
-            kind.aim_s,
+            kind.target_s,
         )
         chooser.record_arrival(request)
         self.place(chooser, kind, request, self.now_s())
@@ -250,63 +251,65 @@
         request: requests.Request,
         at_s: float,
     ) -> None:
-        """Send a prompt to an engine, or let it wait for room."""
+        """Send a prompt to an engine, or let it wait for capacity."""
         prompt = request.call.prompt
         placed = chooser.choose(request)
         if not isinstance(placed, requests.Placement):
-            again_s = self.now_s() + ROOM_POLL_S
-            if again_s <= at_s + self.policy.hold_s:
+            retry_s = self.now_s() + CAPACITY_POLL_S
+            if retry_s <= at_s + self.policy.max_wait_s:
                 self.at(
-                    again_s, lambda: self.place(chooser, kind, request, at_s)
+                    retry_s, lambda: self.place(chooser, kind, request, at_s)
                 )
                 return
             self.results.append(Result(kind, at_s, None, prompt.input_tokens))
             return
         added = chooser.record_start(placed, request.call)
-        self.changed(chooser)
+        self.publish_change(chooser)
         sent_s = self.now_s()
-        ready_s = self.work(placed, prompt)
+        ready_s = self.prefill(placed, prompt)
 
         def first_event() -> None:
             took_s = ready_s - sent_s
-            begun = chooser.record_first_event(placed, request, added, took_s)
-            self.changed(chooser)
-            self.at(ready_s + kind.stream_s, lambda: ended(begun))
+            running = chooser.record_first_event(
+                placed, request, added, took_s
+            )
+            self.publish_change(chooser)
+            self.at(ready_s + kind.stream_s, lambda: ended(running))
 
-        def ended(begun: loads.Load) -> None:
-            chooser.record_end(placed, request.call, begun)
-            self.changed(chooser)
+        def ended(running: loads.Load) -> None:
+            chooser.record_end(placed, request.call, running)
+            self.publish_change(chooser)
 
         self.results.append(
             Result(kind, at_s, ready_s - at_s, prompt.input_tokens)
         )
         self.at(ready_s, first_event)
 
-    def changed(self, chooser: choosers.Chooser) -> None:
-        """Tell the others an instance's work, if it is told at once."""
-        if self.policy.at_once:
-            self.tell(chooser, self.policy.told_after_s)
+    def publish_change(self, chooser: choosers.Chooser) -> None:
+        """Publish an instance's load, if changes are published at once."""
+        if self.policy.immediate:
+            self.publish(chooser, self.policy.delay_s)
 
-    def tell(self, chooser: choosers.Chooser, after_s: float) -> None:
-        """Let an instance's work as it is now come to the others."""
+    def publish(self, chooser: choosers.Chooser, after_s: float) -> None:
+        """Deliver an instance's current load to the others after a delay."""
         name = f"i{self.instances.index(chooser)}"
-        told = chooser.loads.provide()
+        report = chooser.loads.provide()
 
         def arrive() -> None:
             for other in self.instances:
                 if other is not chooser:
-                    other.loads.consume(name, told)
+                    other.loads.consume(name, report)
 
         self.at(self.now_s() + after_s, arrive)
 
-    def tell_by_turns(self) -> None:
-        """Tell the work of all instances, again and again."""
+    def publish_periodically(self) -> None:
+        """Publish the loads of all instances periodically."""
         for chooser in self.instances:
-            self.tell(chooser, 0.0)
-        self.at(self.now_s() + self.policy.told_after_s, self.tell_by_turns)
+            self.publish(chooser, 0.0)
+        self.at(self.now_s() + self.policy.delay_s, self.publish_periodically)
 
     def confirm(self) -> None:
-        """Tell all instances that the stores keep what they keep."""
+        """Confirm the stores' content to all instances periodically."""
         for chooser in self.instances:
             for number, address in enumerate(STORES):
                 if not self.now_s():
@@ -320,11 +323,11 @@
         self.at(self.now_s() + CONFIRM_S, self.confirm)
 
     def salt(self) -> str:
-        """Return the text under which parts are cached."""
+        """Return the salt of all parts."""
         return str(salts.Salt(MODEL, 1, ""))
 
     def parts_of(self, store: int) -> tuple[store_index.PartEvent, ...]:
-        """Return what a store keeps: each second session's parts."""
+        """Return the parts of a store: those of every second session."""
         return tuple(
             store_index.PartEvent(
                 self.salt(),
@@ -335,19 +338,21 @@
             for number in range(store, SESSIONS, len(STORES))
         )
 
-    # What engines and stores do.
+    # Engines and stores.
 
-    def work(self, placed: requests.Placement, prompt: calls.Prompt) -> float:
-        """Return when an engine has read a prompt."""
+    def prefill(
+        self, placed: requests.Placement, prompt: calls.Prompt
+    ) -> float:
+        """Return the time at which an engine has prefilled a prompt."""
         self.prompts += 1
         engine = self.engines[placed.endpoint.id]
         now_s = self.now_s()
         ready_s, tokens = now_s, prompt.input_tokens
         if placed.sources():
             ready_s, tokens = self.fetch(placed, prompt, engine)
-        begin_s = max(ready_s, engine.read_s)
-        engine.read_s = begin_s + tokens * READ_MS / 1000
-        return engine.read_s
+        start_s = max(ready_s, engine.prefilled_s)
+        engine.prefilled_s = start_s + tokens * PREFILL_MS / 1000
+        return engine.prefilled_s
 
     def fetch(
         self,
@@ -355,19 +360,19 @@
         prompt: calls.Prompt,
         engine: Engine,
     ) -> tuple[float, int]:
-        """Return when a fetch is over, and the tokens to be read then."""
+        """Return the end of a fetch, and the tokens left to prefill."""
         (store,) = placed.sources()
         self.fetches += 1
-        begin_s = max(self.now_s(), engine.fetched_s, self.store_free_s[store])
-        if begin_s - self.now_s() > LONGEST_QUEUE_S:
-            return self.now_s() + LONGEST_QUEUE_S, prompt.input_tokens
-        slow = self.is_slow(store, begin_s)
+        start_s = max(self.now_s(), engine.fetched_s, self.store_free_s[store])
+        if start_s - self.now_s() > MAX_QUEUE_S:
+            return self.now_s() + MAX_QUEUE_S, prompt.input_tokens
+        slow = self.is_slow(store, start_s)
         fetched = sum(part.tokens for part in prompt.shared)
-        end_s = begin_s + fetched * FETCH_MS * (4 if slow else 1) / 1000
+        end_s = start_s + fetched * FETCH_MS * (4 if slow else 1) / 1000
         engine.fetched_s = self.store_free_s[store] = end_s
         return end_s, prompt.input_tokens - fetched
 
-    def is_slow(self, store: str, when_s: float) -> bool:
-        """Tell whether a store's link is slow at a time."""
+    def is_slow(self, store: str, time_s: float) -> bool:
+        """Return whether a store's link is slow at a time."""
         first_s, end_s = self.slow_s
-        return store == STORES[0] and first_s <= when_s < end_s
+        return store == STORES[0] and first_s <= time_s < end_s
--- a/tests/placement/test_fetching.py
+++ b/tests/placement/test_fetching.py
@@ -20,34 +20,33 @@
     return fetching.StoreHealth(clock)
 
 
-def late(health, *addresses, times=fetching.LATE_LIMIT):
-    for _ in range(times):
+def record_late(health, *addresses, count=fetching.LATE_LIMIT):
+    for _ in range(count):
         health.record_first_event(addresses, in_time=False)
 
 
-def test_store_is_left_alone_after_several_late_fetches(health):
-    """A store's link is slow, and each prompt that fetches from it waits
-    for the time that reading takes before it is read.
+def test_store_is_avoided_after_consecutive_late_fetches(health):
+    """Guards against fetches from a store with a slow link.
+
+    Each prompt would wait for as long as a prefill before its own starts.
     """
-    late(health, STORE, times=fetching.LATE_LIMIT - 1)
+    record_late(health, STORE, count=fetching.LATE_LIMIT - 1)
     assert health.may_use(STORE)
-    late(health, STORE, times=1)
+    record_late(health, STORE, count=1)
     assert not health.may_use(STORE)
     assert health.is_slow(STORE)
     assert health.may_use(OTHER)
 
 
-def test_a_single_fetch_in_time_clears_a_store(health):
-    late(health, STORE, times=fetching.LATE_LIMIT - 1)
+def test_fetch_in_time_resets_the_count(health):
+    record_late(health, STORE, count=fetching.LATE_LIMIT - 1)
     health.record_first_event([STORE], in_time=True)
-    late(health, STORE, times=1)
+    record_late(health, STORE, count=1)
     assert health.may_use(STORE)
 
 
-def test_fetches_under_way_show_a_slow_store_before_they_end(health, clock):
-    """Each instance sends some more prompts to a slow store while the first
-    ones still wait for it.
-    """
+def test_overdue_fetches_reveal_a_slow_store(health, clock):
+    """Guards against further fetches while the first ones still wait."""
     for prompt in "ab":
         health.record_start([STORE], prompt, 0.5)
     clock.now_s += 0.4
@@ -62,7 +61,7 @@
 
 
 def test_slow_store_is_tried_by_one_prompt_at_a_time(health, clock):
-    late(health, STORE)
+    record_late(health, STORE)
     clock.now_s += fetching.RETRY_INTERVAL_S
     assert health.may_use(STORE)
     health.record_start([STORE], "a", 0.5)
@@ -72,8 +71,8 @@
     assert not health.is_slow(STORE)
 
 
-def test_store_that_is_still_slow_is_left_alone_again(health, clock):
-    late(health, STORE)
+def test_store_that_is_still_slow_is_avoided_again(health, clock):
+    record_late(health, STORE)
     clock.now_s += fetching.RETRY_INTERVAL_S
     health.record_start([STORE], "a", 0.5)
     health.record_first_event([STORE], in_time=False)
@@ -81,9 +80,9 @@
     assert not health.may_use(STORE)
 
 
-def test_changes_of_belief_are_logged_once(health):
+def test_each_change_of_state_is_logged_once(health):
     with testing.capture_logs() as lines:
-        late(health, STORE, times=fetching.LATE_LIMIT + 3)
+        record_late(health, STORE, count=fetching.LATE_LIMIT + 3)
         for _ in range(2):
             health.record_first_event([STORE], in_time=True)
     assert [line["event"] for line in lines] == [
@@ -92,19 +91,20 @@
     ]
 
 
-def test_removed_store_is_forgotten(health):
-    late(health, STORE)
+def test_record_of_a_removed_store_is_dropped(health):
+    record_late(health, STORE)
     health.keep_only([OTHER])
     assert health.may_use(STORE)
 
 
-def test_a_fetch_is_late_once_reading_would_not_be_in_time():
+def test_fetch_is_late_once_prefill_would_miss_the_target():
     assert fetching.late_after_s(0.8, 0.3, 0.2) == pytest.approx(0.5)
 
 
-def test_a_prompt_that_cannot_be_in_time_may_fetch_as_long_as_reading_takes():
-    """Stores that were well were left alone since the largest prompts came
-    late.
+def test_fetch_of_an_overdue_prompt_may_take_as_long_as_prefill():
+    """Guards against avoiding healthy stores.
+
+    The largest prompts are late even with a fetch.
     """
     assert fetching.late_after_s(0.8, 0.9, 0.6) == 0.6
     assert fetching.late_after_s(-1.0, 0.1, 0.05) == fetching.MIN_LATE_S
--- a/tests/placement/test_kept.py
+++ b/tests/placement/test_kept.py
@@ -26,34 +26,35 @@
 
 @pytest.fixture
 def index(clock):
-    made = kept.KeptIndex(clock)
-    made.set_stores([store("s1"), store("s2")])
+    new_index = kept.KeptIndex(clock)
+    new_index.set_stores([store("s1"), store("s2")])
     for address in ("s1", "s2"):
-        made.apply_content(address, store_index.Content(1, 0, ()))
-    return made
+        new_index.apply_content(address, store_index.Content(1, 0, ()))
+    return new_index
 
 
-def whole(index, address, *names, salt=SALT, epoch=1):
+def report_parts(index, address, *names, salt=SALT, epoch=1):
     events = tuple(store_index.PartEvent(salt, name, 100) for name in names)
     return index.apply_changes(
         address, store_index.Changes(epoch, 9, False, events)
     )
 
 
-def test_part_is_fetched_only_once_it_is_whole(index):
-    """A part is being written to a store when the next request for it
-    comes.  Fetched now, half of it would be garbage.
+def test_part_is_fetched_only_once_it_is_complete(index):
+    """Guards against fetching a part while it is being written.
+
+    Half of it would be garbage.
     """
     plan = index.plan(SALT, parts("a"))
     assert plan.fetch_from == ("",)
     index.record_saves(SALT, parts("a"), plan.save_to)
     assert index.plan(SALT, parts("a")) == kept.TransferPlan(("",), ("",), 0)
-    whole(index, plan.save_to[0], "a")
+    report_parts(index, plan.save_to[0], "a")
     assert index.plan(SALT, parts("a")).fetch_from == plan.save_to
 
 
-def test_parts_behind_a_missing_one_are_not_fetched(index):
-    whole(index, "s1", "a", "c")
+def test_parts_after_a_missing_one_are_not_fetched(index):
+    report_parts(index, "s1", "a", "c")
     plan = index.plan(SALT, parts("a", "b", "c"))
     assert plan.fetch_from == ("s1", "", "")
     assert plan.fetched_tokens == 100
@@ -62,17 +63,19 @@
 
 
 def test_parts_of_other_weights_or_organisations_are_not_fetched(index):
-    whole(index, "s1", "a", salt="m/1/north")
+    report_parts(index, "s1", "a", salt="m/1/north")
     assert index.plan(SALT, parts("a")).fetch_from == ("",)
     assert index.plan("m/2/", parts("a")).fetch_from == ("",)
 
 
-def test_store_that_started_anew_is_not_fetched_from(index):
-    """A store loses power and comes back empty.  Its parts are written
-    again; one that is written just now looks as whole as before.
+def test_restarted_store_is_not_fetched_from(index):
+    """Guards against fetching parts that a restarted store has lost.
+
+    The store lost power and is empty.  A part that is being written again
+    would still be known as complete.
     """
-    whole(index, "s1", "a")
-    assert not whole(index, "s1", epoch=2)
+    report_parts(index, "s1", "a")
+    assert not report_parts(index, "s1", epoch=2)
     assert index.plan(SALT, parts("a")).fetch_from == ("",)
     index.apply_content(
         "s1",
@@ -81,14 +84,14 @@
     assert index.plan(SALT, parts("b")).fetch_from == ("s1",)
 
 
-def test_store_whose_events_were_lost_is_read_anew(index):
-    whole(index, "s1", "a")
+def test_store_whose_events_were_lost_is_read_again(index):
+    report_parts(index, "s1", "a")
     assert not index.apply_changes("s1", store_index.Changes(1, 9, True, ()))
     assert index.plan(SALT, parts("a")).fetch_from == ("",)
 
 
-def test_store_that_does_not_answer_is_neither_read_nor_written(index):
-    whole(index, "s1", "a")
+def test_unreadable_store_is_neither_fetched_from_nor_saved_to(index):
+    report_parts(index, "s1", "a")
     index.mark_unreadable("s1")
     index.mark_unreadable("s2")
     plan = index.plan(SALT, parts("a", "b"))
@@ -96,44 +99,45 @@
     assert plan.save_to == ("", "")
 
 
-def test_nothing_is_saved_where_there_is_no_room(clock):
-    made = kept.KeptIndex(clock)
-    made.set_stores([store("s1", capacity=150)])
-    made.apply_content("s1", store_index.Content(1, 0, ()))
-    whole(made, "s1", "a")
-    assert made.plan(SALT, parts("a", "b")).save_to == ("", "")
+def test_nothing_is_saved_to_a_full_store(clock):
+    new_index = kept.KeptIndex(clock)
+    new_index.set_stores([store("s1", capacity=150)])
+    new_index.apply_content("s1", store_index.Content(1, 0, ()))
+    report_parts(new_index, "s1", "a")
+    assert new_index.plan(SALT, parts("a", "b")).save_to == ("", "")
 
 
-def test_save_that_came_to_nothing_is_tried_again(index, clock):
+def test_failed_save_is_tried_again(index, clock):
     plan = index.plan(SALT, parts("a"))
     index.record_saves(SALT, parts("a"), plan.save_to)
     clock.now_s += kept.SAVE_TIMEOUT_S + 0.1
     for address in ("s1", "s2"):
-        whole(index, address)
+        report_parts(index, address)
     assert index.plan(SALT, parts("a")).save_to == plan.save_to
 
 
 def test_save_that_broke_off_is_tried_at_another_store(index, clock):
-    """Guards against a part that is never whole: a store keeps what broke
-    off of it and takes no other.
+    """Guards against a part that never becomes complete.
+
+    A store keeps what an interrupted save has written and rejects a new one.
     """
     first = index.plan(SALT, parts("a")).save_to
     index.record_saves(SALT, parts("a"), first)
     clock.now_s += kept.SAVE_TIMEOUT_S + 0.1
     for address in ("s1", "s2"):
-        whole(index, address)
+        report_parts(index, address)
     (second,) = index.plan(SALT, parts("a")).save_to
     assert second in {"s1", "s2"} - set(first)
 
 
-def test_content_that_was_long_not_confirmed_is_not_fetched(index, clock):
-    """A machine is suspended, and a store loses power meanwhile.
+def test_unconfirmed_content_is_not_fetched(index, clock):
+    """Guards against fetching half-written parts after a suspension.
 
-    The machine wakes up and places a prompt before it hears of any store.
-    The store is being written anew; what it held before is fetched from
-    what is half written.
+    A store loses power while the instance is suspended, and is being written
+    again.  The instance resumes and places a prompt before it receives any
+    update of the store.
     """
-    whole(index, "s1", "a")
+    report_parts(index, "s1", "a")
     assert index.plan(SALT, parts("a")).fetch_from == ("s1",)
     clock.now_s += kept.MAX_AGE_S + 0.1
     plan = index.plan(SALT, parts("a", "b"))
@@ -141,8 +145,8 @@
     assert plan.save_to == ("", "")
 
 
-def test_dropped_part_is_not_fetched_and_its_room_is_free(index):
-    whole(index, "s1", "a")
+def test_dropped_part_is_not_fetched_and_frees_its_space(index):
+    report_parts(index, "s1", "a")
     index.apply_changes(
         "s1",
         store_index.Changes(
--- a/tests/placement/test_prompt_sizes.py
+++ b/tests/placement/test_prompt_sizes.py
@@ -1,4 +1,4 @@
-"""Who is served by the size of prompts, when engines are short of memory."""
+"""Share of served prompts by size while engines are short of memory."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 
 import pytest
 
-from tests.placement import playing
 from tests.placement import prompt_kinds
+from tests.placement import simulation
 
-LENGTH_S = 16.0
+DURATION_S = 16.0
 SEEDS = (1, 2, 3)
 LARGE_MEMORY_TOKENS = 213_000
-# Of a kind of request, its largest prompts.
-LARGEST = 0.1
-LARGE = 0.3
-WAITING = playing.Policy(hold_s=0.2)
+# Shares of a kind's prompts, the largest first.
+LARGEST_SHARE = 0.1
+LARGE_SHARE = 0.3
+WAITING = simulation.Policy(max_wait_s=0.2)
 DRAFTS = dataclasses.replace(prompt_kinds.LONG, stream_s=4.0, spread=0.6)
 QUESTIONS = dataclasses.replace(prompt_kinds.SHORT, spread=0.6)
 
 
-def play(seed, overload, memory_tokens):
-    """Return what callers of long prompts got, the largest prompts first."""
+def simulate(seed, overload, memory_tokens):
+    """Return the results of long prompts, the largest first."""
     drafts = dataclasses.replace(DRAFTS, per_s=DRAFTS.per_s * overload)
-    made = playing.Play(
+    results = simulation.Simulation(
         seed, WAITING, kept=True, memory_tokens=memory_tokens
-    ).run(LENGTH_S, (drafts, QUESTIONS))
+    ).run(DURATION_S, (drafts, QUESTIONS))
     return sorted(
-        (result for result in made if result.kind is drafts),
+        (result for result in results if result.kind is drafts),
         key=lambda result: -result.tokens,
     )
 
@@ -39,18 +39,21 @@
 
 @pytest.mark.parametrize(
     ("overload", "memory_tokens"),
-    [(2.5, playing.MEMORY_TOKENS), (6.0, LARGE_MEMORY_TOKENS)],
+    [(2.5, simulation.MEMORY_TOKENS), (6.0, LARGE_MEMORY_TOKENS)],
     ids=["small-engines", "large-engines"],
 )
 def test_largest_prompts_are_not_starved_by_smaller_ones(
     overload, memory_tokens
 ):
-    """Guards against judging room by each prompt's own size."""
+    """Guards against comparing free memory to each prompt's own size.
+
+    Smaller prompts would take freed memory before a large one fits.
+    """
     for seed in SEEDS:
-        results = play(seed, overload, memory_tokens)
-        largest = round(len(results) * LARGEST)
-        large = round(len(results) * LARGE)
+        results = simulate(seed, overload, memory_tokens)
+        largest = round(len(results) * LARGEST_SHARE)
+        large = round(len(results) * LARGE_SHARE)
         share = served_share(results)
-        assert share < 0.9, "the load is to be more than engines can hold"
+        assert share < 0.9, "the load must exceed the engines' memory"
         assert served_share(results[:largest]) >= share / 2
         assert served_share(results[largest:large]) >= share / 2
