--- a/tests/placement/test_chooser.py
+++ b/tests/placement/test_chooser.py
@@ -18,7 +18,7 @@
 from tests import clocks
 
 MODEL = "m"
-ENGINES = routes.Service(
+SERVICE = routes.Service(
     "engines",
     engine=routes.EngineTraits((MODEL,), 8, 100_000, 1000.0, 1000.0),
 )
@@ -73,7 +73,7 @@
                 priority=2,
                 resumable=True,
             ),
-            "service": ENGINES,
+            "service": SERVICE,
             "organisation": routes.Organisation("north"),
             "aim_left_s": 0.8,
         }
@@ -84,10 +84,12 @@
 
     def run(self, **changes):
         request = self.request(**changes)
-        placed = self.chooser.choose(request)
-        added = self.chooser.record_start(placed, request.call)
-        begun = self.chooser.record_first_event(placed, request, added, 0.1)
-        return placed, begun
+        placement = self.chooser.choose(request)
+        added = self.chooser.record_start(placement, request.call)
+        running = self.chooser.record_first_event(
+            placement, request, added, 0.1
+        )
+        return placement, running
 
 
 @pytest.fixture
@@ -95,12 +97,12 @@
     return Case()
 
 
-def test_session_stays_with_the_engine_that_read_it(case):
+def test_session_stays_with_the_engine_that_holds_its_prompt(case):
     first, added = case.run(tokens=20_000)
     case.chooser.record_end(first, case.request().call, added)
-    again = case.place(tokens=20_000)
-    assert again.endpoint == first.endpoint
-    assert again.held_tokens == 20_000
+    repeated = case.place(tokens=20_000)
+    assert repeated.endpoint == first.endpoint
+    assert repeated.held_tokens == 20_000
 
 
 def test_sessions_are_spread_over_all_engines(case):
@@ -110,7 +112,7 @@
     assert chosen == {"e0", "e1", "e2"}
 
 
-def test_busy_engine_is_passed_over(case):
+def test_busy_engine_is_skipped(case):
     home = case.place().endpoint
     for _ in range(3):
         case.run(tokens=15_000)
@@ -118,10 +120,11 @@
     assert case.chooser.loads.of(home.id).running < 7
 
 
-def test_engine_without_a_free_slot_is_passed_over(case):
-    """Small prompts of one session fill the slots of the engine that holds
-    it.  Its memory has room, so each further one waits there for a slot
-    while other engines have some.
+def test_engine_without_a_free_slot_is_skipped(case):
+    """Guards against prompts that wait for a slot while others are free.
+
+    Small prompts of one session fill the slots of the engine that holds it,
+    while its memory has space for more.
     """
     home, _added = case.run(tokens=2000)
     for _ in range(3 * home.endpoint.slots - 1):
@@ -131,9 +134,9 @@
 
 
 def test_prompts_do_not_queue_for_slots_at_engines(case):
-    """Guards against late answers for all while every slot is taken."""
+    """Guards against answers that are all late while all slots are taken."""
     engines = len(case.endpoints)
-    for _ in range(engines * ENGINES.engine.slots):
+    for _ in range(engines * SERVICE.engine.slots):
         case.run(tokens=100)
     full = case.place(tokens=100)
     assert isinstance(full, requests.NoCapacity)
@@ -143,10 +146,11 @@
     )
 
 
-def test_idlest_of_many_engines_is_not_everybodys_choice():
-    """Thirty engines are busy and one is idle, as of a second ago.
+def test_least_loaded_of_many_engines_is_not_always_chosen():
+    """Guards against instances that all choose the same idle engine.
 
-    Each instance sends all that comes in this second to that one.
+    Of thirty engines only one was idle one second ago; in that second, each
+    instance would send all its requests there.
     """
     case = Case(engines=30)
     for endpoint in case.endpoints[1:]:
@@ -159,7 +163,7 @@
     assert 3 <= chosen.count(idle) <= 25
 
 
-def test_prompt_goes_on_to_further_engines_when_its_own_are_full():
+def test_further_engines_are_compared_when_the_first_are_full():
     case = Case(engines=30)
     for endpoint in case.endpoints[1:]:
         full = loads.Load(requests=4, running=4, memory_tokens=100_000)
@@ -171,9 +175,11 @@
     assert chosen == {case.endpoints[0].id}
 
 
-def test_no_more_prompts_are_admitted_than_memory_holds(case):
-    """All engines are full.  One more prompt makes them preempt runs and
-    read prompts again, which slows all runs, so that memory stays full.
+def test_prompts_beyond_the_engines_memory_are_not_placed(case):
+    """Guards against preemption on engines whose memory is full.
+
+    Preempted runs prefill their prompts again, which slows all runs, so that
+    memory stays full.
     """
     admitted = 0
     while isinstance(case.place(tokens=20_000), requests.Placement):
@@ -184,8 +190,8 @@
     assert isinstance(case.place(tokens=2000), requests.Placement)
 
 
-def test_small_prompt_of_a_kind_does_not_take_the_room_of_a_large_one(case):
-    """Guards against serving the smallest prompts of a kind first."""
+def test_small_prompt_does_not_take_memory_that_a_large_one_waits_for(case):
+    """Guards against serving the smallest prompts of a route first."""
     for tokens in (20_000, 20_000, 20_000, 2000):
         case.chooser.record_arrival(case.request(tokens=tokens))
     while isinstance(case.place(tokens=20_000), requests.Placement):
@@ -196,23 +202,23 @@
 
 
 def test_prompt_that_no_engine_can_hold_is_refused_at_once(case):
-    """Guards against sends that every engine rejects."""
+    """Guards against sending a prompt that every engine rejects."""
     case.chooser.record_arrival(case.request(tokens=1000))
-    refused = case.place(tokens=ENGINES.engine.cache_tokens + 1)
+    refused = case.place(tokens=SERVICE.engine.cache_tokens + 1)
     assert isinstance(refused, verdict.NotRun)
     assert refused.retry_after_s is None
 
 
-def test_room_is_given_back_when_a_run_ends(case):
+def test_capacity_is_released_when_a_request_ends(case):
     runs = []
     while isinstance(case.place(tokens=20_000), requests.Placement):
         runs.append(case.run(tokens=20_000))
-    placed, added = runs[0]
-    case.chooser.record_end(placed, case.request().call, added)
+    placement, added = runs[0]
+    case.chooser.record_end(placement, case.request().call, added)
     assert isinstance(case.place(tokens=20_000), requests.Placement)
 
 
-def test_load_told_by_peers_counts(case):
+def test_load_of_peers_is_counted(case):
     peer = Case()
     while isinstance(peer.place(tokens=20_000), requests.Placement):
         peer.run(tokens=20_000)
@@ -222,7 +228,7 @@
     assert isinstance(case.place(tokens=20_000), requests.Placement)
 
 
-def test_endpoint_that_was_tried_is_not_tried_again(case):
+def test_tried_endpoint_is_not_chosen_again(case):
     first = case.place().endpoint.id
     assert case.place(tried=frozenset({first})).endpoint.id != first
     nowhere = case.place(tried=frozenset({"e0", "e1", "e2"}))
@@ -230,7 +236,7 @@
     assert nowhere.reason is verdict.Reason.NO_ENDPOINT
 
 
-def test_endpoint_that_broke_off_is_avoided_for_a_while(case):
+def test_failed_endpoint_is_avoided_for_a_while(case):
     home = case.place().endpoint.id
     case.chooser.avoid(home)
     assert case.place().endpoint.id != home
@@ -238,7 +244,7 @@
     assert case.place().endpoint.id == home
 
 
-def test_engine_that_is_being_changed_takes_no_work(case):
+def test_engine_that_is_changing_weights_is_not_chosen(case):
     home = case.place().endpoint.id
     case.known_weights.begin_change(home)
     assert case.place().endpoint.id != home
@@ -246,66 +252,69 @@
     assert case.place().endpoint.id == home
 
 
-def test_request_names_the_weights_of_its_engine(case):
-    """An engine gets new weights between the choice and the arrival of a
-    request.  What it fetches under the old weights' salt must not be used.
+def test_instructions_name_the_weight_version(case):
+    """Guards against using parts computed with other weights.
+
+    An engine may change its weights between the choice and the arrival of a
+    request; parts fetched with the old salt must not be used then.
     """
-    placed = case.place()
-    assert placed.instructions.version == 1
-    assert placed.instructions.salt == "m/1/"
+    placement = case.place()
+    assert placement.instructions.version == 1
+    assert placement.instructions.salt == "m/1/"
     for endpoint in case.endpoints:
         case.known_weights.record_version(endpoint.id, MODEL, 2)
     assert case.place().instructions.salt == "m/2/"
     assert case.place().instructions.version == 2
 
 
-def test_isolated_organisation_has_a_salt_of_its_own(case):
-    placed = case.place(
+def test_isolated_organisation_has_its_own_salt(case):
+    placement = case.place(
         organisation=routes.Organisation("south", isolated=True)
     )
-    assert placed.instructions.salt == "m/1/south"
+    assert placement.instructions.salt == "m/1/south"
 
 
 @pytest.mark.parametrize(
     ("organisation", "priority"),
     [
-        pytest.param(routes.Organisation("a"), 2, id="the-routes"),
-        pytest.param(routes.Organisation("a", 0), 0, id="the-organisations"),
-        pytest.param(routes.Organisation("a", 30), 9, id="at-most-nine"),
+        pytest.param(routes.Organisation("a"), 2, id="route"),
+        pytest.param(routes.Organisation("a", 0), 0, id="organisation"),
+        pytest.param(routes.Organisation("a", 30), 9, id="maximum"),
     ],
 )
-def test_organisations_priority_goes_before_the_routes(
+def test_priority_of_the_organisation_overrides_the_routes(
     case, organisation, priority
 ):
-    placed = case.place(organisation=organisation)
-    assert placed.instructions.priority == priority
+    placement = case.place(organisation=organisation)
+    assert placement.instructions.priority == priority
 
 
-def test_own_part_of_a_prompt_is_neither_fetched_nor_saved(case):
+def test_unshared_part_is_neither_fetched_nor_saved(case):
     case.chooser.kept_index.set_stores(
         [routes.StoreTraits("s:1", "a", 10**6, 1.0, 0.0, True)]
     )
     case.chooser.kept_index.apply_content("s:1", store_index.Content(1, 0, ()))
-    placed = case.place()
-    assert placed.instructions.save_to == ("s:1", "")
-    assert placed.instructions.fetch_from == ("", "")
+    placement = case.place()
+    assert placement.instructions.save_to == ("s:1", "")
+    assert placement.instructions.fetch_from == ("", "")
 
 
-def test_plain_requests_go_where_fewest_are(case):
-    plain = dataclasses.replace(ENGINES, engine=None)
+def test_request_without_prompt_goes_to_the_least_loaded_endpoint(case):
+    plain = dataclasses.replace(SERVICE, engine=None)
     call = calls.Call("r", "POST", "/", "h", ())
     request = case.request(service=plain, call=call)
     chosen = []
     for _ in range(3):
-        placed = case.chooser.choose(request)
-        case.chooser.record_start(placed, call)
-        chosen.append(placed.endpoint.id)
+        placement = case.chooser.choose(request)
+        case.chooser.record_start(placement, call)
+        chosen.append(placement.endpoint.id)
     assert sorted(chosen) == ["e0", "e1", "e2"]
 
 
-def test_engine_with_weights_that_are_too_old_takes_no_work(case):
-    """A rollout is late, since its holder was lost twice.  Requests would
-    begin on weights that were replaced long ago.
+def test_engine_with_outdated_weights_is_not_chosen(case):
+    """Guards against answers on weights that were replaced long ago.
+
+    A rollout is late because its holder was lost twice.
     """
     case.required = 2
     assert isinstance(case.place(), requests.NoCapacity)
@@ -313,22 +322,23 @@
     assert case.place().endpoint.id == "e2"
 
 
-def test_rest_of_a_begun_answer_is_made_even_where_memory_is_full(case):
-    """An engine dies while all others are full.  Its streams can go on at
-    another engine; refused there, callers would see them break off.
+def test_partly_answered_request_is_placed_even_if_memory_is_full(case):
+    """Guards against breaking off streams that another engine can resume.
+
+    An engine fails while the memory of all others is full.
     """
     while isinstance(case.place(tokens=20_000), requests.Placement):
         case.run(tokens=20_000)
-    begun = case.place(tokens=20_000, partly_answered=True)
-    assert isinstance(begun, requests.Placement)
+    resumed = case.place(tokens=20_000, partly_answered=True)
+    assert isinstance(resumed, requests.Placement)
 
 
 STORE = "10.0.0.9:1"
 
 
 @pytest.fixture
-def keeping(case):
-    """A store that keeps the shared part of the session's prompts."""
+def case_with_store(case):
+    """A case whose store keeps the shared part of the session's prompts."""
     chooser = case.chooser
     chooser.kept_index.set_stores(
         [routes.StoreTraits(STORE, "a", 10**6, 140_000.0, 0.006, True)]
@@ -339,41 +349,47 @@
     return case
 
 
-def fetch_late(case):
-    placed = case.place()
-    assert STORE in placed.instructions.fetch_from
-    added = case.chooser.record_start(placed, case.request().call)
-    late_s = placed.fetch_late_s + 0.5
-    begun = case.chooser.record_first_event(
-        placed, case.request(), added, late_s
+def record_late_fetch(case):
+    placement = case.place()
+    assert STORE in placement.instructions.fetch_from
+    added = case.chooser.record_start(placement, case.request().call)
+    late_s = placement.fetch_late_s + 0.5
+    running = case.chooser.record_first_event(
+        placement, case.request(), added, late_s
     )
-    case.chooser.record_end(placed, case.request().call, begun)
+    case.chooser.record_end(placement, case.request().call, running)
     case.chooser.residency.keep_only(())
 
 
-def test_prompts_are_read_while_a_store_is_slow(keeping):
-    """A store's link is slow for five seconds; each prompt that fetches
-    from it holds up all others of its engine.
+def test_prompts_do_not_fetch_from_a_slow_store(case_with_store):
+    """Guards against fetches that delay all other prompts of an engine.
+
+    A store's link is slow for five seconds.
     """
     for _ in range(fetching.LATE_LIMIT):
-        fetch_late(keeping)
-    placed = keeping.place()
-    assert placed.sources() == frozenset()
-    assert not any(placed.instructions.save_to)
-    assert placed.prefill_tokens == 1000
-    keeping.clock.now_s += fetching.RETRY_INTERVAL_S
-    tried = keeping.place()
-    added = keeping.chooser.record_start(tried, keeping.request().call)
-    assert keeping.place().sources() == frozenset()
-    keeping.chooser.record_first_event(tried, keeping.request(), added, 0.1)
-    assert keeping.place().sources() == {STORE}
-
-
-def test_nothing_is_saved_to_a_slow_store(keeping):
-    """What is sent to a slow store to be saved goes through the same queue
-    of its engine as what others fetch.
+        record_late_fetch(case_with_store)
+    placement = case_with_store.place()
+    assert placement.sources() == frozenset()
+    assert not any(placement.instructions.save_to)
+    assert placement.prefill_tokens == 1000
+    case_with_store.clock.now_s += fetching.RETRY_INTERVAL_S
+    tried = case_with_store.place()
+    added = case_with_store.chooser.record_start(
+        tried, case_with_store.request().call
+    )
+    assert case_with_store.place().sources() == frozenset()
+    case_with_store.chooser.record_first_event(
+        tried, case_with_store.request(), added, 0.1
+    )
+    assert case_with_store.place().sources() == {STORE}
+
+
+def test_nothing_is_saved_to_a_slow_store(case_with_store):
+    """Guards against saves that delay fetches.
+
+    An engine's saves and fetches share one queue.
     """
-    assert STORE in keeping.place(session="other").instructions.save_to
+    assert STORE in case_with_store.place(session="other").instructions.save_to
     for _ in range(fetching.LATE_LIMIT):
-        fetch_late(keeping)
-    assert not any(keeping.place(session="other").instructions.save_to)
+        record_late_fetch(case_with_store)
+    assert not any(case_with_store.place(session="other").instructions.save_to)
--- a/tests/placement/test_load_exchange.py
+++ b/tests/placement/test_load_exchange.py
@@ -15,13 +15,13 @@
 from briarseam.wire import datagrams
 
 KEY = b"k" * 32
-WORK = loads.Load(
+LOAD = loads.Load(
     requests=1, waiting_tokens=9000, running=0, memory_tokens=9500
 )
 
 
 class Cell:
-    """Instances that tell each other their work over loopback."""
+    """Instances that exchange their loads over loopback."""
 
     def __init__(self, names: str) -> None:
         numbers = ports.free_ports(len(names), "127.0.0.1")
@@ -36,7 +36,7 @@
             collections.Counter()
         )
         self.loads = {name: loads.Loads() for name in names}
-        self.telling = {
+        self.exchanges = {
             name: load_exchange.LoadExchange(
                 self.loads[name],
                 name,
@@ -64,27 +64,27 @@
 @pytest.fixture
 def cell() -> typing.Iterator[Cell]:
     made = Cell("abc")
-    for telling in made.telling.values():
-        telling.start()
+    for exchange in made.exchanges.values():
+        exchange.start()
     yield made
-    for telling in made.telling.values():
-        telling.stop()
+    for exchange in made.exchanges.values():
+        exchange.stop()
 
 
-def test_peers_know_work_long_before_a_heartbeat(cell):
-    """Two instances send a long prompt to the same idle engine.
+def test_peers_learn_load_before_the_next_heartbeat(cell):
+    """Guards against two long prompts sent to the same idle engine.
 
-    The second one placed its prompt 0.1 s after the first and had not heard
-    of it; its caller waited for both to be read.
+    An instance that places one 0.1 s after another instance did must know of
+    it, or its caller waits for both prefills.
     """
-    cell.loads["a"].add("engine-1", WORK)
+    cell.loads["a"].add("engine-1", LOAD)
     for name in "bc":
         waiting.until(
-            lambda name=name: cell.loads[name].of("engine-1") == WORK,
+            lambda name=name: cell.loads[name].of("engine-1") == LOAD,
             0.4,
-            "the work is known within a part of a heartbeat's interval",
+            "the load is known within less than a heartbeat interval",
         )
-    cell.loads["a"].subtract("engine-1", WORK)
+    cell.loads["a"].subtract("engine-1", LOAD)
     for name in "bc":
         waiting.until(
             lambda name=name: cell.loads[name].of("engine-1") == loads.NO_LOAD,
@@ -92,9 +92,9 @@
         )
 
 
-def test_changes_close_together_go_out_together(cell):
+def test_rapid_changes_share_datagrams(cell):
     for number in range(200):
-        cell.loads["a"].add(f"engine-{number % 9}", WORK)
+        cell.loads["a"].add(f"engine-{number % 9}", LOAD)
     waiting.until(
         lambda: (
             cell.loads["b"].cell_loads().keys() == cell.loads["a"].own.keys()
@@ -104,10 +104,10 @@
             )
         )
     )
-    assert cell.telling["a"].sent < 100
+    assert cell.exchanges["a"].sent < 100
 
 
-def test_forged_and_unreadable_datagrams_are_noted_and_change_nothing(cell):
+def test_forged_and_malformed_datagrams_are_counted_and_ignored(cell):
     content = msgspec.msgpack.encode(load_exchange.LoadDatagram("a", b"\xc1"))
     cell.send("b", b"anything")
     cell.send("b", datagrams.seal(b"another key", content))
@@ -115,15 +115,15 @@
     cell.send("b", datagrams.seal(KEY, b"\xc1"))
     waiting.until(lambda: cell.malformed[malformed.Kind.DATAGRAM] == 4)
     assert cell.loads["b"].peer_totals == {}
-    cell.loads["a"].add("engine-1", WORK)
-    waiting.until(lambda: cell.loads["b"].of("engine-1") == WORK)
+    cell.loads["a"].add("engine-1", LOAD)
+    waiting.until(lambda: cell.loads["b"].of("engine-1") == LOAD)
 
 
-def test_a_peer_without_a_listener_holds_up_nobody(cell):
-    """One instance is gone; what is sent to it comes back as an error."""
-    cell.telling["b"].stop()
+def test_peer_without_a_listener_does_not_delay_others(cell):
+    """An instance is gone; datagrams sent to it cause socket errors."""
+    cell.exchanges["b"].stop()
     for _ in range(5):
-        cell.loads["a"].add("engine-1", WORK)
+        cell.loads["a"].add("engine-1", LOAD)
         waiting.until(
             lambda: (
                 cell.loads["c"].of("engine-1")
@@ -132,10 +132,10 @@
         )
 
 
-def test_more_work_than_a_datagram_holds_is_left_to_heartbeats(cell):
-    told = cell.loads["a"].provide
+def test_load_too_large_for_a_datagram_is_left_to_heartbeats(cell):
+    provide = cell.loads["a"].provide
     cell.loads["a"].provide = lambda: bytes(datagrams.MOST_BYTES)
-    cell.telling["a"].send(["127.0.0.1:9"])
-    cell.loads["a"].provide = told
-    cell.loads["a"].add("engine-1", WORK)
-    waiting.until(lambda: cell.loads["b"].of("engine-1") == WORK)
+    cell.exchanges["a"].send(["127.0.0.1:9"])
+    cell.loads["a"].provide = provide
+    cell.loads["a"].add("engine-1", LOAD)
+    waiting.until(lambda: cell.loads["b"].of("engine-1") == LOAD)
--- a/tests/placement/test_shared_watch.py
+++ b/tests/placement/test_shared_watch.py
@@ -1,4 +1,4 @@
-"""One instance reads the stores, another asks it."""
+"""One instance reads the stores, another queries it."""
 
 from __future__ import annotations
 
@@ -26,65 +26,65 @@
 
 
 def empty_index(clock):
-    made = kept.KeptIndex(clock)
-    made.set_stores(
+    new_index = kept.KeptIndex(clock)
+    new_index.set_stores(
         [
             model.StoreTraits(address, "a", 10_000, 1.0, 0.001, True)
             for address in STORES
         ]
     )
-    return made
+    return new_index
 
 
 @pytest.fixture
-def read_here(clock):
+def reader_index(clock):
     """Index of the instance that reads the stores."""
-    made = empty_index(clock)
-    made.apply_content("s1", store_index.Content(1, 0, (event("a"),)))
-    made.apply_content("s2", store_index.Content(5, 0, ()))
-    return made
+    new_index = empty_index(clock)
+    new_index.apply_content("s1", store_index.Content(1, 0, (event("a"),)))
+    new_index.apply_content("s2", store_index.Content(5, 0, ()))
+    return new_index
 
 
 @pytest.fixture
 def index(clock):
-    """Index of the instance that asks."""
+    """Index of the instance that queries the reader."""
     return empty_index(clock)
 
 
 @pytest.fixture
-def sharing(read_here):
-    return store_sharing.StoreSharing(read_here, lambda address: True)
+def sharing(reader_index):
+    return store_sharing.StoreSharing(reader_index, lambda address: True)
 
 
-class Peers:
-    """Hands questions to the one reader, without waiting."""
+class Readers:
+    """Passes queries to the reader, without waiting for changes."""
 
     def __init__(self, sharing):
         self.sharing = sharing
-        self.told = []
+        self.replies = []
 
-    def read_stores(self, reader, asked, timeout_s):
-        now = messages.StoresAsked(asked.cursors, 0.0)
-        self.told.append(self.sharing.answer(now))
-        return self.told[-1]
+    def read_stores(self, reader, query, timeout_s):
+        immediate = messages.StoresAsked(query.cursors, 0.0)
+        self.replies.append(self.sharing.answer(immediate))
+        return self.replies[-1]
 
 
 @pytest.fixture
-def peers(sharing):
-    return Peers(sharing)
+def readers(sharing):
+    return Readers(sharing)
 
 
 @pytest.fixture
-def watch(peers, index):
-    return shared_watch.SharedWatch(peers, "reader", STORES, index)
+def watch(readers, index):
+    return shared_watch.SharedWatch(readers, "reader", STORES, index)
 
 
 def event(part, tokens=100):
     return store_index.PartEvent(SALT, part, tokens)
 
 
-def change(read_here, address, *events, epoch=1):
-    read_here.apply_changes(
+def change(reader_index, address, *events, epoch=1):
+    reader_index.apply_changes(
         address, store_index.Changes(epoch, 0, False, tuple(events))
     )
 
@@ -93,45 +93,49 @@
     return {part for _salt, part in index.stores[address].held}
 
 
-def test_all_is_told_first_and_changes_after(watch, peers, read_here, index):
+def test_content_is_read_first_and_changes_after(
+    watch, readers, reader_index, index
+):
     watch.poll()
     assert held(index, "s1") == {"a"}
-    change(read_here, "s1", event("b"), event("a", 0))
+    change(reader_index, "s1", event("b"), event("a", 0))
     watch.poll()
     assert held(index, "s1") == {"b"}
-    assert [len(store.parts) for store in peers.told[-1].stores] == [2, 0]
+    assert [len(store.parts) for store in readers.replies[-1].stores] == [2, 0]
     assert index.stores["s2"].epoch == 5
 
 
-def test_store_that_started_anew_is_told_at_once(watch, read_here, index):
-    """A store loses power.  Its content must not be fetched any more, by
-    no instance, until it was read anew.
+def test_restart_of_a_store_is_reported_at_once(watch, reader_index, index):
+    """Guards against fetches of content that a restarted store has lost.
+
+    No instance may fetch from it until its content is read again.
     """
     watch.poll()
-    change(read_here, "s1", epoch=2)
+    change(reader_index, "s1", epoch=2)
     watch.poll()
     assert not index.stores["s1"].readable
-    read_here.apply_content("s1", store_index.Content(2, 0, (event("c"),)))
+    reader_index.apply_content("s1", store_index.Content(2, 0, (event("c"),)))
     watch.poll()
     assert held(index, "s1") == {"c"}
     assert index.stores["s1"].epoch == 2
 
 
-def test_who_is_far_behind_is_told_all(
-    watch, peers, read_here, index, monkeypatch
+def test_instance_far_behind_receives_the_complete_content(
+    watch, readers, reader_index, index, monkeypatch
 ):
     watch.poll()
-    read_here.stores["s1"].history.clear()
-    read_here.stores["s1"].sequence += 9
+    reader_index.stores["s1"].history.clear()
+    reader_index.stores["s1"].sequence += 9
     watch.poll()
-    assert peers.told[-1].stores[0].whole
+    assert readers.replies[-1].stores[0].whole
     assert held(index, "s1") == {"a"}
 
 
-def test_what_is_told_is_as_old_as_it_was_at_the_reader(watch, clock, index):
-    """The reader itself has not heard of a store for long.
+def test_update_is_as_old_as_at_the_reader(watch, clock, index):
+    """Guards against confirming content that the reader can't confirm.
 
-    Counted from the answer, what it tells would be trusted again and again.
+    The reader has had no answer from the store for long.  If the age were
+    counted from its replies, the content would never expire.
     """
     clock.now_s += kept.MAX_AGE_S + 0.1
     watch.poll()
@@ -139,20 +143,22 @@
     assert not index.is_confirmed(index.stores["s1"])
 
 
-def test_instance_that_reads_no_store_tells_nothing(peers, watch, index):
-    """Two instances each take the other one for the reader."""
-    peers.sharing.reads = lambda address: address != "s2"
+def test_instance_that_does_not_read_a_store_reports_nothing(
+    readers, watch, index
+):
+    """Guards against two instances that each read from the other."""
+    readers.sharing.reads = lambda address: address != "s2"
     with pytest.raises(shared_watch.ReaderUnavailableError):
         watch.poll()
     assert not index.stores["s1"].readable
 
 
-def test_content_outlasts_a_reader_that_fails_for_a_moment(
-    watch, peers, clock, index
+def test_content_is_kept_while_a_reader_fails_briefly(
+    watch, readers, clock, index
 ):
-    """The reader stops; the next one is asked within a second."""
+    """A reader stops, and another one replaces it within a second."""
     watch.poll()
-    peers.sharing.reads = lambda address: False
+    readers.sharing.reads = lambda address: False
     with pytest.raises(shared_watch.ReaderUnavailableError):
         watch.poll()
     assert index.is_confirmed(index.stores["s1"])
@@ -160,35 +166,37 @@
     assert not index.is_confirmed(index.stores["s1"])
 
 
-def test_question_waits_for_a_change(sharing, read_here):
+def test_query_waits_for_a_change(sharing, reader_index):
     cursors = tuple(
         (address, index.generation, index.sequence)
-        for address, index in read_here.stores.items()
+        for address, index in reader_index.stores.items()
     )
-    asked = messages.StoresAsked(cursors, 1.0)
+    query = messages.StoresAsked(cursors, 1.0)
 
-    async def ask():
-        await sharing.await_changes(asked)
-        return sharing.answer(asked)
+    async def answer_query():
+        await sharing.await_changes(query)
+        return sharing.answer(query)
 
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
-        asking = pool.submit(asyncio.run, ask())
-        waiting.until(lambda: read_here.changed.sleepers, what="it waits")
-        assert not asking.done()
-        change(read_here, "s2", event("z"), epoch=5)
-        told = asking.result(0.9)
-    assert [store.parts for store in told.stores] == [
+        pending = pool.submit(asyncio.run, answer_query())
+        waiting.until(
+            lambda: reader_index.changed.sleepers, what="the query waits"
+        )
+        assert not pending.done()
+        change(reader_index, "s2", event("z"), epoch=5)
+        reply = pending.result(0.9)
+    assert [store.parts for store in reply.stores] == [
         (),
         ((SALT, "z", 100),),
     ]
 
 
 def test_answer_stays_below_the_largest_frame(
-    watch, read_here, index, monkeypatch
+    watch, reader_index, index, monkeypatch
 ):
-    """Both stores are full; what is left out is told next."""
+    """Both stores are full; the next reply holds the rest."""
     monkeypatch.setattr(store_sharing, "MAX_PARTS", 1)
-    read_here.apply_content("s2", store_index.Content(5, 0, (event("c"),)))
+    reader_index.apply_content("s2", store_index.Content(5, 0, (event("c"),)))
     watch.poll()
     assert (held(index, "s1"), held(index, "s2")) == ({"a"}, set())
     watch.poll()
--- a/tests/placement/test_store_watch.py
+++ b/tests/placement/test_store_watch.py
@@ -13,26 +13,26 @@
 
 
 class ScriptedStores:
-    """Answers from lists; an error in them is raised."""
+    """Answers from lists, and raises the errors in them."""
 
     def __init__(self, contents, changes):
         self.contents = contents
-        self.changes_told = changes
-        self.asked = []
+        self.change_answers = changes
+        self.cursors = []
 
     def content(self, address):
-        return answer(self.contents)
+        return next_answer(self.contents)
 
     def changes(self, address, since, wait_s):
-        self.asked.append(since)
-        return answer(self.changes_told)
+        self.cursors.append(since)
+        return next_answer(self.change_answers)
 
 
-def answer(told):
-    found = told.pop(0)
-    if isinstance(found, Exception):
-        raise found
-    return found
+def next_answer(answers):
+    value = answers.pop(0)
+    if isinstance(value, Exception):
+        raise value
+    return value
 
 
 def event(part, tokens=100):
@@ -41,9 +41,9 @@
 
 @pytest.fixture
 def index():
-    made = kept.KeptIndex()
-    made.set_stores([model.StoreTraits("s", "a", 1000, 1.0, 0.001, True)])
-    return made
+    new_index = kept.KeptIndex()
+    new_index.set_stores([model.StoreTraits("s", "a", 1000, 1.0, 0.001, True)])
+    return new_index
 
 
 def watch_of(index, contents, changes):
@@ -59,12 +59,12 @@
     )
     watch.poll()
     watch.poll()
-    assert stores.asked == [7]
+    assert stores.cursors == [7]
     assert set(index.stores["s"].held) == {(SALT, "a"), (SALT, "b")}
 
 
-def test_store_that_started_anew_is_read_anew(index):
-    """A store loses power; its changes begin again at some number."""
+def test_restarted_store_is_read_again(index):
+    """After a power loss, change numbers restart at another value."""
     watch, stores = watch_of(
         index,
         [
@@ -80,15 +80,15 @@
     assert index.stores["s"].epoch == 2
 
 
-def test_store_that_does_not_answer_is_forgotten_and_read_anew(index):
-    """A store is gone for some seconds and comes back empty."""
+def test_unreadable_store_is_dropped_and_read_again(index):
+    """A store is unreachable for some seconds and comes back empty."""
     watch, stores = watch_of(
         index,
         [
             store_index.Content(1, 7, (event("a"),)),
             store_index.Content(2, 1, ()),
         ],
-        [store_watch.StoreUnavailableError("away")],
+        [store_watch.StoreUnavailableError("unreachable")],
     )
     watch.poll()
     assert watch.poller.step() == store_watch.RETRY_S
@@ -97,8 +97,8 @@
     assert index.stores["s"].epoch == 2
 
 
-def test_answer_after_the_stop_is_not_taken_in(index):
-    """Another instance reads the store from now on; its word counts."""
+def test_answer_after_stop_is_not_applied(index):
+    """Another instance reads the store now, and its updates apply."""
     watch, stores = watch_of(
         index, [store_index.Content(1, 7, (event("a"),))], []
     )
--- a/tests/placement/test_store_watches.py
+++ b/tests/placement/test_store_watches.py
@@ -14,17 +14,17 @@
 STORES = [f"10.0.0.{number}:80" for number in range(15)]
 
 
-class Silent:
-    """Neither stores nor peers answer."""
+class Unreachable:
+    """Calls to stores and peers that never answer."""
 
     def content(self, address):
-        raise store_watch.StoreUnavailableError("away")
+        raise store_watch.StoreUnavailableError("unreachable")
 
     def changes(self, address, since, wait_s):
-        raise store_watch.StoreUnavailableError("away")
+        raise store_watch.StoreUnavailableError("unreachable")
 
-    def read_stores(self, reader, asked, timeout_s):
-        raise shared_watch.ReaderUnavailableError("away")
+    def read_stores(self, reader, query, timeout_s):
+        raise shared_watch.ReaderUnavailableError("unreachable")
 
 
 @pytest.fixture
@@ -39,12 +39,12 @@
 
 @pytest.fixture
 def watches(clock, cell):
-    """Return watches of each instance, reviewed once peers are known."""
-    silent = Silent()
-    made = [
+    """The watches of each instance of a cell."""
+    calls = Unreachable()
+    all_watches = [
         store_watches.StoreWatches(
-            silent,
-            silent,
+            calls,
+            calls,
             kept.KeptIndex(clock),
             name,
             lambda: cell,
@@ -53,74 +53,78 @@
         )
         for name in CELL
     ]
-    for one in made:
-        one.follow(STORES)
-    yield made
-    for one in made:
-        one.stop()
+    for instance in all_watches:
+        instance.follow(STORES)
+    yield all_watches
+    for instance in all_watches:
+        instance.stop()
 
 
 def review(watches, clock):
-    for one in watches:
-        one.review()
+    for instance in watches:
+        instance.review()
     clock.now_s += store_watches.SETTLE_S
-    for one in watches:
-        one.review()
+    for instance in watches:
+        instance.review()
 
 
 def test_each_store_is_read_by_one_instance_of_the_cell(watches, clock):
-    """85 instances each hold a call to each store.
+    """Guards against more callers than a store accepts.
 
-    A store takes twelve at once; the others are refused, and fetch and
-    save nothing.
+    Of 85 instances that read each store, all but twelve would be refused,
+    and would neither fetch nor save.
     """
     review(watches, clock)
-    read = list(itertools.chain(*(one.direct for one in watches)))
+    read = list(itertools.chain(*(instance.direct for instance in watches)))
     assert sorted(read) == sorted(STORES)
     assert (
-        len([one for one in watches if one.direct])
+        len([instance for instance in watches if instance.direct])
         == store_watches.READERS_PER_CELL
     )
 
 
-def test_others_ask_the_readers(watches, clock):
+def test_others_query_the_readers(watches, clock):
     review(watches, clock)
     readers = {
-        one.local_name: set(one.direct) for one in watches if one.direct
+        instance.local_name: set(instance.direct)
+        for instance in watches
+        if instance.direct
     }
-    for one in watches:
+    for instance in watches:
         others = {
-            name: readers[name] for name in readers if name != one.local_name
+            name: readers[name]
+            for name in readers
+            if name != instance.local_name
         }
-        asked = {name: set(each.cursors) for name, each in one.shared.items()}
-        assert asked == others
+        queried = {
+            name: set(each.cursors) for name, each in instance.shared.items()
+        }
+        assert queried == others
 
 
-def test_readers_stores_are_read_by_another_when_it_is_gone(
-    watches, clock, cell
-):
+def test_stores_of_a_lost_reader_are_reassigned(watches, clock, cell):
     review(watches, clock)
-    gone = next(one for one in watches if one.direct)
+    gone = next(instance for instance in watches if instance.direct)
     cell.remove(gone.local_name)
-    staying = [one for one in watches if one is not gone]
-    for one in staying:
-        one.review()
-    read = list(itertools.chain(*(one.direct for one in staying)))
+    staying = [instance for instance in watches if instance is not gone]
+    for instance in staying:
+        instance.review()
+    read = list(itertools.chain(*(instance.direct for instance in staying)))
     assert sorted(read) == sorted(STORES)
-    assert all(gone.local_name not in one.shared for one in staying)
+    assert all(gone.local_name not in instance.shared for instance in staying)
 
 
-def test_store_of_no_configuration_is_not_read(watches, clock):
+def test_removed_store_is_no_longer_read(watches, clock):
     review(watches, clock)
-    for one in watches:
-        one.follow(STORES[:1])
-        one.review()
-    read = list(itertools.chain(*(one.direct for one in watches)))
+    for instance in watches:
+        instance.follow(STORES[:1])
+        instance.review()
+    read = list(itertools.chain(*(instance.direct for instance in watches)))
     assert read == STORES[:1]
 
 
 def test_nothing_is_read_before_peers_are_known(watches, clock, cell):
-    """All instances start at once; each seems to be alone at first."""
+    """Guards against instances that seem alone when all start at once."""
     cell.clear()
     review(watches, clock)
     cell.extend(CELL[:1])
@@ -128,13 +132,14 @@
     assert not watches[0].direct
 
 
-def test_few_instances_each_read_all_stores_themselves(watches, clock):
-    """Of seven instances the one that reads for all is suspended.
+def test_few_instances_each_read_all_stores_directly(watches, clock):
+    """Guards against depending on a single reader that is suspended.
 
-    The others know of no store for seconds, and read again what is kept.
+    The others would know no store's content for seconds, and prefill prompts
+    whose parts are kept.
     """
-    for one in watches[:7]:
-        one.instance_count = lambda: 7
-        one.review()
-        assert set(one.direct) == set(STORES)
-        assert not one.shared
+    for instance in watches[:7]:
+        instance.instance_count = lambda: 7
+        instance.review()
+        assert set(instance.direct) == set(STORES)
+        assert not instance.shared
--- a/tests/placement/test_sweeping.py
+++ b/tests/placement/test_sweeping.py
@@ -10,23 +10,23 @@
 from tests import clocks
 
 
-class Stores:
+class Client:
     def __init__(self):
         self.freed = []
-        self.away = False
+        self.unreachable = False
 
     def free(self, address, epoch, parts):
-        if self.away:
-            raise store_watch.StoreUnavailableError("away")
+        if self.unreachable:
+            raise store_watch.StoreUnavailableError("unreachable")
         self.freed.append((address, epoch, sorted(parts)))
 
 
 class Case:
     def __init__(self):
         self.clock = clocks.ManualClock()
-        self.stores = Stores()
+        self.client = Client()
         self.oldest = 1
-        self.members = ["me"]
+        self.members = ["local"]
         index = kept.KeptIndex(self.clock)
         index.set_stores([model.StoreTraits("s", "a", 1000, 1.0, 0.0, True)])
         content = (
@@ -36,10 +36,10 @@
         )
         index.apply_content("s", store_index.Content(4, 0, content))
         self.sweeper = sweeping.Sweeper(
-            self.stores,
+            self.client,
             index,
             lambda model: self.oldest,
-            "me",
+            "local",
             lambda: self.members,
             self.clock,
         )
@@ -54,22 +54,24 @@
     for _ in range(3):
         case.sweeper.review()
         case.clock.now_s += sweeping.GRACE_S
-    assert case.stores.freed == []
+    assert case.client.freed == []
 
 
-def test_parts_of_weights_that_no_engine_has_are_freed_after_a_while(case):
-    """Parts are freed while a fetch of them is under way, and the engine
-    reads what another request has written into their place.
+def test_parts_of_unused_weights_are_freed_after_a_delay(case):
+    """Guards against freeing parts while they are being fetched.
+
+    The engine would read data that another request has written in their
+    place.
     """
     case.oldest = 2
     case.sweeper.review()
-    assert case.stores.freed == []
+    assert case.client.freed == []
     case.clock.now_s += sweeping.GRACE_S
     case.sweeper.review()
-    assert case.stores.freed == [("s", 4, [("m/1/", "old")])]
+    assert case.client.freed == [("s", 4, [("m/1/", "old")])]
 
 
-def test_engine_that_comes_back_with_old_weights_starts_the_wait_anew(case):
+def test_returning_engine_with_old_weights_restarts_the_delay(case):
     case.oldest = 2
     case.sweeper.review()
     case.clock.now_s += sweeping.GRACE_S - 0.1
@@ -78,21 +80,21 @@
     case.oldest = 2
     case.clock.now_s += 0.2
     case.sweeper.review()
-    assert case.stores.freed == []
+    assert case.client.freed == []
 
 
-def test_nothing_is_freed_while_engines_are_not_known(case):
+def test_nothing_is_freed_while_engines_are_unknown(case):
     case.oldest = None
     case.sweeper.review()
     case.clock.now_s += sweeping.GRACE_S
     case.sweeper.review()
-    assert case.stores.freed == []
+    assert case.client.freed == []
 
 
-def test_store_falls_to_one_instance_alone(case):
+def test_store_is_owned_by_exactly_one_instance(case):
     case.members = [f"i{number}" for number in range(20)]
     assert not case.sweeper.owns("s")
-    case.members.append("me")
+    case.members.append("local")
     owners = []
     for name in case.members:
         case.sweeper.local_name = name
