--- a/tests/placement/test_chooser.py
+++ b/tests/placement/test_chooser.py
@@ -75,7 +75,7 @@
             ),
             "service": SERVICE,
             "organisation": routes.Organisation("north"),
-            "aim_left_s": 0.8,
+            "target_remaining_s": 0.8,
         }
         return requests.Request(**(values | changes))
 
--- a/tests/placement/test_prefill_time.py
+++ b/tests/placement/test_prefill_time.py
@@ -5,7 +5,7 @@
 from briarseam.placement import prefill_time
 
 
-@pytest.mark.parametrize("truth_ms", [0.009, 0.04])
+@pytest.mark.parametrize("true_ms", [0.009, 0.04])
 def test_estimate_converges_from_a_wrong_initial_value(true_ms):
     """Engines of one deployment are four times as fast as another's."""
     times = prefill_time.PrefillTime()
--- a/tests/platform/test_restarted_store.py
+++ b/tests/platform/test_restarted_store.py
@@ -149,20 +149,20 @@
     """
     case.store.restart(NEW_BORN, 2)
     WAYS[way](case)
-    case.asking.take(case.told(OLD_BORN, 1, whole))
+    case.asking.apply(case.told(OLD_BORN, 1, whole))
     assert not case.fetched()
     case.watch.poll()
     case.watch.poll()
     case.store.put(SALT, "a", 100)
     case.watch.poll()
-    case.asking.take(case.told(OLD_BORN, 1, whole))
+    case.asking.apply(case.told(OLD_BORN, 1, whole))
     assert case.fetched()
-    case.asking.take(case.told(OLD_BORN, 1, whole, readable=False))
+    case.asking.apply(case.told(OLD_BORN, 1, whole, readable=False))
     assert case.fetched()
 
 
 def test_peer_that_cannot_read_the_present_start_is_believed(case):
-    case.asking.take(case.told(OLD_BORN, 1, False, readable=False))
+    case.asking.apply(case.told(OLD_BORN, 1, False, readable=False))
     assert not case.fetched()
 
 
@@ -175,5 +175,5 @@
 
 
 def test_words_of_a_stores_present_start_are_taken(case):
-    case.asking.take(case.told(OLD_BORN, 1, False))
+    case.asking.apply(case.told(OLD_BORN, 1, False))
     assert case.fetched()
