--- a/src/briarseam/placement/cell_weights.py
+++ b/src/briarseam/placement/cell_weights.py
@@ -20,14 +20,14 @@
 if typing.TYPE_CHECKING:
     import collections.abc
 
-# An order is issued 0.6 s after the engine is announced as taking no work.
+# An order is issued 0.6 s after the engine is announced as accepting no work.
 # Heartbeats, which relay what other cells publish, are 0.5 s apart, so 0.1 s
 # remain.
 REVIEW_INTERVAL_S = 0.1
 # A published change expires after 3 s, and loading weights takes longer.
 REPEAT_INTERVAL_S = 1.0
 # Heartbeats relay a change only until its next repetition is overdue.  Its
-# sender may be gone, and the engine would stay without work.
+# sender may be gone, and the engine would get no work.
 RELAY_S = 1.5
 log = structlog.get_logger("briarseam.placement")
 
@@ -101,7 +101,7 @@
         This instance's view of engines' weights.
     cells
         Calls to other cells.
-    me
+    local_name
         Name of this instance.
     clock
         Seconds.
--- a/src/briarseam/placement/load_exchange.py
+++ b/src/briarseam/placement/load_exchange.py
@@ -1,9 +1,9 @@
 """Exchange of load changes between the instances of a cell.
 
 Heartbeats carry an instance's load, too, but only twice a second, and an
-engine reads a prompt in less time.  Several instances would send to an engine
-that appears idle.  Each change is therefore sent to all peers at once by
-datagram; heartbeats make up for lost datagrams.
+engine prefills a prompt in less time.  Several instances would send to an
+engine that appears idle.  Each change is therefore sent to all peers at once
+by datagram; heartbeats make up for lost datagrams.
 """
 
 from __future__ import annotations
--- a/src/briarseam/placement/sweeping.py
+++ b/src/briarseam/placement/sweeping.py
@@ -35,7 +35,7 @@
         epoch: int,
         parts: typing.Sequence[tuple[str, str]],
     ) -> None:
-        """Free parts, unless the store has restarted since the epoch."""
+        """Free parts, unless the store's epoch has changed."""
 
 
 class Sweeper:
--- a/tests/placement/test_chooser.py
+++ b/tests/placement/test_chooser.py
@@ -154,8 +154,8 @@
     """
     case = Case(engines=30)
     for endpoint in case.endpoints[1:]:
-        work = loads.Load(requests=4, running=4, waiting_tokens=20_000)
-        case.chooser.loads.add(endpoint.id, work)
+        load = loads.Load(requests=4, running=4, waiting_tokens=20_000)
+        case.chooser.loads.add(endpoint.id, load)
     idle = case.endpoints[0].id
     chosen = [
         case.place(session=f"s{number}").endpoint.id for number in range(90)
--- a/tests/placement/test_load_exchange.py
+++ b/tests/placement/test_load_exchange.py
@@ -42,8 +42,8 @@
                 name,
                 address,
                 lambda name=name: [
-                    found
-                    for other, found in self.addresses.items()
+                    peer_address
+                    for other, peer_address in self.addresses.items()
                     if other != name
                 ],
                 KEY,
--- a/tests/placement/test_store_watches.py
+++ b/tests/placement/test_store_watches.py
@@ -104,14 +104,16 @@
 
 def test_stores_of_a_lost_reader_are_reassigned(watches, clock, cell):
     review(watches, clock)
-    gone = next(instance for instance in watches if instance.direct)
-    cell.remove(gone.local_name)
-    staying = [instance for instance in watches if instance is not gone]
-    for instance in staying:
+    lost = next(instance for instance in watches if instance.direct)
+    cell.remove(lost.local_name)
+    remaining = [instance for instance in watches if instance is not lost]
+    for instance in remaining:
         instance.review()
-    read = list(itertools.chain(*(instance.direct for instance in staying)))
+    read = list(itertools.chain(*(instance.direct for instance in remaining)))
     assert sorted(read) == sorted(STORES)
-    assert all(gone.local_name not in instance.shared for instance in staying)
+    assert all(
+        lost.local_name not in instance.shared for instance in remaining
+    )
 
 
 def test_removed_store_is_no_longer_read(watches, clock):
