--- a/src/briarseam/peers/__init__.py
+++ b/src/briarseam/peers/__init__.py
@@ -1,1 +1,1 @@
-"""How this system's instances find each other through the store."""
+"""Discovery of peer instances through the store."""
--- a/src/briarseam/peers/expiry.py
+++ b/src/briarseam/peers/expiry.py
@@ -1,4 +1,4 @@
-"""Removing registrations of instances that are lost for good."""
+"""Removes the registrations of instances that are lost."""
 
 from __future__ import annotations
 
@@ -17,79 +17,79 @@
     from briarseam.peers import registrations
 
 REVIEW_S = 5.0
-# An instance that restarts is back within seconds, one behind a cut link
-# within a minute mostly; should it live, it registers again by itself.
-SILENT_S = 60.0
-KEY = "expiry"
+# A restart takes seconds, and most network partitions end within a minute.
+# An instance that is removed while it runs registers again by itself.
+REMOVE_AFTER_S = 60.0
+RANK_KEY = "expiry"
 log = structlog.get_logger("briarseam.peers")
 
 
 class Expiry:
-    """Removes what instances left behind that did not stop by themselves.
+    """Removes the registrations of instances that did not shut down.
 
-    Peers go on trying to reach a registered instance, and cells are made
-    for as many as are registered.  One instance removes for all: the first
-    by rank of those that it hears.
+    Peers keep trying to reach a registered instance, and cells are sized
+    by the number of registrations.  Only one instance removes them: the
+    first by rank of those that are live.
 
     Parameters
     ----------
-    rows
+    registered
         The registrations.
-    heard
-        Returns the names of all instances that are heard somewhere, this
-        one included; empty while this instance's own view is not fresh.
+    live
+        Returns the names of all live instances of all cells, the local one
+        included; empty while the local view is not fresh.
     clock
-        Seconds, counting while the machine is suspended.
+        Seconds; advances while the machine is suspended.
     """
 
     def __init__(
         self,
-        rows: registrations.Registrations,
-        heard: typing.Callable[[], collections.abc.Collection[str]],
+        registered: registrations.Registrations,
+        live: typing.Callable[[], collections.abc.Collection[str]],
         clock: typing.Callable[[], float] = clocks.boot_clock,
     ) -> None:
-        self.rows = rows
-        self.heard = heard
+        self.registered = registered
+        self.live = live
         self.clock = clock
-        self.silent_since: dict[str, float] = {}
+        self.silent_from_s: dict[str, float] = {}
         self.reviewed_s = clock()
         self.reviews = repeating.Repeater("expiry", self.review, REVIEW_S)
 
     def start(self) -> None:
-        """Begin."""
+        """Start the reviews."""
         self.reviews.start()
 
     def stop(self) -> None:
-        """Remove nothing further."""
+        """Stop the reviews; no more registrations are removed."""
         self.reviews.stop()
 
     def review(self) -> None:
-        """Remove what was silent for long, if that falls to this instance.
+        """Remove registrations of lost instances, if this one ranks first.
 
-        After a suspension all seem to have been silent for as long, so
-        counting begins anew.
+        After a suspension of the machine every peer appears to have been
+        silent for its whole duration, so all times are reset.
         """
         now_s = self.clock()
         suspended = now_s - self.reviewed_s > 2 * REVIEW_S
         self.reviewed_s = now_s
-        heard = self.heard()
-        if suspended or not heard:
-            self.silent_since.clear()
+        live = self.live()
+        if suspended or not live:
+            self.silent_from_s.clear()
             return
-        silent = self.rows.by_name.keys() - set(heard)
-        self.silent_since = {
-            name: self.silent_since.get(name, now_s) for name in silent
+        silent = self.registered.by_name.keys() - set(live)
+        self.silent_from_s = {
+            name: self.silent_from_s.get(name, now_s) for name in silent
         }
-        if rank.ranked(KEY, heard, str)[0] != self.rows.me.name:
+        if rank.ranked(RANK_KEY, live, str)[0] != self.registered.local.name:
             return
-        for name, since_s in self.silent_since.items():
-            if now_s - since_s >= SILENT_S:
-                self.remove(name, now_s - since_s)
+        for name, from_s in self.silent_from_s.items():
+            if now_s - from_s >= REMOVE_AFTER_S:
+                self.remove(name, now_s - from_s)
 
     def remove(self, name: str, silent_s: float) -> None:
         """Remove one registration."""
         try:
-            self.rows.store.put(self.rows.topic, name, None)
+            self.registered.store.put(self.registered.topic, name, None)
         except records.StoreUnavailableError as error:
             log.warning(
                 "registration_not_removed", instance=name, detail=str(error)
--- a/src/briarseam/peers/registrations.py
+++ b/src/briarseam/peers/registrations.py
@@ -24,46 +24,46 @@
     import collections.abc
 
 AGENT_ROLE = "agent"
-# The one key of the topic that is no instance's.
+# The only key of the topic that is not the name of an instance.
 SECRET_KEY = "wire-secret"
 SECRET_BYTES = 32
 RETRY_S = 0.3
-# Between two attempts to agree on the secret while others write: a store
-# answers in some ms.
-AGREE_S = 0.05
-# Instances that start at once make a secret at different times within
-# this; what one has written the others follow within half a second.
-SPREAD_S = 1.5
-# Members notice a topic without their secret within two reviews of it.
-RESTORED_S = 4.0
-# A registration that may or may not have been written is written again
-# until the topic shows it; later losses of it show in the same way.
+# Pause between attempts to agree on the secret while other instances write
+# to the topic; the store answers within milliseconds.
+AGREE_RETRY_S = 0.05
+# Instances that start together create a secret at random times within this
+# range; the others read it within half a second of its being written.
+START_SPREAD_S = 1.5
+# Members detect within two reviews that the topic lacks their secret.
+RESTORE_WAIT_S = 4.0
+# The registration is written again until the topic contains it, which also
+# covers writes of unknown outcome and later losses.
 REVIEW_S = 1.0
 # Each member of a cell sends heartbeats to all others; see docs/CAPACITY.md.
-# A larger group is cut by availability zone, since bytes between these are
-# dear.
+# A larger group is split by availability zone, since traffic between zones
+# is expensive.
 CELL_MEMBERS = 32
 log = structlog.get_logger("briarseam.peers")
 
 
 @dataclasses.dataclass(frozen=True)
 class Registration:
-    """What an instance tells of itself.
+    """What an instance publishes about itself.
 
     Attributes
     ----------
     name
         Unique over all instances.
     address
-        Where its peers reach it.
+        Address at which peers reach it.
     group
-        Instances of one group share what they know of endpoints.  That is
-        a region, not an availability zone: the endpoints that they send to
-        are the same.
+        Instances of a group share their state of endpoints.  A group is a
+        region, not an availability zone, because all instances of a region
+        send to the same endpoints.
     zone
         Its availability zone.
     weight
-        The work that it can take, relative to others.
+        Its capacity relative to other instances.
     """
 
     name: str
@@ -74,17 +74,17 @@
 
 
 class WireRegistration(msgspec.Struct, array_like=True):
-    """A registration as it lies in the topic."""
+    """A registration as encoded in the topic."""
 
     address: str
     group: str
     zone: str
-    # An instance of an earlier release tells no weight.
+    # Instances of earlier releases publish no weight.
     weight: float = 1.0
 
 
 class WritableStore(records.KeyedStore, typing.Protocol):
-    """A store of keyed topics that can be written."""
+    """A store of keyed topics that accepts writes."""
 
     def put(self, topic: str, key: str, value: bytes | None) -> None:
         """Write the newest record of a key."""
@@ -92,39 +92,49 @@
     def append(
         self, topic: str, items: tuple[bytes, ...], at: int | None = None
     ) -> int:
-        """Append records where the topic ends at an offset."""
+        """Append records, only if the topic ends at the given offset."""
 
 
 class Registrations:
-    """The registration of this instance, and those of all others.
+    """The registrations of the local instance and of all others.
 
-    A listener of the topic and the instance list of
+    Listens to the topic, and is the instance list of
     :class:`briarseam.membership.service.Membership`.
 
     Parameters
     ----------
     store, topic
-        Where registrations lie.
-    me
-        Registration of this instance.
-    tally
-        Notes registrations that can't be read.
+        Where registrations are stored.
+    local
+        Registration of the local instance.
+    malformed_counter
+        Counts registrations that can't be decoded.
+
+    Attributes
+    ----------
+    by_name
+        Registrations by the name of their instance.
+    cells
+        Cells by the name of the instance.
+    secret
+        The secret that the topic contains.
+    agreed_secret
+        The secret that members use.
     """
 
     def __init__(
         self,
         store: WritableStore,
         topic: str,
-        me: Registration,
-        tally: malformed.Tally | None = None,
+        local: Registration,
+        malformed_counter: malformed.Tally | None = None,
     ) -> None:
-        self.tally = tally or malformed.Tally()
+        self.malformed_counter = malformed_counter or malformed.Tally()
         self.store = store
         self.topic = topic
-        self.me = me
+        self.local = local
         self.by_name: dict[str, Registration] = {}
         self.cells: dict[str, str] = {}
-        # What the topic tells, and what members have agreed on.
         self.secret: bytes | None = None
         self.agreed_secret: bytes | None = None
         self.loaded = threading.Event()
@@ -135,20 +145,21 @@
         )
 
     def start(self) -> None:
-        """Begin to keep this instance registered."""
+        """Start keeping the local instance registered."""
         self.thread.start()
 
     def stop(self) -> None:
-        """Take this instance's registration away, as far as possible."""
+        """Remove the local registration if the store is available."""
         self.leaving.set()
         try:
-            self.store.put(self.topic, self.me.name, None)
+            self.store.put(self.topic, self.local.name, None)
         except records.StoreUnavailableError as error:
-            # Peers notice the silence; the record costs them a look only.
+            # Peers detect the missing heartbeats; a stale registration
+            # costs them only connection attempts.
             log.warning("registration_left", detail=str(error))
 
     def read(self) -> instances.Listing:
-        """Return the registered instances, as of the last read.
+        """Return the instances registered at the last read of the topic.
 
         Raises
         ------
@@ -157,7 +168,7 @@
         """
         if not self.loaded.is_set():
             raise instances.InstanceListUnavailableError(
-                "the registrations were not read yet"
+                "the registrations have not been read yet"
             )
         listed = tuple(
             instances.Instance(row.name, AGENT_ROLE, row.address, row.group)
@@ -166,103 +177,108 @@
         return instances.Listing(listed, 0)
 
     def zone_of(self, name: str) -> str:
-        """Return an instance's availability zone, empty if unknown."""
+        """Return an instance's availability zone; empty if unknown."""
         row = self.by_name.get(name)
         return "" if row is None else row.zone
 
     def weight_of(self, name: str) -> float:
-        """Return the work an instance can take, relative to others."""
+        """Return an instance's capacity relative to others."""
         row = self.by_name.get(name)
         return 1.0 if row is None else row.weight
 
     def cell_of(self, name: str, group: str) -> str:
-        """Return the cell of an instance; its group's while not known."""
+        """Return the cell of an instance; its group if unknown."""
         return self.cells.get(name, group)
 
     def apply_all(
         self, changes: collections.abc.Sequence[records.KeyedRecord]
     ) -> None:
-        """Take in all registrations."""
+        """Replace all registrations."""
         self.secret = None
-        self.keep(self.changed({}, changes))
+        self.replace(self.with_changes({}, changes))
         self.loaded.set()
 
     def apply_changes(
         self, changes: collections.abc.Sequence[records.KeyedRecord]
     ) -> None:
-        """Take in changed registrations."""
-        self.keep(self.changed(self.by_name, changes))
+        """Apply changed registrations."""
+        self.replace(self.with_changes(self.by_name, changes))
 
-    def keep(self, rows: dict[str, Registration]) -> None:
-        """Take over registrations, and the cells that follow from them."""
-        self.cells = cells_of([*rows.values(), self.me])
-        self.by_name = rows
+    def replace(self, by_name: dict[str, Registration]) -> None:
+        """Replace the registrations and the cells derived from them."""
+        self.cells = assign_cells([*by_name.values(), self.local])
+        self.by_name = by_name
 
-    def changed(
+    def with_changes(
         self,
-        rows: dict[str, Registration],
+        known: dict[str, Registration],
         changes: collections.abc.Sequence[records.KeyedRecord],
     ) -> dict[str, Registration]:
-        """Return registrations after changes; a new map.
+        """Return a copy of registrations with changes applied.
 
-        Membership reads the present one at any time, and must not see one
-        that is half filled: instances that are missing count as gone.
+        A copy, since membership reads the current mapping at any time and
+        counts an instance that is missing from it as gone.
         """
-        found = dict(rows)
+        by_name = dict(known)
         for change in changes:
             if change.key == SECRET_KEY:
                 self.secret = change.value or self.secret
                 if self.secret is not None:
                     self.secret_known.set()
                 continue
-            # What was known is dropped first: a registration that is
-            # overwritten by one that can't be read names no instance.
-            found.pop(change.key, None)
+            # Drop the old value first: an instance whose registration is
+            # overwritten by a malformed one is not registered.
+            by_name.pop(change.key, None)
             if change.value is not None:
-                found.update(self.decoded(change.key, change.value))
-        return found
+                by_name.update(self.decoded(change.key, change.value))
+        return by_name
 
     def decoded(self, name: str, data: bytes) -> dict[str, Registration]:
-        """Return a registration by its name, nothing if it is malformed."""
+        """Return a registration by its name; empty if it is malformed."""
         try:
             return {name: decode(name, data)}
         except malformed.MalformedError as error:
-            self.tally.note(malformed.Kind.REGISTRATION, name, error)
+            self.malformed_counter.note(
+                malformed.Kind.REGISTRATION, name, error
+            )
             return {}
 
     def store_lost(self) -> None:
-        """Go on with the registrations that are known."""
+        """Keep the known registrations while the store is unavailable."""
 
     def keep_registered(self) -> None:
-        """Register until the topic shows it, and again when it is lost."""
+        """Write the local registration and the secret while missing."""
         self.loaded.wait()
         is_missing = False
         while not self.leaving.is_set():
-            if self.by_name.get(self.me.name) != self.me:
+            if self.by_name.get(self.local.name) != self.local:
                 self.register()
-            # Twice: what was agreed on just now may not have been read yet.
+            # Requires two reviews in a row, since a secret that was just
+            # agreed on may not have been read from the topic yet.
             was_missing, is_missing = (
                 is_missing,
                 self.secret != self.agreed_secret,
             )
             if self.agreed_secret is not None and is_missing and was_missing:
-                self.write_secret(self.agreed_secret)
+                self.restore_secret(self.agreed_secret)
             self.leaving.wait(REVIEW_S)
 
     def register(self) -> None:
-        """Write this instance's registration once."""
+        """Write the local registration once."""
         try:
-            self.store.put(self.topic, self.me.name, encode(self.me))
+            self.store.put(self.topic, self.local.name, encode(self.local))
         except records.StoreUnavailableError as error:
             log.warning("registration_failed", detail=str(error))
             return
-        log.info("registered", name=self.me.name, address=self.me.address)
+        log.info(
+            "registered", name=self.local.name, address=self.local.address
+        )
 
-    def write_secret(self, secret: bytes) -> None:
-        """Write the secret that members go by where the topic lacks it.
+    def restore_secret(self, secret: bytes) -> None:
+        """Write the members' secret to a topic that lacks it.
 
-        A newcomer would make another one, and those who go by the first
-        would not trust it.
+        Otherwise an instance that joins creates another secret, and the
+        members reject its connections.
         """
         try:
             self.store.put(self.topic, SECRET_KEY, secret)
@@ -272,30 +288,30 @@
         log.warning("secret_written_again", topic=self.topic)
 
 
-def cells_of(
+def assign_cells(
     rows: collections.abc.Iterable[Registration],
 ) -> dict[str, str]:
-    """Return the cell of each instance by its name."""
+    """Return the cell of each instance by the instance's name."""
     groups: dict[str, set[str]] = collections.defaultdict(set)
     zones: dict[str, set[str]] = collections.defaultdict(set)
     for row in rows:
         groups[row.group].add(row.name)
         zones[f"{row.group}/{row.zone}"].add(row.name)
-    found: dict[str, str] = {}
+    assigned: dict[str, str] = {}
     for row in rows:
         if len(groups[row.group]) <= CELL_MEMBERS:
-            found[row.name] = row.group
+            assigned[row.name] = row.group
             continue
         zone = f"{row.group}/{row.zone}"
-        # A zone of a few more stays whole: of two cells, one may have no
-        # instance that is strong enough to speak for it.
+        # A zone that is only slightly larger stays a single cell: of two
+        # cells, one may lack an instance with the capacity to speak for it.
         parts = max(1, round(len(zones[zone]) / CELL_MEMBERS))
-        found[row.name] = cells.cell_of(row.name, zone, parts)
-    return found
+        assigned[row.name] = cells.cell_of(row.name, zone, parts)
+    return assigned
 
 
 def encode(row: Registration) -> bytes:
-    """Return an instance's registration."""
+    """Return the encoded registration of an instance."""
     packed: bytes = msgpack.packb(
         [row.address, row.group, row.zone, row.weight]
     )
@@ -303,12 +319,12 @@
 
 
 def decode(name: str, data: bytes) -> Registration:
-    """Return the instance of a registration.
+    """Return the decoded registration of an instance.
 
     Raises
     ------
     MalformedError
-        If it does not say where the instance is reached, and its share.
+        If it has no valid address, weight or name.
     """
     with malformed.raised_as_malformed():
         wire = msgspec.msgpack.decode(data, type=WireRegistration)
@@ -316,17 +332,18 @@
     if not name:
         raise malformed.MalformedError("the name is empty")
     if not math.isfinite(wire.weight) or wire.weight < 0:
-        raise malformed.MalformedError("the weight is no share")
+        raise malformed.MalformedError("the weight is negative or not finite")
     return Registration(name, wire.address, wire.group, wire.zone, wire.weight)
 
 
 def wait_for_secret(
     rows: Registrations, stopping: threading.Event, first_start: bool = True
 ) -> None:
-    """Wait a little for a secret that another instance makes, or has.
+    """Wait for a limited time for a secret written by another instance.
 
-    Of hundreds of instances that start at once a few write one; else each
-    would read, try to write, and read again.
+    Keeps the load on the store low when hundreds of instances start
+    together: without the wait, each of them reads, tries to write, and
+    reads again.
 
     Parameters
     ----------
@@ -335,15 +352,16 @@
     stopping
         Ends the wait.
     first_start
-        Whether no instance has run before.  Else a topic without a secret
-        was restored from an older copy, and members write it again.
+        Whether no instance has run before.  If one has, a topic without a
+        secret was restored from an older backup, and members write their
+        secret again.
     """
     while not rows.loaded.wait(RETRY_S):
         if stopping.is_set():
             return
-    wait_s = random.uniform(0.0, SPREAD_S)
+    wait_s = random.uniform(0.0, START_SPREAD_S)
     if not first_start:
-        wait_s += RESTORED_S
+        wait_s += RESTORE_WAIT_S
     rows.secret_known.wait(wait_s)
 
 
@@ -353,32 +371,34 @@
     encode_keyed: typing.Callable[[str, bytes], bytes],
     stopping: threading.Event,
 ) -> bytes | None:
-    """Return the secret that proves membership, made by whoever was first.
+    """Return the secret that proves membership; create it if missing.
 
-    It is written only if the topic still ends where it was read, so of all
-    instances that start at once one makes it and the others read it.  That
-    others may have written to the topic before does no harm.
+    It is written only if the topic still ends where it was read, so that
+    of all instances that start together one creates it and the others read
+    it.  Earlier records of other writers in the topic do not prevent this.
 
     Parameters
     ----------
     store, topic
-        Where it lies.
+        Where the secret is stored.
     encode_keyed
         Returns the record of a key and a value.
     stopping
-        Ends the attempts; ``None`` is returned then.
+        Ends the attempts; the result is then ``None``.
     """
     while not stopping.is_set():
         try:
-            known = store.newest(topic)
-            for record in known.records:
+            batch = store.newest(topic)
+            for record in batch.records:
                 if record.key == SECRET_KEY and record.value:
                     return record.value
-            made = encode_keyed(SECRET_KEY, secrets.token_bytes(SECRET_BYTES))
-            store.append(topic, (made,), at=known.next)
+            created = encode_keyed(
+                SECRET_KEY, secrets.token_bytes(SECRET_BYTES)
+            )
+            store.append(topic, (created,), at=batch.next)
         except records.SupersededError:
-            # Mostly since another instance made it just now.
-            stopping.wait(AGREE_S)
+            # Usually because another instance has just written the secret.
+            stopping.wait(AGREE_RETRY_S)
         except records.StoreUnavailableError as error:
             log.warning("secret_not_read", detail=str(error))
             stopping.wait(RETRY_S)
--- a/tests/peers/test_expiry.py
+++ b/tests/peers/test_expiry.py
@@ -12,15 +12,15 @@
 
 
 class Store:
-    """Remembers what was removed."""
+    """Records the keys that are removed."""
 
     def __init__(self):
         self.removed = []
-        self.away = False
+        self.unavailable = False
 
     def put(self, topic, key, value):
-        if self.away:
-            raise records.StoreUnavailableError("away")
+        if self.unavailable:
+            raise records.StoreUnavailableError("unavailable")
         assert (topic, value) == (TOPIC, None)
         self.removed.append(key)
 
@@ -36,87 +36,90 @@
 
 
 @pytest.fixture
-def heard():
+def live():
     return set(NAMES)
 
 
-def expiry_of(name, store, heard, clock):
-    rows = registrations.Registrations(
+def build_expiry(name, store, live, clock):
+    registered = registrations.Registrations(
         store, TOPIC, registrations.Registration(name, "", "north", "a")
     )
-    rows.by_name = {
+    registered.by_name = {
         each: registrations.Registration(each, "", "north", "a")
         for each in NAMES
     }
-    return expiry.Expiry(rows, lambda: heard, clock)
+    return expiry.Expiry(registered, lambda: live, clock)
 
 
 @pytest.fixture
-def all_three(store, heard, clock):
-    return [expiry_of(name, store, heard, clock) for name in NAMES]
+def all_three(store, live, clock):
+    return [build_expiry(name, store, live, clock) for name in NAMES]
 
 
-def review(all_three, clock, times=1):
+def review(instances, clock, times=1):
     for _ in range(times):
         clock.now_s += expiry.REVIEW_S
-        for one in all_three:
-            one.review()
+        for instance in instances:
+            instance.review()
 
 
-ENOUGH = int(expiry.SILENT_S / expiry.REVIEW_S) + 1
+REVIEWS_TO_REMOVE = int(expiry.REMOVE_AFTER_S / expiry.REVIEW_S) + 1
 
 
-def test_instance_lost_for_good_is_removed_once(
-    all_three, store, heard, clock
+def test_registration_of_lost_instance_is_removed_once(
+    all_three, store, live, clock
 ):
-    """An instance loses power and is replaced at another address.
+    """Guards against stale registrations of instances that lost power.
 
-    Its peers try to reach it for ever, and cells are made as if it lived.
+    Peers would keep trying to reach such an instance, and cells would be
+    sized as if it were running.
     """
-    heard.discard("two")
-    living = [all_three[0], all_three[2]]
-    review(living, clock, ENOUGH - 1)
+    live.discard("two")
+    remaining = [all_three[0], all_three[2]]
+    review(remaining, clock, REVIEWS_TO_REMOVE - 1)
     assert store.removed == []
-    review(living, clock)
+    review(remaining, clock)
     assert store.removed == ["two"]
 
 
-def test_instance_that_was_heard_again_stays(all_three, store, heard, clock):
-    heard.discard("two")
-    review(all_three, clock, ENOUGH - 1)
-    heard.add("two")
+def test_instance_that_becomes_live_again_is_kept(
+    all_three, store, live, clock
+):
+    live.discard("two")
+    review(all_three, clock, REVIEWS_TO_REMOVE - 1)
+    live.add("two")
     review(all_three, clock)
-    heard.discard("two")
-    review(all_three, clock, ENOUGH - 1)
+    live.discard("two")
+    review(all_three, clock, REVIEWS_TO_REMOVE - 1)
     assert store.removed == []
 
 
-def test_nothing_is_removed_by_who_hears_nobody(
-    all_three, store, heard, clock
+def test_instance_without_fresh_view_removes_nothing(
+    all_three, store, live, clock
 ):
-    """An instance is cut off from its peers, not from the store.
+    """Guards against removals by an instance cut off from its peers.
 
-    To it, all others are silent.
+    It can still write to the store, and all others are silent to it.
     """
-    heard.clear()
-    review(all_three, clock, 2 * ENOUGH)
+    live.clear()
+    review(all_three, clock, 2 * REVIEWS_TO_REMOVE)
     assert store.removed == []
 
 
-def test_silence_while_suspended_does_not_count(
-    all_three, store, heard, clock
+def test_silence_during_suspension_is_not_counted(
+    all_three, store, live, clock
 ):
-    heard.discard("two")
+    live.discard("two")
     review(all_three, clock)
-    clock.now_s += expiry.SILENT_S
+    clock.now_s += expiry.REMOVE_AFTER_S
     review(all_three, clock)
     assert store.removed == []
 
 
-def test_removal_that_failed_is_tried_again(all_three, store, heard, clock):
-    heard.discard("two")
-    store.away = True
-    review(all_three, clock, ENOUGH)
-    store.away = False
+def test_failed_removal_is_retried(all_three, store, live, clock):
+    live.discard("two")
+    store.unavailable = True
+    review(all_three, clock, REVIEWS_TO_REMOVE)
+    store.unavailable = False
     review(all_three, clock)
     assert store.removed == ["two"]
--- a/tests/peers/test_registrations.py
+++ b/tests/peers/test_registrations.py
@@ -24,23 +24,25 @@
         yield started
 
 
-def me(name="one"):
+def registration(name="one"):
     return registrations.Registration(name, "127.0.0.1:1", "north", "a")
 
 
 @pytest.fixture
 def registered(store):
     client = stores.StoreClient(store.address)
-    made = registrations.Registrations(client, TOPIC, me())
-    follower = following.Follower(client, TOPIC, made, 0.2)
+    registered = registrations.Registrations(client, TOPIC, registration())
+    follower = following.Follower(client, TOPIC, registered, 0.2)
     follower.start()
-    made.start()
-    yield made
-    made.stop()
+    registered.start()
+    yield registered
+    registered.stop()
     follower.stop()
 
 
-def test_instance_registers_and_leaves(store, registered):
+def test_instance_registers_at_start_and_unregisters_at_stop(
+    store, registered
+):
     waiting.until(lambda: "one" in store.newest_of(TOPIC))
     waiting.until(
         lambda: [row.name for row in registered.read().instances] == ["one"]
@@ -50,44 +52,54 @@
     assert "one" not in store.newest_of(TOPIC)
 
 
-def test_lost_registration_is_written_again(store, registered, monkeypatch):
+def test_deleted_registration_is_written_again(store, registered, monkeypatch):
     monkeypatch.setattr(registrations, "REVIEW_S", 0.05)
     waiting.until(lambda: "one" in store.newest_of(TOPIC))
     store.write_raw(TOPIC, "one", b"")
     waiting.until(lambda: "one" in store.newest_of(TOPIC))
 
 
-def test_registration_that_another_writer_overwrote_is_written_again(
+def test_overwritten_registration_is_written_again(
     store, registered, monkeypatch
 ):
     monkeypatch.setattr(registrations, "REVIEW_S", 0.05)
     waiting.until(lambda: "one" in registered.by_name)
     store.write_raw(TOPIC, "one", b"\xff")
     waiting.until(
-        lambda: store.newest_of(TOPIC)["one"] == registrations.encode(me())
+        lambda: (
+            store.newest_of(TOPIC)["one"]
+            == registrations.encode(registration())
+        )
     )
 
 
-def test_instance_of_an_earlier_release_is_listed():
-    """Instances are replaced one after the other by a new release."""
+def test_registration_of_earlier_release_is_decoded():
+    """Guards against unknown instances during an upgrade.
+
+    Instances are upgraded one after another, and those of earlier releases
+    write registrations without a weight.
+    """
     data = msgpack.packb(["127.0.0.1:1", "north", "a"])
-    assert registrations.decode("one", data) == me()
-    assert registrations.decode("one", registrations.encode(me())) == me()
+    assert registrations.decode("one", data) == registration()
+    assert (
+        registrations.decode("one", registrations.encode(registration()))
+        == registration()
+    )
 
 
-def test_unread_topic_is_no_empty_list(store):
+def test_list_is_unavailable_before_the_topic_is_read(store):
     client = stores.StoreClient(store.address)
-    made = registrations.Registrations(client, TOPIC, me())
+    registered = registrations.Registrations(client, TOPIC, registration())
     with pytest.raises(instances.InstanceListUnavailableError):
-        made.read()
+        registered.read()
 
 
-def test_instances_that_start_at_once_agree_on_one_secret(store):
-    found = []
+def test_instances_started_together_agree_on_one_secret(store):
+    secrets = []
 
     def agree():
         client = stores.StoreClient(store.address)
-        found.append(
+        secrets.append(
             registrations.agree_on_secret(
                 client, TOPIC, framing.encode_keyed, threading.Event()
             )
@@ -98,8 +110,8 @@
         thread.start()
     for thread in threads:
         thread.join(10)
-    assert len(found) == 8
-    assert len(set(found)) == 1
+    assert len(secrets) == 8
+    assert len(set(secrets)) == 1
 
 
 def instances_of(zone, count, first=0):
@@ -109,76 +121,84 @@
     ]
 
 
-def sizes_of(rows):
-    cells = registrations.cells_of(rows)
+def cell_sizes(rows):
+    cells = registrations.assign_cells(rows)
     return collections.Counter(cells.values())
 
 
 def test_small_region_is_one_cell():
     rows = [*instances_of("a", 16), *instances_of("b", 16)]
-    assert sizes_of(rows) == {"north": registrations.CELL_MEMBERS}
+    assert cell_sizes(rows) == {"north": registrations.CELL_MEMBERS}
 
 
-def test_large_region_is_cut_by_availability_zone():
-    """85 instances in three zones: two of three heartbeats cross zones."""
+def test_large_region_is_split_by_availability_zone():
+    """Guards against heartbeat traffic between zones.
+
+    In one cell of three zones, two of three heartbeats cross zones.
+    """
     rows = [*instances_of("a", 27), *instances_of("b", 25)]
-    assert sizes_of(rows) == {"north/a/0": 27, "north/b/0": 25}
+    assert cell_sizes(rows) == {"north/a/0": 27, "north/b/0": 25}
 
 
-def test_zone_of_a_few_more_than_a_cell_stays_whole():
+def test_zone_slightly_larger_than_a_cell_is_one_cell():
     rows = [*instances_of("a", 33), *instances_of("b", 25)]
-    assert sizes_of(rows) == {"north/a/0": 33, "north/b/0": 25}
+    assert cell_sizes(rows) == {"north/a/0": 33, "north/b/0": 25}
 
 
-def test_large_zone_is_cut_into_cells():
+def test_large_zone_is_split_into_cells():
     rows = [*instances_of("a", 90), *instances_of("b", 2)]
-    sizes = sizes_of(rows)
+    sizes = cell_sizes(rows)
     assert sum(sizes.values()) == 92
     assert sizes.keys() == {"north/a/0", "north/a/1", "north/a/2", "north/b/0"}
 
 
-def test_instance_knows_its_cell_before_it_is_registered():
-    """Another one's heartbeat comes first."""
-    made = registrations.Registrations(None, TOPIC, me())
-    made.apply_all([])
-    assert made.cell_of("one", "north") == "north"
-    assert made.cell_of("never registered", "north") == "north"
+def test_cell_is_known_before_the_instance_is_registered():
+    """A heartbeat of a peer may arrive before the registration is read."""
+    registered = registrations.Registrations(None, TOPIC, registration())
+    registered.apply_all([])
+    assert registered.cell_of("one", "north") == "north"
+    assert registered.cell_of("never registered", "north") == "north"
+
 
+def test_list_is_replaced_atomically(monkeypatch):
+    """Guards against a partial list while the whole topic is read again.
 
-def test_new_reading_is_seen_whole_or_not_at_all(monkeypatch):
-    """The topic is read anew after its history was lost.  While it is
-    taken in, membership reads the list and takes all others as gone.
+    Membership reads the list at any time and counts instances that are
+    missing from it as gone.
     """
-    made = registrations.Registrations(None, TOPIC, me())
-    rows = [me("one"), me("two")]
+    registered = registrations.Registrations(None, TOPIC, registration())
+    rows = [registration("one"), registration("two")]
     changes = [
         records.KeyedRecord(row.name, registrations.encode(row))
         for row in rows
     ]
-    made.apply_all(changes)
-    seen = []
+    registered.apply_all(changes)
+    listed_counts = []
     decode = registrations.decode
 
-    def watched(name, data):
-        seen.append(len(made.read().instances))
+    def decode_and_count(name, data):
+        listed_counts.append(len(registered.read().instances))
         return decode(name, data)
 
-    monkeypatch.setattr(registrations, "decode", watched)
-    made.apply_all(changes)
-    assert seen == [2, 2]
+    monkeypatch.setattr(registrations, "decode", decode_and_count)
+    registered.apply_all(changes)
+    assert listed_counts == [2, 2]
 
 
 @pytest.mark.parametrize(
     "value",
     [
-        pytest.param(b"\xc1", id="no msgpack"),
+        pytest.param(b"\xc1", id="invalid msgpack"),
         pytest.param(msgpack.packb(["127.0.0.1:1", "north"]), id="too short"),
-        pytest.param(msgpack.packb({"address": "127.0.0.1:1"}), id="no list"),
         pytest.param(
-            msgpack.packb([7, "north", "a", 1.0]), id="address a number"
+            msgpack.packb({"address": "127.0.0.1:1"}), id="not a list"
+        ),
+        pytest.param(
+            msgpack.packb([7, "north", "a", 1.0]), id="address is a number"
         ),
         pytest.param(
-            msgpack.packb(["nowhere", "north", "a", 1.0]), id="no address"
+            msgpack.packb(["nowhere", "north", "a", 1.0]),
+            id="address without a port",
         ),
         pytest.param(
             msgpack.packb(["127.0.0.1:1", "north", "a", float("nan")]),
@@ -186,47 +206,47 @@
         ),
         pytest.param(
             msgpack.packb(["127.0.0.1:1", "north", "a", -1]),
-            id="weight below zero",
+            id="negative weight",
         ),
-        pytest.param(b"\x91" * 5000, id="nested deeply"),
+        pytest.param(b"\x91" * 5000, id="deeply nested"),
     ],
 )
-def test_registration_that_cannot_be_read_names_no_instance(value):
-    """Another writer leaves a record among the registrations.
+def test_malformed_registration_is_ignored(value):
+    """Guards against one malformed record discarding a whole read.
 
-    None of that read were taken in: an instance that had just started knew
-    no peer, and was the only one in its own eyes.
+    Another writer adds a record to the topic; an instance that has just
+    started would then know no peers.
     """
-    made = registrations.Registrations(None, TOPIC, me())
-    good = registrations.encode(me("two"))
-    made.apply_all(
+    registered = registrations.Registrations(None, TOPIC, registration())
+    good = registrations.encode(registration("two"))
+    registered.apply_all(
         [
             records.KeyedRecord("bad", value),
             records.KeyedRecord("two", good),
         ]
     )
-    assert set(made.by_name) == {"two"}
-    made.apply_changes(
+    assert set(registered.by_name) == {"two"}
+    registered.apply_changes(
         [
             records.KeyedRecord("two", value),
             records.KeyedRecord("three", good),
         ]
     )
-    assert set(made.by_name) == {"three"}
+    assert set(registered.by_name) == {"three"}
 
 
-def test_secret_is_agreed_on_behind_a_record_of_another_writer(store):
-    """Another writer was the first to write to the topic of registrations.
+def test_secret_is_agreed_on_after_a_record_of_another_writer(store):
+    """Guards against a secret that must be the first record of the topic.
 
-    The secret had to be its first record, so there was never one: no
-    instance met another, and all asked the store without a pause.
+    If another writer was first, no secret would ever be written: instances
+    could not connect, and would query the store without a pause.
     """
     store.write_raw(TOPIC, "foreign", b"\xff")
-    found = collections.Counter()
+    agreed = collections.Counter()
 
     def agree():
         client = stores.StoreClient(store.address)
-        found[
+        agreed[
             registrations.agree_on_secret(
                 client, TOPIC, framing.encode_keyed, stopping
             )
@@ -240,58 +260,59 @@
         thread.join(5.0)
     stopping.set()
     secret = store.newest_of(TOPIC)[registrations.SECRET_KEY]
-    assert found == {secret: 8}
+    assert agreed == {secret: 8}
 
 
-def test_secret_is_not_asked_for_without_a_pause():
-    """Somebody writes to the topic all the time."""
+def test_attempts_to_agree_on_a_secret_are_paced():
+    """Guards against a busy loop while other writers append to the topic."""
     stopping = threading.Event()
-    asked = []
+    reads = []
 
-    class Busy:
+    class BusyStore:
         def newest(self, topic):
-            asked.append(topic)
-            return records.KeyedBatch((), len(asked))
+            reads.append(topic)
+            return records.KeyedBatch((), len(reads))
 
         def append(self, topic, items, at=None):
-            raise records.SupersededError("it ends elsewhere")
+            raise records.SupersededError("the topic has grown")
 
     thread = threading.Thread(
         target=registrations.agree_on_secret,
-        args=(Busy(), TOPIC, lambda key, value: value, stopping),
+        args=(BusyStore(), TOPIC, lambda key, value: value, stopping),
     )
     thread.start()
     stopping.wait(0.5)
     stopping.set()
     thread.join(5.0)
-    assert 1 < len(asked) < 20
+    assert 1 < len(reads) < 20
 
 
-def test_secret_that_another_instance_makes_is_waited_for(monkeypatch):
-    """Hundreds of instances start at once, and the store counts each call.
+def test_secret_of_another_instance_is_waited_for(monkeypatch):
+    """Guards against load on the store when hundreds of instances start.
 
-    Each read the topic, tried to write a secret, and read again.
+    Without the wait each of them reads the topic, tries to write a secret,
+    and reads again.
     """
-    rows = registrations.Registrations(None, TOPIC, me())
-    rows.apply_all(())
+    registered = registrations.Registrations(None, TOPIC, registration())
+    registered.apply_all(())
     monkeypatch.setattr(registrations.random, "uniform", lambda a, b: 10.0)
     stopping = threading.Event()
-    waiting_for = threading.Thread(
-        target=registrations.wait_for_secret, args=(rows, stopping)
+    waiter = threading.Thread(
+        target=registrations.wait_for_secret, args=(registered, stopping)
     )
-    waiting_for.start()
-    waiting_for.join(0.1)
-    assert waiting_for.is_alive()
-    rows.apply_changes(
+    waiter.start()
+    waiter.join(0.1)
+    assert waiter.is_alive()
+    registered.apply_changes(
         (records.KeyedRecord(registrations.SECRET_KEY, b"made"),)
     )
-    waiting_for.join(1.0)
-    assert not waiting_for.is_alive()
-    assert rows.secret == b"made"
+    waiter.join(1.0)
+    assert not waiter.is_alive()
+    assert registered.secret == b"made"
 
 
-def test_wait_for_a_secret_ends_with_the_process():
+def test_wait_for_a_secret_ends_when_the_process_stops():
     stopping = threading.Event()
     stopping.set()
-    rows = registrations.Registrations(None, TOPIC, me())
-    registrations.wait_for_secret(rows, stopping)
+    registered = registrations.Registrations(None, TOPIC, registration())
+    registrations.wait_for_secret(registered, stopping)
