--- a/src/briarseam/discovery/__init__.py
+++ b/src/briarseam/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Which endpoints serve, and which of them are leaving."""
+"""Discovery of endpoints: which serve, and which are leaving."""
--- a/src/briarseam/discovery/model.py
+++ b/src/briarseam/discovery/model.py
@@ -1,4 +1,4 @@
-"""What is known about one endpoint."""
+"""Model of an endpoint."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Endpoint:
-    """One start of one endpoint.
+    """An endpoint, in one of its starts.
 
     Attributes
     ----------
@@ -24,11 +24,11 @@
     zone
         Availability zone.
     slots
-        Requests that it works on at once.
+        Number of requests that it processes concurrently.
     leaving
-        Whether it will be gone soon and takes no new work.
+        Whether it is shutting down and accepts no new requests.
     versions
-        Weight version by model, as last announced.
+        Weight version by model, as last announced; 0 if unknown.
     """
 
     id: str
@@ -43,5 +43,5 @@
 
     @functools.cached_property
     def start(self) -> starts.Start:
-        """The start that this is."""
+        """The start that the id identifies."""
         return starts.parse(self.id)
--- a/src/briarseam/discovery/registry.py
+++ b/src/briarseam/discovery/registry.py
@@ -1,4 +1,4 @@
-"""The endpoints that serve, from the entries they keep of themselves."""
+"""Registry of endpoints, built from their entries in the store."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
     from briarseam.feeds import records
 
-# Entries that lapse while the store is away are back within two seconds of
-# its return if the endpoint lives; half a second is added for the reading.
+# A running endpoint writes an entry that lapsed during an outage of the
+# store within two seconds of its end; reading it takes up to half a second.
 LAPSE_HOLD_S = 2.5
 log = structlog.get_logger("briarseam.discovery")
 
@@ -28,15 +28,15 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Lapsed:
-    """An endpoint whose entry vanished around an outage of the store.
+class LapsedEndpoint:
+    """An endpoint whose entry lapsed but that may still be running.
 
     Attributes
     ----------
     endpoint
-        As its last entry said.
+        The endpoint as of its last entry.
     until_s
-        When it is taken to be gone, by the registry's clock.
+        When it counts as gone, by the registry's clock.
     """
 
     endpoint: model.Endpoint
@@ -44,22 +44,22 @@
 
 
 class EndpointRegistry:
-    """Keeps the endpoints; a listener of their topic.
+    """The known endpoints; listens to the topic of their entries.
 
-    Endpoints are kept by name, and there is one start of each: the newest
-    that any news was of.  News of an earlier one changes nothing.
+    Holds one start of each endpoint: the newest that any update reported.
+    Updates of earlier starts are ignored.
 
     Parameters
     ----------
     decode
-        Decodes an entry; raises ``MalformedError`` for a malformed one.
+        Decodes an entry; raises ``MalformedError`` if it is malformed.
     on_gone
-        Called with the ids of starts that are over, because the endpoint
-        is gone or has started again.
+        Called with the ids of starts that have ended, because the endpoint
+        is gone or has restarted.
     clock
         Seconds.
     malformed_counter
-        Notes malformed entries.
+        Counts malformed entries.
     """
 
     def __init__(
@@ -74,20 +74,19 @@
         self.on_gone = on_gone
         self.clock = clock
         self.present: dict[str, model.Endpoint] = {}
-        self.lapsed: dict[str, Lapsed] = {}
+        self.lapsed: dict[str, LapsedEndpoint] = {}
         self.hold_lapsed_until_s = float("-inf")
-        self.read_s = float("-inf")
+        self.last_read_s = float("-inf")
         self.newest = starts.NewestStarts()
-        # Names whose present start has not written an entry yet.
-        self.awaited: set[str] = set()
+        # Names whose newest start has not written an entry yet.
+        self.awaiting_entry: set[str] = set()
         self.lock = threading.Lock()
 
     def serving(self, service: str) -> list[model.Endpoint]:
-        """Return the endpoints of a service that take new work.
+        """Return the endpoints of a service that accept new requests.
 
-        Endpoints whose entry lapsed in an outage count only while no
-        other is there: they may have left, and work sent to one that has
-        is lost.
+        Endpoints whose entries lapsed are returned only if there are no
+        others: they may be gone, and requests sent to them would be lost.
         """
         now_s = self.clock()
         with self.lock:
@@ -107,8 +106,8 @@
             ]
 
     def age_s(self) -> float:
-        """Return the seconds since the entries were read."""
-        return self.clock() - self.read_s
+        """Return the seconds since entries were last read."""
+        return self.clock() - self.last_read_s
 
     def all(self) -> list[model.Endpoint]:
         """Return all endpoints that have an entry."""
@@ -116,23 +115,23 @@
             return list(self.present.values())
 
     def ids(self) -> frozenset[str]:
-        """Return the starts that may still be there, lapsed ones as well."""
+        """Return the ids of all starts that may be running, also lapsed."""
         with self.lock:
             known = [endpoint.id for endpoint in self.present.values()]
             known += [lapsed.endpoint.id for lapsed in self.lapsed.values()]
         return frozenset(known)
 
     def store_lost(self) -> None:
-        """Note that the store is away: entries may lapse meanwhile."""
+        """Hold entries that lapse during or shortly after the outage."""
         self.hold_lapsed_until_s = self.clock() + LAPSE_HOLD_S
 
     def apply_all(
         self, changes: collections.abc.Sequence[records.KeyedRecord]
     ) -> None:
-        """Take in all entries; endpoints without one are gone."""
-        found = {change.key for change in changes if change.value}
+        """Replace all entries; endpoints without one are gone."""
+        listed = {change.key for change in changes if change.value}
         with self.lock:
-            missing = self.present.keys() - found
+            missing = self.present.keys() - listed
         for key in missing:
             self.remove(key)
         self.apply_changes(changes)
@@ -140,17 +139,17 @@
     def apply_changes(
         self, changes: collections.abc.Sequence[records.KeyedRecord]
     ) -> None:
-        """Take in changed entries."""
-        self.read_s = self.clock()
+        """Apply changed entries."""
+        self.last_read_s = self.clock()
         for change in changes:
             if change.value is None:
                 self.remove(change.key)
             else:
-                self.take_entry(change.key, change.value)
+                self.apply_entry(change.key, change.value)
         self.forget_lapsed()
 
-    def take_entry(self, key: str, data: bytes) -> None:
-        """Take in one entry, or that it can't be read."""
+    def apply_entry(self, key: str, data: bytes) -> None:
+        """Apply one entry; a malformed one discards the endpoint."""
         try:
             endpoint = self.decode(key, data)
         except malformed.MalformedError as error:
@@ -160,16 +159,16 @@
         self.put(endpoint)
 
     def discard(self, key: str) -> None:
-        """Forget an endpoint whose entry was overwritten by a bad one.
+        """Remove an endpoint whose entry was overwritten by a malformed one.
 
-        It is not held as one whose entry lapsed in an outage: there an
-        endpoint that lives writes its entry again, here the entry stands
-        and names none.
+        The endpoint is not held as after an outage: an entry that lapsed
+        is written again by a running endpoint, but a malformed entry stays
+        in the store and describes none.
         """
         with self.lock:
             known = self.present.pop(key, None)
             lapsed = self.lapsed.pop(key, None)
-            self.awaited.discard(key)
+            self.awaiting_entry.discard(key)
         if known is None and lapsed is not None:
             known = lapsed.endpoint
         if known is None:
@@ -178,25 +177,25 @@
         self.on_gone(frozenset({known.id}))
 
     def put(self, endpoint: model.Endpoint) -> None:
-        """Take in one entry.
+        """Add or update an endpoint.
 
-        Guard: an entry that a start wrote before it died may come to the
-        store after that of the next one.  Taken in, it would bring back
-        the address and weights of the dead start.
+        Guard: an entry that a start wrote before it died may reach the
+        store after the entry of the next start.  If applied, it would
+        restore the address and weights of the dead start.
         """
         name = endpoint.start.name
         with self.lock:
-            start = self.newest.current(endpoint.start)
+            start = self.newest.resolve(endpoint.start)
             if start is None:
                 log.info("entry_outdated", endpoint=endpoint.id)
                 return
             if endpoint.id != start.id:
                 endpoint = dataclasses.replace(endpoint, id=start.id)
             known = self.present.get(name)
-            over = self.other_starts(start)
+            ended = self.other_starts(start)
             self.present[name] = endpoint
             self.lapsed.pop(name, None)
-            self.awaited.discard(name)
+            self.awaiting_entry.discard(name)
         if known is None:
             log.info(
                 "endpoint_found",
@@ -213,30 +212,30 @@
                 leaving=endpoint.leaving,
                 versions=endpoint.versions,
             )
-        self.end(over)
+        self.end_starts(ended)
 
     def apply_start(self, start: starts.Start) -> bool:
-        """Take in a start before its entry comes; tell if it is new here."""
+        """Apply a start whose entry is not read yet; return if it is new."""
         with self.lock:
-            if self.newest.current(start) != start:
+            if self.newest.resolve(start) != start:
                 return False
-            over = self.other_starts(start)
-            if not over:
+            ended = self.other_starts(start)
+            if not ended:
                 return False
             known = self.present.get(start.name)
             if known is not None:
-                self.present[start.name] = started_again(known, start)
+                self.present[start.name] = as_restarted(known, start)
             lapsed = self.lapsed.get(start.name)
             if lapsed is not None:
                 self.lapsed[start.name] = dataclasses.replace(
-                    lapsed, endpoint=started_again(lapsed.endpoint, start)
+                    lapsed, endpoint=as_restarted(lapsed.endpoint, start)
                 )
-            self.awaited.add(start.name)
-        self.end(over)
+            self.awaiting_entry.add(start.name)
+        self.end_starts(ended)
         return True
 
     def other_starts(self, start: starts.Start) -> frozenset[str]:
-        """Return ids known of other starts; call it under the lock."""
+        """Return the known ids of other starts; requires the lock."""
         known = [self.present.get(start.name)]
         if start.name in self.lapsed:
             known.append(self.lapsed[start.name].endpoint)
@@ -246,56 +245,60 @@
             if endpoint is not None and endpoint.id != start.id
         )
 
-    def end(self, over: frozenset[str]) -> None:
-        """Have starts forgotten that others have followed."""
-        if over:
-            log.info("endpoint_restarted", endpoints=sorted(over))
-            self.on_gone(over)
+    def end_starts(self, ended: frozenset[str]) -> None:
+        """Report starts that newer starts have replaced."""
+        if ended:
+            log.info("endpoint_restarted", endpoints=sorted(ended))
+            self.on_gone(ended)
 
     def remove(self, key: str) -> None:
-        """Take in that an entry is no more.
+        """Remove an endpoint whose entry was deleted or has expired.
 
-        Guard: an endpoint that started again may be known from a report
-        while the entry of its start before still runs out.  The new start
-        is held until its own entry can be there.
+        Guard: a restart may be known from a report while the entry of the
+        former start is still about to expire.  The endpoint is therefore
+        held until the entry of its new start can have been written.
         """
         now_s = self.clock()
         with self.lock:
             endpoint = self.present.pop(key, None)
             if endpoint is None:
                 return
-            held = now_s < self.hold_lapsed_until_s or key in self.awaited
-            self.awaited.discard(key)
+            held = (
+                now_s < self.hold_lapsed_until_s or key in self.awaiting_entry
+            )
+            self.awaiting_entry.discard(key)
             if held:
-                self.lapsed[key] = Lapsed(endpoint, now_s + LAPSE_HOLD_S)
+                self.lapsed[key] = LapsedEndpoint(
+                    endpoint, now_s + LAPSE_HOLD_S
+                )
         log.info("endpoint_gone", endpoint=endpoint.id, held=held)
         if not held:
             self.on_gone(frozenset({endpoint.id}))
 
     def forget_lapsed(self) -> None:
-        """Give up endpoints whose entries did not come back."""
+        """Remove endpoints whose entries were not written again in time."""
         now_s = self.clock()
         with self.lock:
-            over = {
+            expired = {
                 key: lapsed.endpoint.id
                 for key, lapsed in self.lapsed.items()
                 if lapsed.until_s <= now_s
             }
-            for key in over:
+            for key in expired:
                 del self.lapsed[key]
-            gone = frozenset(over.values())
+            gone = frozenset(expired.values())
         if gone:
             log.info("endpoints_lapsed", endpoints=sorted(gone))
             self.on_gone(gone)
 
 
-def started_again(
+def as_restarted(
     endpoint: model.Endpoint, start: starts.Start
 ) -> model.Endpoint:
-    """Return an endpoint whose new start has not written an entry yet.
+    """Return an endpoint as of a new start that has not written an entry.
 
-    Of what the entry before said only the place is kept: which weights the
-    new start has is not known before it says so.
+    The weight versions are unknown until the new start reports them; all
+    else is kept from the former entry.
     """
     versions = dict.fromkeys(endpoint.versions, 0)
     return dataclasses.replace(endpoint, id=start.id, versions=versions)
--- a/src/briarseam/discovery/restarts.py
+++ b/src/briarseam/discovery/restarts.py
@@ -1,4 +1,4 @@
-"""Restarts of endpoints that show before their new entries are read."""
+"""Restarts of endpoints that are detected before their entries change."""
 
 from __future__ import annotations
 
@@ -15,23 +15,25 @@
 if typing.TYPE_CHECKING:
     from briarseam.discovery import registry as registries
 
-# A restart is told for six heartbeats, of which some may be lost.  By then
-# the endpoint has written its new entry, which it does about once a second.
-TELL_S = 3.0
-# Told at most: one for each order under way, which are far fewer.
-MOST_TOLD = 100
+# A restart is published in six heartbeats, of which some may be lost.  By
+# then the endpoint has written its new entry; it writes one about every
+# second.
+PUBLISH_S = 3.0
+# Exceeds the number of concurrent orders, each of which detects at most one
+# restart.
+MAX_PUBLISHED = 100
 
 
 @dataclasses.dataclass(frozen=True)
-class Told:
-    """A restart that peers are told of.
+class Published:
+    """A restart that is published to peers.
 
     Attributes
     ----------
     start
         The new start.
     until_s
-        How long, by the clock of :class:`Restarts`.
+        When publishing ends, by the clock of :class:`Restarts`.
     """
 
     start: starts.Start
@@ -39,11 +41,11 @@
 
 
 class Restarts:
-    """Takes in restarts that calls showed, and tells peers; thread-safe.
+    """Restarts that calls detect, published to peers; thread-safe.
 
-    Restarts that entries show are not told: each instance reads these
-    itself, and an availability zone that starts again would fill the
-    heartbeats.
+    Restarts that entries show are not published: each instance reads the
+    entries itself, and the restart of a whole availability zone would fill
+    the heartbeats.
 
     Parameters
     ----------
@@ -60,32 +62,32 @@
     ) -> None:
         self.registry = registry
         self.clock = clock
-        self.told: collections.deque[Told] = collections.deque(
-            maxlen=MOST_TOLD
+        self.published: collections.deque[Published] = collections.deque(
+            maxlen=MAX_PUBLISHED
         )
         self.lock = threading.Lock()
 
     def record(self, start: starts.Start) -> None:
-        """Take in a start that answered a call."""
+        """Record a start that answered a call."""
         if not self.registry.apply_start(start):
             return
         with self.lock:
-            self.told.append(Told(start, self.clock() + TELL_S))
+            self.published.append(Published(start, self.clock() + PUBLISH_S))
 
     def provide(self) -> bytes:
-        """Return what peers should know."""
+        """Return the encoded restarts to publish in a heartbeat."""
         now_s = self.clock()
         with self.lock:
             rows = [
-                (told.start.name, told.start.born_ms)
-                for told in self.told
-                if now_s < told.until_s
+                (restart.start.name, restart.start.born_ms)
+                for restart in self.published
+                if now_s < restart.until_s
             ]
         packed: bytes = msgpack.packb(rows)
         return packed
 
     def consume(self, member: str, data: bytes) -> None:
-        """Take in the restarts that a peer has seen."""
+        """Apply the restarts that a peer publishes."""
         del member
         for name, born_ms in msgpack.unpackb(data):
             self.registry.apply_start(starts.Start(str(name), int(born_ms)))
--- a/src/briarseam/discovery/starts.py
+++ b/src/briarseam/discovery/starts.py
@@ -1,17 +1,17 @@
-"""One start of an endpoint, which all that is known of it belongs to."""
+"""Identity of an endpoint: its name and the time of its start."""
 
 from __future__ import annotations
 
 import collections
 import dataclasses
 
-# Between name and time of birth in the id of a start.
-MARK = "@"
-# A start without a known time of birth.
+# Separates name and start time in the id of a start.
+SEPARATOR = "@"
+# Start time of a start that did not report one.
 UNKNOWN_MS = 0
-# Names whose newest start is remembered after their endpoints are gone: a
-# quarter more than the 4,000 endpoints of the largest deployment.
-MOST_NAMES = 5000
+# Names whose newest start is retained, also after their endpoints are gone:
+# a quarter more than the 4,000 endpoints of the largest deployment.
+MAX_NAMES = 5000
 
 
 @dataclasses.dataclass(frozen=True)
@@ -21,11 +21,10 @@
     Attributes
     ----------
     name
-        Name under which the endpoint is registered; stays the same when it
-        starts again.
+        Name under which the endpoint is registered; unchanged by restarts.
     born_ms
-        When it started, in milliseconds since the epoch by its own clock;
-        ``UNKNOWN_MS`` where it did not say.
+        Start time in milliseconds since the epoch, by the endpoint's clock;
+        ``UNKNOWN_MS`` if it did not report one.
     """
 
     name: str
@@ -33,32 +32,32 @@
 
     @property
     def id(self) -> str:
-        """Text that is unique over all starts of all endpoints.
+        """Identifier that is unique over all starts of all endpoints.
 
-        Guard: an endpoint that starts again under its name is empty and
-        has other weights.  Known by its name alone it would pass for the
-        one before: prompts would go where nothing of them is held, and its
-        weights would count as up to date.  Everything is remembered by
-        this id, so nothing of one start is found under another.
+        Guard: an endpoint that restarts under its name has an empty cache
+        and may have other weights.  Identified by its name alone, it would
+        be taken for its former start: prompts would be routed to it for a
+        cache that is gone, and its weights would count as up to date.  All
+        state of endpoints is therefore keyed by this id.
         """
-        if self.born_ms == UNKNOWN_MS and MARK not in self.name:
+        if self.born_ms == UNKNOWN_MS and SEPARATOR not in self.name:
             return self.name
-        return f"{self.name}{MARK}{self.born_ms}"
+        return f"{self.name}{SEPARATOR}{self.born_ms}"
 
 
 def parse(text: str) -> Start:
-    """Return the start that an id names."""
-    name, mark, born = text.rpartition(MARK)
-    if not mark or not born.isdecimal():
+    """Return the start that an id identifies."""
+    name, separator, born = text.rpartition(SEPARATOR)
+    if not separator or not born.isdecimal():
         return Start(text)
     return Start(name, int(born))
 
 
 class NewestStarts:
-    """The newest start of each endpoint that was ever heard of.
+    """The newest known start of each endpoint; not thread-safe.
 
-    Not thread-safe.  Endpoints that are gone are remembered as well: an
-    entry that a dead start wrote may reach the store seconds later.
+    Endpoints that are gone are included, since an entry that a start wrote
+    before it died may reach the store seconds later.
     """
 
     def __init__(self) -> None:
@@ -66,11 +65,12 @@
             collections.OrderedDict()
         )
 
-    def current(self, start: Start) -> Start | None:
-        """Return the start that news is about; ``None`` if it is over.
+    def resolve(self, start: Start) -> Start | None:
+        """Return the start that an update applies to.
 
-        News without a time of birth is about the newest start: whoever
-        wrote it does not know of births, which says nothing of a restart.
+        An update without a start time applies to the newest start: its
+        writer does not report start times, so it indicates no restart.
+        Returns ``None`` if a newer start is known.
         """
         newest_ms = self.born_ms.get(start.name, UNKNOWN_MS)
         if start.born_ms == UNKNOWN_MS:
@@ -79,6 +79,6 @@
             return None
         self.born_ms[start.name] = start.born_ms
         self.born_ms.move_to_end(start.name)
-        while len(self.born_ms) > MOST_NAMES:
+        while len(self.born_ms) > MAX_NAMES:
             self.born_ms.popitem(last=False)
         return start
--- a/tests/discovery/test_foreign_entries.py
+++ b/tests/discovery/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries that another writer left among those of endpoints."""
+"""Entries that another writer adds to the topic of endpoints."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     "slots": 4,
     "state": "ready",
 }
-# Deeper than any parser of this process goes.
+# Deeper than any parser of this process supports.
 DEPTH = 100_000
 
 
@@ -31,31 +31,32 @@
 
 
 BAD = {
-    "no JSON": b"ready",
-    "no object": b"[]",
-    "cut short": encoded()[:-5],
-    "no UTF-8": encoded().replace(b"portal", b"\xff\xfe"),
-    "nested deeply": b'{"x":' + b"[" * DEPTH + b"]" * DEPTH + b"}",
-    **{f"no {field}": json.dumps(without(field)).encode() for field in GOOD},
-    **{f"{field} a list": encoded(**{field: [1]}) for field in GOOD},
-    **{f"{field} null": encoded(**{field: None}) for field in GOOD},
+    "not JSON": b"ready",
+    "not an object": b"[]",
+    "truncated": encoded()[:-5],
+    "not UTF-8": encoded().replace(b"portal", b"\xff\xfe"),
+    "deeply nested": b'{"x":' + b"[" * DEPTH + b"]" * DEPTH + b"}",
+    **{
+        f"without {field}": json.dumps(without(field)).encode()
+        for field in GOOD
+    },
+    **{f"{field} is a list": encoded(**{field: [1]}) for field in GOOD},
+    **{f"{field} is null": encoded(**{field: None}) for field in GOOD},
     "service of a megabyte": encoded(service="x" * 10**6),
-    "seq a text": encoded(seq="7"),
-    "time to go a text": encoded(coldRemainingMs="soon"),
+    "seq is a string": encoded(seq="7"),
+    "coldRemainingMs is a string": encoded(coldRemainingMs="soon"),
     "unknown state": encoded(state="paused"),
-    "state in capitals": encoded(state="READY"),
+    "state in upper case": encoded(state="READY"),
     "address without a port": encoded(address="127.0.0.1"),
-    "address of no machine": encoded(address="nowhere:80"),
+    "address without an IP address": encoded(address="nowhere:80"),
     "port too large": encoded(address="127.0.0.1:70000"),
-    "slots a bool": encoded(slots=True),
-    "slots below zero": encoded(slots=-1),
+    "slots is a bool": encoded(slots=True),
+    "negative slots": encoded(slots=-1),
     "slots beyond 64 bits": encoded(slots=10**40),
     "slots not a number": encoded().replace(b" 4,", b" NaN,"),
-    "models no rows": encoded(models={"m": 1}),
-    "version of a model below zero": encoded(
-        models=[{"name": "m", "version": -1}]
-    ),
-    "version of a model beyond 64 bits": encoded(
+    "models is not a list": encoded(models={"m": 1}),
+    "negative model version": encoded(models=[{"name": "m", "version": -1}]),
+    "model version beyond 64 bits": encoded(
         models=[{"name": "m", "version": 10**30}]
     ),
 }
@@ -82,13 +83,11 @@
 
 
 @pytest.mark.parametrize("value", BAD.values(), ids=BAD)
-def test_entry_that_cannot_be_read_names_no_endpoint_and_the_others_hold(
-    endpoints, value
-):
-    """Another writer leaves an entry with a field missing.
+def test_malformed_entry_is_ignored_and_others_are_applied(endpoints, value):
+    """Guards against a malformed entry that hides those after it.
 
-    Entries behind it in the same read were never taken in: their endpoints
-    got no requests, and those that were leaving got new ones.
+    Endpoints whose entries follow it in the same read would get no
+    requests, and those that are leaving would get new ones.
     """
     endpoints.apply_all([change("a"), change("bad", value), change("b")])
     assert ids(endpoints) == ["a", "b"]
@@ -98,28 +97,28 @@
     assert ids(endpoints) == ["b"]
 
 
-@pytest.mark.parametrize("take", ["apply_all", "apply_changes"])
-def test_entry_that_is_overwritten_by_a_bad_one_names_no_endpoint(
-    endpoints, gone, take
+@pytest.mark.parametrize("apply", ["apply_all", "apply_changes"])
+def test_endpoint_whose_entry_becomes_malformed_is_gone(
+    endpoints, gone, apply
 ):
-    """Another writer overwrites the entry of an endpoint.
+    """Guards against requests to an endpoint with a malformed entry.
 
-    The endpoint stayed known as it was, so it got requests for as long as
-    the bad entry stood.
+    If the endpoint kept its former state, it would get requests for as
+    long as the malformed entry stays in the store.
     """
     endpoints.apply_all([change("a"), change("b")])
-    getattr(endpoints, take)([change("a", b"{}"), change("b")])
+    getattr(endpoints, apply)([change("a", b"{}"), change("b")])
     assert ids(endpoints) == ["b"]
     assert gone == [frozenset({"a"})]
 
 
-def test_bad_entry_is_not_held_like_one_that_lapsed_in_an_outage(
+def test_endpoint_with_malformed_entry_is_not_held_after_an_outage(
     endpoints, gone
 ):
-    """The store was away, and another writer overwrites an entry just then.
+    """Another writer overwrites an entry during an outage of the store.
 
-    Entries that lapse in an outage are held for seconds, since their
-    endpoints write them again.  This one did not lapse: it says nothing.
+    Endpoints whose entries lapse in an outage are held for seconds, since
+    they write them again.  A malformed entry did not lapse.
     """
     endpoints.apply_all([change("a")])
     endpoints.store_lost()
@@ -128,8 +127,8 @@
     assert gone == [frozenset({"a"})]
 
 
-def test_bad_entry_ends_the_hold_of_one_that_lapsed(endpoints, gone):
-    """An entry lapses in an outage, and a bad one comes back in its place."""
+def test_malformed_entry_removes_a_lapsed_endpoint(endpoints, gone):
+    """An entry lapses in an outage and is replaced by a malformed one."""
     endpoints.apply_all([change("a")])
     endpoints.store_lost()
     endpoints.apply_changes([records.KeyedRecord("a", None)])
@@ -139,18 +138,18 @@
     assert gone == [frozenset({"a"})]
 
 
-def test_endpoint_is_known_again_by_its_next_good_entry(endpoints):
+def test_endpoint_returns_with_its_next_valid_entry(endpoints):
     endpoints.apply_all([change("a")])
     endpoints.apply_changes([change("a", b"{}"), change("a")])
     assert ids(endpoints) == ["a"]
 
 
-def test_field_that_is_not_known_does_no_harm(endpoints):
+def test_unknown_field_is_ignored(endpoints):
     endpoints.apply_all([change("a", encoded(flavour={"of": ["pear"]}))])
     assert ids(endpoints) == ["a"]
 
 
-def test_entry_of_a_service_that_nobody_asks_for_is_never_given(endpoints):
+def test_endpoint_of_another_service_is_not_returned(endpoints):
     endpoints.apply_all([change("a"), change("b", encoded(service="other"))])
     assert ids(endpoints) == ["a"]
     assert [item.id for item in endpoints.serving("other")] == ["b"]
@@ -161,19 +160,19 @@
     [
         pytest.param("", id="empty"),
         pytest.param("a\r\nTenant: north", id="line breaks"),
-        pytest.param("størrelse-中", id="beyond ASCII"),
+        pytest.param("størrelse-中", id="not ASCII"),
     ],
 )
-def test_key_that_cannot_stand_in_a_header_names_no_endpoint(endpoints, key):
-    """Another writer leaves a whole entry under a key with a line break.
+def test_entry_whose_key_is_invalid_in_a_header_is_ignored(endpoints, key):
+    """Guards against endpoint ids that can't be sent in a header.
 
-    Requests name the endpoint they are meant for in a header, so each that
-    was sent there ended as an error of ours.
+    Requests name their endpoint in a header, so each request to an endpoint
+    with a line break in its id would fail with an internal error.
     """
     endpoints.apply_all([change(key), change("a")])
     assert ids(endpoints) == ["a"]
 
 
-def test_spaces_around_an_address_do_not_make_it_another(endpoints):
+def test_spaces_around_an_address_are_ignored(endpoints):
     endpoints.apply_all([change("a", encoded(address=" 127.0.0.1:8080 "))])
     assert [item.address for item in endpoints.all()] == [GOOD["address"]]
--- a/tests/discovery/test_registry.py
+++ b/tests/discovery/test_registry.py
@@ -45,32 +45,33 @@
     return sorted(item.id for item in endpoints.serving("portal"))
 
 
-def test_leaving_endpoint_takes_no_work_but_is_not_gone(endpoints, gone):
+def test_leaving_endpoint_is_not_serving_but_not_gone(endpoints, gone):
     endpoints.apply_all([change("a"), change("b")])
     endpoints.apply_changes([change("a", b"leaving")])
     assert ids(endpoints) == ["b"]
     assert gone == set()
 
 
-def test_endpoint_without_an_entry_is_gone(endpoints, gone):
+def test_endpoint_whose_entry_is_deleted_is_gone(endpoints, gone):
     endpoints.apply_all([change("a"), change("b")])
     endpoints.apply_changes([change("a", None)])
     assert ids(endpoints) == ["b"]
     assert gone == {"a"}
 
 
-def test_endpoint_missing_from_a_new_reading_is_gone(endpoints, gone):
+def test_endpoint_missing_from_all_entries_is_gone(endpoints, gone):
     endpoints.apply_all([change("a"), change("b")])
     endpoints.apply_all([change("b")])
     assert gone == {"a"}
 
 
-def test_entries_that_lapse_in_an_outage_are_kept_until_they_are_back(
+def test_endpoints_whose_entries_lapse_in_an_outage_are_held(
     endpoints, gone, clock
 ):
-    """The store is away for seconds.  On its return all entries have run
-    out, and endpoints need two seconds to write theirs again.  Taken as
-    gone, no request could be sent anywhere meanwhile.
+    """Guards against a service without endpoints after an outage.
+
+    When the store is available again, all entries have expired, and
+    endpoints need two seconds to write theirs again.
     """
     endpoints.apply_all([change("a"), change("b")])
     endpoints.store_lost()
@@ -85,7 +86,7 @@
     assert gone == {"a"}
 
 
-def test_endpoint_that_vanishes_long_after_an_outage_is_gone_at_once(
+def test_endpoint_whose_entry_lapses_long_after_an_outage_is_gone(
     endpoints, gone, clock
 ):
     endpoints.apply_all([change("a")])
@@ -96,18 +97,18 @@
     assert ids(endpoints) == []
 
 
-def test_leaving_endpoint_whose_entry_lapses_takes_no_work(endpoints, clock):
+def test_lapsed_endpoint_that_was_leaving_is_not_serving(endpoints, clock):
     endpoints.apply_all([change("a", b"leaving")])
     endpoints.store_lost()
     endpoints.apply_changes([change("a", None)])
     assert ids(endpoints) == []
 
 
-def test_endpoint_that_starts_again_ends_its_start_before(endpoints, gone):
-    """An endpoint crashes and is back before its entry runs out.
+def test_former_start_of_a_restarted_endpoint_is_gone(endpoints, gone):
+    """Guards against outdated state of an endpoint that restarted.
 
-    The entry only changed, so all that was known of the endpoint would
-    stay, though it is empty now.
+    If it restarts before its entry expires, the entry only changes, and
+    what was known of its cache would be kept although that is now empty.
     """
     endpoints.apply_all([change("a@5"), change("b@5")])
     endpoints.apply_changes([change("a@6")])
@@ -115,7 +116,7 @@
     assert gone == {"a@5"}
 
 
-def test_endpoint_that_lapsed_and_starts_again_ends_its_start_before(
+def test_former_start_of_a_lapsed_and_restarted_endpoint_is_gone(
     endpoints, gone
 ):
     endpoints.apply_all([change("a@5")])
@@ -125,11 +126,12 @@
     assert gone == {"a@5"}
 
 
-def test_lapsed_endpoint_whose_restart_a_call_shows_is_kept_as_that(
+def test_lapsed_endpoint_is_held_as_its_new_start_after_a_call(
     endpoints, gone, clock
 ):
-    """The store is away and all entries have run out; an engine answers a
-    call and shows that it has started again, so it is there.
+    """All entries have expired in an outage of the store.
+
+    An engine that answers a call and reports a new start is running.
     """
     endpoints.apply_all([change("a@5", b"ready/7")])
     endpoints.store_lost()
@@ -143,7 +145,7 @@
     assert gone == {"a@5", "a@6"}
 
 
-def test_start_that_a_call_shows_again_ends_nothing(endpoints, gone):
+def test_start_that_is_not_newer_changes_nothing(endpoints, gone):
     endpoints.apply_all([change("a@5")])
     assert not endpoints.apply_start(starts.Start("a", 5))
     assert not endpoints.apply_start(starts.Start("a", 4))
@@ -151,9 +153,11 @@
     assert gone == set()
 
 
-def test_first_word_of_a_birth_begins_anew(endpoints, gone):
-    """An entry without a birth may be of any start, so what was noted then
-    may be of one before the first that is named.
+def test_first_entry_with_a_start_time_counts_as_a_restart(endpoints, gone):
+    """Guards against state of an earlier start that reported no start time.
+
+    An entry without a start time may be of any start, so the state recorded
+    with it may be that of a start before the first known one.
     """
     endpoints.apply_all([change("a")])
     endpoints.apply_changes([change("a@5")])
--- a/tests/discovery/test_restarts.py
+++ b/tests/discovery/test_restarts.py
@@ -9,14 +9,14 @@
 
 
 class Registry:
-    """Knows one start of each endpoint, the newest."""
+    """Records the starts that are applied."""
 
     def __init__(self):
-        self.seen = set()
+        self.applied = set()
 
     def apply_start(self, start):
-        is_new = start not in self.seen
-        self.seen.add(start)
+        is_new = start not in self.applied
+        self.applied.add(start)
         return is_new
 
 
@@ -26,26 +26,26 @@
 
 
 @pytest.fixture
-def made(clock):
+def recorder(clock):
     return restarts.Restarts(Registry(), clock)
 
 
-def test_restart_is_told_for_some_heartbeats(made, clock):
-    made.record(starts.Start("a", 6))
-    clock.now_s += restarts.TELL_S - 0.1
-    assert msgpack.unpackb(made.provide()) == [["a", 6]]
+def test_restart_is_published_for_a_limited_time(recorder, clock):
+    recorder.record(starts.Start("a", 6))
+    clock.now_s += restarts.PUBLISH_S - 0.1
+    assert msgpack.unpackb(recorder.provide()) == [["a", 6]]
     clock.now_s += 0.1
-    assert msgpack.unpackb(made.provide()) == []
+    assert msgpack.unpackb(recorder.provide()) == []
 
 
-def test_restart_that_was_known_is_not_told(made):
-    made.record(starts.Start("a", 6))
-    made.record(starts.Start("a", 6))
-    assert msgpack.unpackb(made.provide()) == [["a", 6]]
+def test_known_restart_is_not_published_again(recorder):
+    recorder.record(starts.Start("a", 6))
+    recorder.record(starts.Start("a", 6))
+    assert msgpack.unpackb(recorder.provide()) == [["a", 6]]
 
 
-def test_restart_that_a_peer_told_is_not_told_on(made):
-    """Told on, it would go round among peers for ever."""
-    made.consume("peer", msgpack.packb([("a", 6)]))
-    assert made.registry.seen == {starts.Start("a", 6)}
-    assert msgpack.unpackb(made.provide()) == []
+def test_restart_received_from_a_peer_is_not_forwarded(recorder):
+    """Guards against restarts that circulate among peers indefinitely."""
+    recorder.consume("peer", msgpack.packb([("a", 6)]))
+    assert recorder.registry.applied == {starts.Start("a", 6)}
+    assert msgpack.unpackb(recorder.provide()) == []
--- a/tests/discovery/test_starts.py
+++ b/tests/discovery/test_starts.py
@@ -17,15 +17,15 @@
         starts.Start("a@\N{SUPERSCRIPT TWO}"),
     ],
 )
-def test_id_names_one_start_whatever_the_name_is(start):
+def test_id_is_parsed_to_the_same_start(start):
     assert starts.parse(start.id) == start
 
 
 def test_starts_of_one_endpoint_have_different_ids():
-    """An endpoint crashes and starts again under its name.
+    """Guards against an endpoint that is mistaken for its former start.
 
-    Known by its name alone it would pass for the start before, with its
-    weights and the prompts that it had read.
+    An endpoint that crashes and restarts under its name has other weights,
+    and its cache is empty.
     """
     assert starts.Start("a", 5).id != starts.Start("a", 6).id
 
@@ -35,33 +35,35 @@
     return starts.NewestStarts()
 
 
-def test_news_of_a_start_that_is_over_is_of_none(newest):
-    assert newest.current(starts.Start("a", 6)) == starts.Start("a", 6)
-    assert newest.current(starts.Start("a", 5)) is None
-    assert newest.current(starts.Start("a", 6)) == starts.Start("a", 6)
+def test_update_of_an_earlier_start_is_ignored(newest):
+    assert newest.resolve(starts.Start("a", 6)) == starts.Start("a", 6)
+    assert newest.resolve(starts.Start("a", 5)) is None
+    assert newest.resolve(starts.Start("a", 6)) == starts.Start("a", 6)
 
 
-def test_news_without_a_time_of_birth_is_of_the_newest_start(newest):
-    """An entry comes from a writer that does not know of births.
+def test_update_without_a_start_time_is_of_the_newest_start(newest):
+    """Guards against lost state of an endpoint that did not restart.
 
-    Taken for another start it would have all forgotten that is known of an
-    endpoint that never was away.
+    Its entry may come from a writer that does not report start times.  If
+    that counted as another start, all state of the endpoint would be
+    dropped.
     """
-    assert newest.current(starts.Start("a")) == starts.Start("a")
-    newest.current(starts.Start("a", 6))
-    assert newest.current(starts.Start("a")) == starts.Start("a", 6)
+    assert newest.resolve(starts.Start("a")) == starts.Start("a")
+    newest.resolve(starts.Start("a", 6))
+    assert newest.resolve(starts.Start("a")) == starts.Start("a", 6)
 
 
-def test_names_of_long_ago_are_forgotten_first(newest, monkeypatch):
-    """Endpoints are replaced all day; an instance that lives for weeks
-    would fill its memory with their names.
+def test_least_recently_updated_names_are_dropped(newest, monkeypatch):
+    """Guards against unbounded memory in an instance that runs for weeks.
+
+    Endpoints are replaced all day, each time under a new name.
     """
-    monkeypatch.setattr(starts, "MOST_NAMES", 2)
+    monkeypatch.setattr(starts, "MAX_NAMES", 2)
     for start in (
         starts.Start("old", 5),
         starts.Start("live", 5),
         starts.Start("old", 5),
         starts.Start("new", 5),
     ):
-        newest.current(start)
+        newest.resolve(start)
     assert set(newest.born_ms) == {"old", "new"}
