--- a/src/briarseam/compose/node.py
+++ b/src/briarseam/compose/node.py
@@ -387,5 +387,5 @@
         return (
             not self.shutdown.begun
             and self.feeds.operators.current() is not None
-            and not self.weights.goal_times.is_needed()
+            and not self.weights.goal_times.must_wait()
         )
--- a/src/briarseam/weights/__init__.py
+++ b/src/briarseam/weights/__init__.py
@@ -1,1 +1,1 @@
-"""Bringing engines to the weights that operators name."""
+"""Rollout of the weights that operators set to the engines."""
--- a/src/briarseam/weights/engine_updates.py
+++ b/src/briarseam/weights/engine_updates.py
@@ -1,4 +1,4 @@
-"""Bringing one engine to the wanted weights."""
+"""Update of one engine to the desired weights."""
 
 from __future__ import annotations
 
@@ -19,30 +19,31 @@
     from briarseam.discovery import model as discovery
     from briarseam.weights import leader
 
-# Between the word that an engine takes no work and the order, where its runs
-# may finish: no peer then sends to it any more.
+# Time between the notice to peers and the order in ``FINISH`` mode; after it
+# no peer sends requests to the engine.
 NOTICE_S = 0.6
-# The same where time is short: the heartbeats that tell it are sent at once.
+# The same in the other modes, when time is short: the heartbeats with the
+# notice are sent at once.
 SHORT_NOTICE_S = 0.1
 POLL_S = 0.15
-# Longest time for one engine: its runs end within their deadlines, and the
-# load takes two seconds.  Then it is looked at anew.
-ERRAND_S = 8.0
-# What an engine reports is some hundred milliseconds old: it may not show an
-# order yet that was taken.
+# Longest time for one engine: its runs end within their deadlines, and
+# loading takes two seconds.  Then the rollout considers the engine again.
+MAX_UPDATE_S = 8.0
+# Reports are some hundred milliseconds old, so they may not yet show an order
+# that was accepted.
 REPORT_LAG_S = 0.8
 log = structlog.get_logger("briarseam.weights")
 
 
 class EngineRefusedError(Exception):
-    """An engine does not take orders."""
+    """An engine refuses an order."""
 
 
 class Engines(typing.Protocol):
     """Calls to engines."""
 
     def report(self, address: str, endpoint: str) -> orders.Report:
-        """Return what an engine reports."""
+        """Return an engine's report."""
 
     def order(
         self, address: str, endpoint: str, order: orders.VersionOrder
@@ -52,28 +53,28 @@
 
 @dataclasses.dataclass(frozen=True)
 class Sources:
-    """What a rollout goes by.
+    """Dependencies of a rollout.
 
     Attributes
     ----------
     goals
-        Returns the wanted weights by model.
+        Returns the desired weights by model.
     targets
-        Returns the engines of a model, leaving ones left out.
+        Returns the engines of a model, without those that are leaving.
     leadership
-        Tells whether this instance gives orders.
+        Whether this instance may give orders.
     engines
         Calls to engines.
     known_weights
-        What is known of their weights.
+        Known weight versions of the engines.
     own_name
         Name of this instance in orders.
     remaining_s
-        Returns the seconds until weights of a model are out of use.
+        Returns the seconds until weights of a model are excluded from use.
     before_order
         Called right before each order.
     publish
-        Lets peers know at once what the board says.
+        Sends the state of ``known_weights`` to peers at once.
     """
 
     goals: typing.Callable[[], dict[str, goals.WeightGoal]]
@@ -90,52 +91,52 @@
 
 
 class EngineUpdate:
-    """One engine that is being changed.
+    """The update of one engine.
 
     Parameters
     ----------
     sources
-        What a rollout goes by.
-    times
-        Takes in how long it took.
+        Dependencies of the rollout.
+    durations
+        Records how long the update took.
     model, target
-        Which.
+        Name of the model, and the engine.
     mode
-        What happens to its runs.
+        What happens to the engine's runs.
     """
 
     def __init__(
         self,
         sources: Sources,
-        times: plans.ChangeTimes,
+        durations: plans.ChangeDurations,
         model: str,
         target: discovery.Endpoint,
         mode: orders.Mode,
     ) -> None:
         self.sources = sources
-        self.times = times
+        self.durations = durations
         self.model = model
         self.target = target
         self.mode = mode
-        # Orders that the engine had accepted when it took ours.
-        self.taken: int | None = None
+        # Orders that the engine had accepted before it accepted this one.
+        self.taken_before: int | None = None
         self.ordered_s = 0.0
 
     def run(self, stopping: threading.Event) -> bool:
-        """Bring the engine to the newest wanted weights.
+        """Update the engine to the newest desired weights.
 
         Returns
         -------
         bool
-            Whether it may be taken up again at once; not where it does not
-            report or refuses the order.
+            Whether the engine may be updated again at once; false if it does
+            not report or refuses the order.
         """
         known_weights = self.sources.known_weights
         known_weights.begin_change(self.target.id)
         try:
             self.sources.publish()
             stopping.wait(self.notice_s())
-            return self.keep_at_it(stopping)
+            return self.step_until_done(stopping)
         except orders.EngineUnavailableError as error:
             log.warning(
                 "engine_unavailable",
@@ -149,22 +150,22 @@
             known_weights.end_change(self.target.id)
 
     def notice_s(self) -> float:
-        """Return the time between the word to peers and the order."""
+        """Return the time between the notice to peers and the order."""
         if self.mode is orders.Mode.FINISH:
             return NOTICE_S
         return SHORT_NOTICE_S
 
-    def keep_at_it(self, stopping: threading.Event) -> bool:
-        """Look at the engine again and again; tell if more is to be done.
+    def step_until_done(self, stopping: threading.Event) -> bool:
+        """Repeat steps until the update is done or takes too long.
 
         Raises
         ------
         EngineUnavailableError
-            When it does not report.
+            When the engine does not report.
         EngineRefusedError
-            When it does not take orders.
+            When the engine refuses the order.
         """
-        until_s = clocks.boot_clock() + ERRAND_S
+        until_s = clocks.boot_clock() + MAX_UPDATE_S
         while clocks.boot_clock() < until_s:
             if stopping.is_set() or self.step():
                 return True
@@ -175,7 +176,7 @@
         return True
 
     def step(self) -> bool:
-        """Look at the engine and order what is due; tell if it is done."""
+        """Read the report and order what is due; return whether it is done."""
         sources = self.sources
         report = sources.engines.report(self.target.address, self.target.id)
         goal = sources.goals()[self.model]
@@ -186,35 +187,36 @@
             self.target.id, self.model, version
         )
         if version >= goal.version:
-            self.note_in_place(version)
+            self.record_done(version)
             return True
         return self.order(goal, report.orders_taken)
 
     def is_shown(self, orders_taken: int) -> bool:
-        """Tell whether a report can be told from one before the order."""
-        if self.taken is None or orders_taken > self.taken:
+        """Return whether a report can't be one from before the order."""
+        if self.taken_before is None or orders_taken > self.taken_before:
             return True
         return clocks.boot_clock() - self.ordered_s >= REPORT_LAG_S
 
-    def note_in_place(self, version: int) -> None:
-        """Take note that the engine has the wanted weights."""
+    def record_done(self, version: int) -> None:
+        """Record that the engine has the desired weights."""
         took_s = clocks.boot_clock() - self.ordered_s
-        if self.taken is not None:
-            self.times.note(self.mode, took_s)
+        if self.taken_before is not None:
+            self.durations.record(self.mode, took_s)
         log.info(
             "weights_in_place",
             endpoint=self.target.id,
             model=self.model,
             version=version,
-            took_s=None if self.taken is None else round(took_s, 2),
+            took_s=None if self.taken_before is None else round(took_s, 2),
         )
 
     def order(self, goal: goals.WeightGoal, orders_taken: int) -> bool:
-        """Give an order; tell if there is nothing more to do here."""
+        """Give an order; return whether the update is done."""
         sources = self.sources
         if sources.leadership.fence() is None:
             return True
-        # Told first, so that no heartbeat between says that none was given.
+        # Called before the order, so that no heartbeat in between reports
+        # that none was given.
         sources.before_order()
         fence = sources.leadership.fence()
         if fence is None:
@@ -240,30 +242,30 @@
             orders_taken=orders_taken,
             outcome=type(outcome).__name__.lower(),
         )
-        return self.take(outcome, order)
+        return self.handle_outcome(outcome, order)
 
-    def take(
+    def handle_outcome(
         self, outcome: orders.Outcome, order: orders.VersionOrder
     ) -> bool:
-        """Draw what follows from an order; tell if nothing more is to do.
+        """Apply the outcome of an order; return whether the update is done.
 
         Raises
         ------
         EngineRefusedError
-            When another engine answers there now, or one that does not know
-            the weights yet; asked again and again it would keep the others
-            from their turn.
+            When another engine answers at the address, or the engine does
+            not know the weights yet.  Repeating the order would delay the
+            updates of other engines.
         """
         match outcome:
             case orders.Taken():
-                self.taken = order.orders_taken
+                self.taken_before = order.orders_taken
                 self.ordered_s = clocks.boot_clock()
             case orders.Superseded():
-                self.sources.leadership.note_superseded(order.fence)
+                self.sources.leadership.record_superseded(order.fence)
                 return True
             case orders.Refused(detail):
                 raise EngineRefusedError(detail)
             case orders.Busy() | orders.Lost():
-                # Its report tells what became of it.
+                # The engine's next report shows whether it was accepted.
                 return False
         return False
--- a/src/briarseam/weights/engine_weights.py
+++ b/src/briarseam/weights/engine_weights.py
@@ -1,4 +1,4 @@
-"""Which weights each engine has, and which engines are being changed."""
+"""Weight versions of the engines, and the engines being changed."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from briarseam import clocks
 from briarseam.weights import goals
 
-# A peer's word that an engine is being changed counts no longer than this
-# after it was last told: the peer may be gone.
+# How long a peer's report that an engine is being changed stays valid; the
+# peer may have ended since.
 PEER_REPORT_TTL_S = 3.0
 
 Version = typing.Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 AgeS = typing.Annotated[float, msgspec.Meta(ge=0, le=1e9)]
-# Engines being changed; weights by engine and model; goals' ages by model.
-Told = tuple[
+# Engines being changed; versions by engine and model; goals' ages by model.
+Section = tuple[
     list[str],
     list[tuple[str, str, Version]],
     list[tuple[str, Version, AgeS]],
@@ -26,15 +26,15 @@
 
 
 class EngineWeights:
-    """What this instance and its peers know of engines' weights.
+    """Engines' weight versions, as known to this instance and its peers.
 
-    Engines are known by the ids of their starts: one that starts again may
-    have older weights than before, and is behind from then on.
+    Engines are identified by the ids of their starts: an engine that
+    restarts may have older weights than before.
 
     Parameters
     ----------
     history
-        Goals and since when they are known.
+        Goals and when each was first seen.
     clock
         Seconds.
     """
@@ -49,59 +49,61 @@
         self.changing: set[str] = set()
         self.peers_changing: dict[str, tuple[frozenset[str], float]] = {}
         self.own: Versions = {}
-        self.told: Versions = {}
+        self.received: Versions = {}
         self.lock = threading.Lock()
 
     def begin_change(self, endpoint: str) -> None:
-        """Note that an engine is about to be changed."""
+        """Mark an engine as being changed."""
         with self.lock:
             self.changing.add(endpoint)
 
     def end_change(self, endpoint: str) -> None:
-        """Note that an engine is no longer being changed."""
+        """Mark an engine as no longer being changed."""
         with self.lock:
             self.changing.discard(endpoint)
 
     def record_version(self, endpoint: str, model: str, version: int) -> None:
-        """Note which weights an engine has; older news is dropped."""
+        """Record an engine's weight version, unless a newer one is known."""
         with self.lock:
             key = (endpoint, model)
             self.own[key] = max(version, self.own.get(key, 0))
 
     def forget(self, endpoint: str) -> None:
-        """Forget an engine that is gone."""
+        """Drop the versions of an engine that is gone."""
         with self.lock:
-            for versions in (self.own, self.told):
+            for versions in (self.own, self.received):
                 for key in [key for key in versions if key[0] == endpoint]:
                     del versions[key]
 
     def keep_only(self, endpoints: typing.Collection[str]) -> None:
-        """Forget all engines but these.
+        """Drop the versions of all other engines.
 
-        A report or a peer's word that was on its way when its engine was
-        forgotten has noted it again.
+        Covers reports that were in flight when their engine was forgotten
+        and recorded it again.
         """
         with self.lock:
-            known = {name for name, _model in (*self.own, *self.told)}
+            known = {name for name, _model in (*self.own, *self.received)}
         for name in known.difference(endpoints):
             self.forget(name)
 
     def version(self, endpoint: str, model: str, announced: int) -> int:
-        """Return an engine's weights.
+        """Return an engine's weight version.
 
         Parameters
         ----------
         endpoint, model
-            Which.
+            Id of the engine, and name of the model.
         announced
-            What the engine's own entry says, which lags.
+            Version in the engine's own entry, which may lag.
         """
         key = (endpoint, model)
         with self.lock:
-            return max(announced, self.own.get(key, 0), self.told.get(key, 0))
+            return max(
+                announced, self.own.get(key, 0), self.received.get(key, 0)
+            )
 
     def is_changing(self, endpoint: str) -> bool:
-        """Tell whether an engine is being changed, so takes no work."""
+        """Return whether an engine is being changed and takes no requests."""
         now_s = self.clock()
         with self.lock:
             if endpoint in self.changing:
@@ -112,7 +114,7 @@
             )
 
     def provide(self) -> bytes:
-        """Return what peers should know."""
+        """Return the heartbeat section for peers."""
         with self.lock:
             versions = [
                 (endpoint, model, version)
@@ -124,8 +126,8 @@
         )
 
     def consume(self, member: str, data: bytes) -> None:
-        """Take in what a peer knows; nothing of it if it is malformed."""
-        changing, versions, ages = msgspec.msgpack.decode(data, type=Told)
+        """Apply a peer's section; nothing of it if it is malformed."""
+        changing, versions, ages = msgspec.msgpack.decode(data, type=Section)
         for model, version, age_s in ages:
             self.history.add(goals.WeightGoal(model, version), age_s)
         until_s = self.clock() + PEER_REPORT_TTL_S
@@ -133,4 +135,4 @@
             self.peers_changing[member] = (frozenset(changing), until_s)
             for endpoint, model, version in versions:
                 key = (endpoint, model)
-                self.told[key] = max(version, self.told.get(key, 0))
+                self.received[key] = max(version, self.received.get(key, 0))
--- a/src/briarseam/weights/goal_times.py
+++ b/src/briarseam/weights/goal_times.py
@@ -1,4 +1,4 @@
-"""Since when weights are wanted, kept on the store for new processes."""
+"""Times at which goals were first seen, kept on the store."""
 
 from __future__ import annotations
 
@@ -17,17 +17,19 @@
 MS = 1000.0
 REVIEW_S = 0.25
 RETRY_S = 0.5
-# A part of the store that does not answer must not keep an instance from
-# serving what needs no ages: three tries.
-WAITED_FOR_S = 2.0
-# An earlier time than the written one is written only if it differs by more:
-# what instances see differs by the way from the store.
-SAME_S = 1.0
+# Longest wait for the ages of goals, three attempts: a part of the store that
+# does not answer must not keep an instance from serving requests that need no
+# ages.
+MAX_WAIT_S = 2.0
+# An earlier time than the stored one is written only if it differs by more
+# than this: the delay from the store differs between instances.
+TOLERANCE_S = 1.0
 KNOWN = b"known"
-# Version and the time when it was named, Unix ms; before any clock runs out.
+# A version and when it was set, in Unix ms; bounded, so that any clock can
+# represent it.
 Version = typing.Annotated[int, msgspec.Meta(ge=0, le=2**53)]
-NamedMs = typing.Annotated[int, msgspec.Meta(ge=0, le=2**53)]
-Rows = list[tuple[Version, NamedMs]]
+SetAtMs = typing.Annotated[int, msgspec.Meta(ge=0, le=2**53)]
+Rows = list[tuple[Version, SetAtMs]]
 log = structlog.get_logger("briarseam.weights")
 
 
@@ -42,30 +44,30 @@
 
 
 class GoalTimes:
-    """Keeps the times of goals across the end of all processes.
+    """Persists the times of goals beyond the end of all processes.
 
-    Instances tell each other how old a goal is.  When all of them end at
-    once nobody is left to tell, and goals that were named long ago would
-    count as new: requests would begin on weights that were replaced.  So
-    the times lie on the store, as times of day.  Several instances write
-    them, each after a look at what lies there and with a look afterwards, so
-    that the earliest time stays: a clock that jumped ahead would make a goal
-    younger than it is.  One that jumped back makes it older, and older
-    weights are out of use that much too soon.
+    Instances publish the ages of goals to each other.  After all of them end
+    at once, goals that were set long ago would count as new, and requests
+    would run on weights that were replaced.  So the times are stored as
+    times of day.  Several instances write them; each reads the stored times
+    before and after it writes, so that the earliest time wins: a clock that
+    is ahead would make a goal look younger than it is.  A clock that is
+    behind makes a goal look older, and older weights are excluded too early
+    by the difference.
 
     Parameters
     ----------
     store, topic
-        Where they lie.
+        Store and topic of the times.
     history
-        The goals, as far as this process knows.
-    writes
-        Tells whether this instance is one of those that write.
+        Goals that are known to this process.
+    is_writer
+        Returns whether this instance is one of those that write.
     era
-        Returns the era of the store; what lay there is looked at again when
-        it has changed.
+        Returns the era of the store; when it changes, the stored times are
+        read again.
     tally
-        Counts records that can't be read.
+        Counts records that can't be decoded.
     clock
         The clock of ``history``.
     wall_clock
@@ -74,8 +76,8 @@
     Attributes
     ----------
     known
-        Set once it is known what former processes saw, from the store or
-        from an instance that knows.
+        Set once the times that former processes saw are known, from the
+        store or from a peer that knows them.
     """
 
     def __init__(
@@ -83,7 +85,7 @@
         store: TimesStore,
         topic: str,
         history: goals.GoalHistory,
-        writes: typing.Callable[[], bool],
+        is_writer: typing.Callable[[], bool],
         era: typing.Callable[[], int] = lambda: 0,
         tally: malformed.Tally | None = None,
         clock: typing.Callable[[], float] = clocks.boot_clock,
@@ -92,33 +94,33 @@
         self.store = store
         self.topic = topic
         self.history = history
-        self.writes = writes
+        self.is_writer = is_writer
         self.era = era
         self.tally = tally or malformed.Tally()
         self.clock = clock
         self.wall_clock = wall_clock
         self.known = threading.Event()
         self.started_s = clock()
-        # What lay on the store at the last look, by the clock.
+        # Times on the store when it was last read, by the clock.
         self.stored: dict[goals.WeightGoal, float] = {}
-        self.looked = False
-        self.looked_era = 0
-        self.look_again = False
+        self.has_read = False
+        self.read_era = 0
+        self.must_read_again = False
         self.stopping = threading.Event()
         self.thread = threading.Thread(
             target=self.run, name="goal-times", daemon=True
         )
 
     def start(self) -> None:
-        """Begin to read and write."""
+        """Start reading and writing."""
         self.thread.start()
 
     def stop(self) -> None:
-        """End."""
+        """Stop reading and writing."""
         self.stopping.set()
 
     def run(self) -> None:
-        """Read once, then write what is new, until stopped."""
+        """Read once, then write new times, until stopped."""
         while not self.stopping.is_set():
             wait_s = RETRY_S
             try:
@@ -127,52 +129,52 @@
             except records.StoreUnavailableError as error:
                 log.info("goal_times_not_kept", detail=str(error))
             except Exception:
-                # Without this thread the process would never know how old
-                # goals are; whatever was wrong may be right next time.
+                # If this thread ended, the process would never know the ages
+                # of goals; the next attempt may succeed.
                 log.exception("goal_times_failed")
             self.stopping.wait(wait_s)
 
     def step(self) -> None:
-        """Read if that was not done yet, then write what is new.
+        """Read if that was not done yet, then write new times.
 
         Raises
         ------
         StoreUnavailableError
             When the store does not answer properly.
         """
-        if not self.looked:
+        if not self.has_read:
             self.read_store()
             self.restore()
             self.known.set()
-        if not self.writes():
+        if not self.is_writer():
             return
-        if self.era() != self.looked_era:
+        if self.era() != self.read_era:
             self.read_store()
-        if self.news():
+        if self.models_to_write():
             self.write()
-        elif self.look_again:
+        elif self.must_read_again:
             self.read_store()
-            self.look_again = False
+            self.must_read_again = False
 
-    def is_needed(self) -> bool:
-        """Tell whether requests must wait until ages are known.
+    def must_wait(self) -> bool:
+        """Return whether requests must wait until ages are known.
 
-        Not where no weights were named, and not for long: plain services
+        False if no weights were set, and after a short time: plain services
         and engines with the newest weights need no ages.
         """
         if self.known.is_set() or not self.history.newest:
             return False
-        return self.clock() - self.started_s < WAITED_FOR_S
+        return self.clock() - self.started_s < MAX_WAIT_S
 
     def read_store(self) -> None:
-        """Look at what lies on the store."""
-        self.looked_era = self.era()
+        """Read the stored times."""
+        self.read_era = self.era()
         batch = self.store.newest(self.topic)
         self.stored = {}
         for record in batch.records:
             if record.value is not None:
                 self.stored.update(self.decoded(record.key, record.value))
-        self.looked = True
+        self.has_read = True
 
     def decoded(
         self, model: str, value: bytes
@@ -187,12 +189,12 @@
         wall_s = self.wall_clock()
         return {
             goals.WeightGoal(model, version): now_s
-            - max(0.0, wall_s - named_ms / MS)
-            for version, named_ms in rows
+            - max(0.0, wall_s - set_at_ms / MS)
+            for version, set_at_ms in rows
         }
 
     def restore(self) -> None:
-        """Take in what former processes left."""
+        """Add the stored times to the history."""
         now_s = self.clock()
         for goal, seen_s in self.stored.items():
             self.history.restore(goal, now_s - seen_s)
@@ -204,43 +206,43 @@
             )
 
     def provide(self) -> bytes:
-        """Tell peers whether this instance knows all times."""
+        """Return the heartbeat section: whether all times are known."""
         return KNOWN if self.known.is_set() else b""
 
     def consume(self, member: str, data: bytes) -> None:
-        """Take in that a peer, which tells all ages, knows all times."""
+        """Record that a peer, which publishes all ages, knows all times."""
         del member
         if data == KNOWN:
             self.known.set()
 
-    def news(self) -> list[str]:
-        """Return the models of which the store lacks something."""
-        seen = self.history.all_seen()
+    def models_to_write(self) -> list[str]:
+        """Return the models of which the store lacks times."""
+        first_seen = self.history.first_seen_times()
         return sorted(
             {
                 goal.model
-                for goal, at_s in seen.items()
-                if self.is_new(goal, at_s)
+                for goal, at_s in first_seen.items()
+                if self.must_write(goal, at_s)
             }
         )
 
-    def is_new(self, goal: goals.WeightGoal, seen_s: float) -> bool:
-        """Tell whether the store lacks a goal's time, or has a later one."""
+    def must_write(self, goal: goals.WeightGoal, seen_s: float) -> bool:
+        """Return whether the stored time of a goal is missing or later."""
         stored_s = self.stored.get(goal)
-        return stored_s is None or seen_s < stored_s - SAME_S
+        return stored_s is None or seen_s < stored_s - TOLERANCE_S
 
     def write(self) -> None:
-        """Write what others have not written meanwhile."""
+        """Write the times that others have not written in between."""
         self.read_store()
-        for model in self.news():
+        for model in self.models_to_write():
             self.put(model)
-            self.look_again = True
+            self.must_read_again = True
 
     def put(self, model: str) -> None:
         """Write the earliest known times of one model's newest goals."""
         rows = {
             goal: min(seen_s, self.stored.get(goal, seen_s))
-            for goal, seen_s in self.history.all_seen().items()
+            for goal, seen_s in self.history.first_seen_times().items()
             if goal.model == model
         }
         offset_s = self.wall_clock() - self.clock()
--- a/src/briarseam/weights/goals.py
+++ b/src/briarseam/weights/goals.py
@@ -1,4 +1,4 @@
-"""Which weights are wanted, and which are too old to be used."""
+"""Desired weights, and the versions that are too old for new requests."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from briarseam import clocks
 
-# Versions of a model that are remembered, the newest: older ones are out of
-# use long since, as each takes effect in some ten seconds.
+# Newest versions of a model that are remembered.  Each takes effect within
+# about ten seconds, so older ones are no longer in use.
 KEPT_VERSIONS = 8
 
 
 @dataclasses.dataclass(frozen=True)
 class WeightGoal:
-    """Weights that operators named for a model.
+    """Weights that operators set for a model.
 
     Attributes
     ----------
@@ -30,11 +30,11 @@
 
 
 class GoalHistory:
-    """All goals, and since when each is known; thread-safe.
+    """All goals, and when each was first seen; thread-safe.
 
-    No request may begin on older weights once a version was named for some
-    time.  The time counts from when the first instance saw it, which peers
-    tell each other and which lies on the store: an instance that has just
+    A version excludes older weights from new requests a certain time after
+    it was set.  The time counts from when the first instance saw the goal,
+    which peers publish and the store keeps: an instance that has just
     started sees an old goal for the first time.
 
     Parameters
@@ -48,11 +48,11 @@
     ) -> None:
         self.clock = clock
         self.newest: dict[str, WeightGoal] = {}
-        self.seen: dict[WeightGoal, float] = {}
+        self.first_seen: dict[WeightGoal, float] = {}
         self.lock = threading.Lock()
 
     def add(self, goal: WeightGoal, age_s: float = 0.0) -> bool:
-        """Take in a goal that was seen so long ago; tell if it is newest."""
+        """Add a goal that was seen ``age_s`` ago; return if it is newest."""
         seen_s = self.clock() - age_s
         with self.lock:
             self.keep_earliest(goal, seen_s)
@@ -63,25 +63,26 @@
             return True
 
     def restore(self, goal: WeightGoal, age_s: float) -> None:
-        """Take in that a former process saw a goal.
+        """Add the age of a goal that a former process saw.
 
-        Operators' documents alone tell which goal is the newest.
+        It doesn't change the newest goals, which follow from operators'
+        documents alone.
         """
         seen_s = self.clock() - age_s
         with self.lock:
             self.keep_earliest(goal, seen_s)
 
     def keep_earliest(self, goal: WeightGoal, seen_s: float) -> None:
-        """Keep the earliest time of a goal; the lock is held."""
-        self.seen[goal] = min(seen_s, self.seen.get(goal, seen_s))
-        same = [each for each in self.seen if each.model == goal.model]
+        """Record a goal's time if it is the earliest; the lock is held."""
+        self.first_seen[goal] = min(seen_s, self.first_seen.get(goal, seen_s))
+        same = [each for each in self.first_seen if each.model == goal.model]
         if len(same) > KEPT_VERSIONS:
-            del self.seen[min(same, key=lambda each: each.version)]
+            del self.first_seen[min(same, key=lambda each: each.version)]
 
-    def all_seen(self) -> dict[WeightGoal, float]:
-        """Return since when each goal is known, by the clock."""
+    def first_seen_times(self) -> dict[WeightGoal, float]:
+        """Return when each goal was first seen, by the clock."""
         with self.lock:
-            return dict(self.seen)
+            return dict(self.first_seen)
 
     def ages(self) -> list[tuple[str, int, float]]:
         """Return model, version and age in seconds of all goals."""
@@ -89,25 +90,25 @@
         with self.lock:
             return [
                 (goal.model, goal.version, now_s - seen_s)
-                for goal, seen_s in self.seen.items()
+                for goal, seen_s in self.first_seen.items()
             ]
 
     def oldest_allowed(self, model: str, after_s: float) -> int:
-        """Return the oldest weights that requests may still begin on.
+        """Return the oldest weights on which new requests may run.
 
         Parameters
         ----------
         model
             Name of the model.
         after_s
-            Age of a goal, in seconds, from which it excludes older weights.
+            Age of a goal from which it excludes older weights, in seconds.
         """
         latest_s = self.clock() - after_s
         with self.lock:
             return max(
                 (
                     goal.version
-                    for goal, seen_s in self.seen.items()
+                    for goal, seen_s in self.first_seen.items()
                     if goal.model == model and seen_s <= latest_s
                 ),
                 default=0,
@@ -119,16 +120,16 @@
         Parameters
         ----------
         model, version
-            Which weights.
+            Name of the model, and version of the weights.
         after_s
-            Age of a goal, in seconds, from which it excludes older weights.
+            Age of a goal from which it excludes older weights, in seconds.
         """
         now_s = self.clock()
         with self.lock:
             return min(
                 (
                     seen_s + after_s - now_s
-                    for goal, seen_s in self.seen.items()
+                    for goal, seen_s in self.first_seen.items()
                     if goal.model == model and goal.version > version
                 ),
                 default=float("inf"),
--- a/src/briarseam/weights/leader.py
+++ b/src/briarseam/weights/leader.py
@@ -1,4 +1,8 @@
-"""Who gives orders: the member of a group that holds its one partition."""
+"""Election of the instance that gives orders.
+
+The leader is the member of a group that holds the group's one partition on
+the store.  Log events call the leadership "duty".
+"""
 
 from __future__ import annotations
 
@@ -11,20 +15,21 @@
 from briarseam import clocks
 from briarseam.feeds import records
 
-# How often a member says that it lives, and after how much silence the
-# store gives the partition to another one.  A rollout takes some seconds,
-# so its loss for two is bearable, and a lost call or two change nothing.
+# Interval of the calls that keep a member in the group, and the silence after
+# which the store gives the partition to another member.  A rollout takes some
+# seconds, so two seconds without a leader are acceptable; one or two failed
+# calls have no effect.
 JOIN_INTERVAL_S = 0.5
 TTL_S = 2.2
-# A holder that could not renew stops this early: before the store's own
-# time is over, an order's way included.
+# A leader that could not renew stops after this time, before the store's own
+# TTL is over, including the time that an order takes to arrive.
 VALID_S = 1.3
 PARTITION = 0
 log = structlog.get_logger("briarseam.weights")
 
 
 class GroupStore(typing.Protocol):
-    """A store that shares out partitions among the members of a group."""
+    """A store that assigns partitions to the members of a group."""
 
     def join(
         self,
@@ -41,50 +46,54 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Held:
-    """The duty, as of the last answer of the store.
+class Grant:
+    """The leadership as of the store's last answer.
 
     Attributes
     ----------
     fence
-        Fencing number: the group's generation, which grows with each
-        change of holder.
+        Fencing number: the group's generation, which grows with each change
+        of leader.
     gained_s
-        When it was given to this instance, by the boot clock.
-    since_s, until_s
-        From when it may be used in any case, and how long.
+        When this instance became leader, by the boot clock.
+    usable_s
+        When it may be used in any case, by the boot clock.
+    until_s
+        When it expires unless renewed, by the boot clock.
     """
 
     fence: int
     gained_s: float
-    since_s: float
+    usable_s: float
     until_s: float
 
 
 class Leadership:
-    """Keeps this instance in the group and knows whether it holds the duty.
+    """Keeps this instance in the group and tracks whether it is the leader.
 
-    A former holder may have sent an order just before it lost the duty, and
-    may not know of its loss until its next call.  Orders of two holders
-    would cross; so a new one waits for as long as the former one could
-    still believe in its tenure, unless all others say that they give none.
+    A former leader may have sent an order just before it lost the
+    leadership, and learns of the loss with its next call to the store only.
+    Orders of two leaders must not interleave, so a new leader waits until
+    the former one's leadership has expired, unless all other instances
+    report that they give no orders.
 
     Parameters
     ----------
     store, group, topic
-        Where the duty lies.
+        Store, group and topic of the partition.
     member
-        This start of this instance.
+        Id of this start of this instance.
     wait_s
-        What a new holder waits before its first order, in seconds.
+        Wait of a new leader before its first order, in seconds.
     is_candidate
-        Tells whether this instance should take part; a few of a large
-        deployment are enough, and each call is counted.
+        Returns whether this instance takes part in the election.  A few
+        candidates are enough for a large deployment, and each call to the
+        store counts.
     are_others_idle
-        Tells whether no other instance can be giving orders, given since
-        when this one has the duty.
+        Returns whether no other instance can be giving orders, for the time
+        when this instance became leader.
     clock
-        Seconds; goes on while the instance is suspended.
+        Seconds, including the time while the instance is suspended.
     """
 
     def __init__(
@@ -109,8 +118,8 @@
         self.are_others_idle = are_others_idle
         self.clock = clock
         self.generation = 0
-        self.held: Held | None = None
-        # The gain of the duty since which nobody else gave orders.
+        self.grant: Grant | None = None
+        # ``gained_s`` of the grant for which no other instance gives orders.
         self.usable_gained_s = float("-inf")
         self.refused_fence = 0
         self.stopping = threading.Event()
@@ -119,101 +128,103 @@
         )
 
     def start(self) -> None:
-        """Begin to take part."""
+        """Start taking part in the election."""
         self.thread.start()
 
     def stop(self) -> None:
-        """Give the duty up."""
+        """Give up the leadership and leave the group."""
         self.stopping.set()
-        self.held = None
+        self.grant = None
         try:
             self.store.leave(self.group, self.member)
         except records.StoreUnavailableError as error:
-            # The store takes it away by itself when its time is over.
+            # The store removes the member when its TTL is over.
             log.warning("duty_not_given_up", detail=str(error))
 
     def fence(self) -> int | None:
         """Return the fencing number if this instance may order right now.
 
-        Ask right before each order.
+        Call it right before each order.
         """
-        held = self.held
+        grant = self.grant
         now_s = self.clock()
-        if held is None or now_s >= held.until_s:
+        if grant is None or now_s >= grant.until_s:
             return None
-        if held.fence <= self.refused_fence:
+        if grant.fence <= self.refused_fence:
             return None
-        if now_s < held.since_s and not self.is_usable(held):
+        if now_s < grant.usable_s and not self.is_usable(grant):
             return None
-        return held.fence
+        return grant.fence
 
-    def is_usable(self, held: Held) -> bool:
-        """Tell whether there is nobody to wait for."""
-        if self.usable_gained_s == held.gained_s:
+    def is_usable(self, grant: Grant) -> bool:
+        """Return whether no former leader has to be waited for."""
+        if self.usable_gained_s == grant.gained_s:
             return True
-        if not self.are_others_idle(held.gained_s):
+        if not self.are_others_idle(grant.gained_s):
             return False
-        self.usable_gained_s = held.gained_s
+        self.usable_gained_s = grant.gained_s
         log.info(
             "duty_usable",
-            fence=held.fence,
-            waited_s=round(self.clock() - held.gained_s, 2),
+            fence=grant.fence,
+            waited_s=round(self.clock() - grant.gained_s, 2),
         )
         return True
 
     def is_held(self) -> bool:
-        """Tell whether this instance takes itself for the holder."""
-        held = self.held
-        return held is not None and self.clock() < held.until_s
+        """Return whether this instance believes that it is the leader."""
+        grant = self.grant
+        return grant is not None and self.clock() < grant.until_s
 
-    def note_superseded(self, fence: int) -> None:
-        """Take note that an engine has seen a higher number than ours."""
+    def record_superseded(self, fence: int) -> None:
+        """Record that an engine has seen a higher fencing number."""
         self.refused_fence = max(self.refused_fence, fence)
         log.warning("duty_superseded", fence=fence)
 
     def run(self) -> None:
-        """Take part until stopped."""
+        """Take part in the election until stopped."""
         while not self.stopping.is_set():
             try:
-                self.take_part()
+                self.update_membership()
             except records.StoreUnavailableError as error:
                 log.info("duty_not_renewed", detail=str(error))
             self.stopping.wait(JOIN_INTERVAL_S)
 
-    def take_part(self) -> None:
-        """Stay in the group, or out of it."""
+    def update_membership(self) -> None:
+        """Join the group or stay in it as a candidate, otherwise leave it."""
         if self.is_candidate():
             self.join_once()
         elif self.generation:
-            self.held = None
+            self.grant = None
             self.store.leave(self.group, self.member)
             self.generation = 0
             log.info("duty_left_to_others")
 
     def join_once(self) -> None:
-        """Say that this instance lives, and see what it holds."""
-        asked_s = self.clock()
+        """Join the group or stay in it, and update the leadership."""
+        sent_s = self.clock()
         share = self.store.join(
             self.group, self.member, self.topic, TTL_S, self.generation
         )
         self.generation = share.generation
         if self.stopping.is_set():
-            # The duty was given up while the call was under way.
-            self.held = None
+            # The leadership was given up during the call.
+            self.grant = None
             return
         if (self.topic, PARTITION) not in share.parts:
-            if self.held is not None:
+            if self.grant is not None:
                 log.info("duty_lost", generation=share.generation)
-            self.held = None
+            self.grant = None
             return
-        until_s = asked_s + VALID_S
-        held = self.held
-        # After a gap another one may have held it meanwhile.
-        if held is not None and asked_s < held.until_s:
-            self.held = dataclasses.replace(
-                held, fence=share.generation, until_s=until_s
+        until_s = sent_s + VALID_S
+        grant = self.grant
+        # After a gap another instance may have been the leader in between.
+        if grant is not None and sent_s < grant.until_s:
+            self.grant = dataclasses.replace(
+                grant, fence=share.generation, until_s=until_s
             )
             return
         log.info("duty_gained", wait_s=self.wait_s, fence=share.generation)
         now_s = self.clock()
-        self.held = Held(share.generation, now_s, now_s + self.wait_s, until_s)
+        self.grant = Grant(
+            share.generation, now_s, now_s + self.wait_s, until_s
+        )
--- a/src/briarseam/weights/orders.py
+++ b/src/briarseam/weights/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, and what can become of them."""
+"""Orders to engines and their possible outcomes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Mode(enum.Enum):
-    """What happens to the runs of an engine that takes new weights."""
+    """What happens to the runs of an engine that loads new weights."""
 
     FINISH = "finish"
     EVICT = "evict"
@@ -15,21 +15,21 @@
 
 
 class EngineUnavailableError(Exception):
-    """An engine did not answer, or is not the one that was expected."""
+    """An engine did not answer, or another one answered in its place."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Report:
-    """What an engine reports of itself.
+    """An engine's report of its state.
 
     Attributes
     ----------
     versions
         Weight version by model.
     changing
-        Whether an order is being carried out.
+        Whether the engine is carrying out an order.
     orders_taken
-        Orders that it has accepted since its start.
+        Number of orders accepted since the engine's start.
     """
 
     versions: dict[str, int]
@@ -39,21 +39,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class VersionOrder:
-    """An order to take new weights.
+    """An order to load new weights.
 
     Attributes
     ----------
     model, version
-        Which weights.
+        Name of the model, and version of the weights.
     mode
-        What happens to runs under way.
+        What happens to active runs.
     leader
-        Who orders.
+        Name of the instance that gives the order.
     fence
-        Fencing number under which it is ordered.
+        Fencing number of the leader.
     orders_taken
-        The engine takes it only if it has accepted just so many orders,
-        so that a late one changes nothing.
+        The engine accepts the order only if it has accepted exactly this
+        many orders, so that a delayed order has no effect.
     """
 
     model: str
@@ -66,12 +66,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Taken:
-    """The engine carries it out, or has what was ordered."""
+    """The engine carries out the order, or has the weights already."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Busy:
-    """Another order is under way, or was taken meanwhile."""
+    """Another order is in progress, or was accepted in between."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -81,7 +81,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Refused:
-    """The engine does not take such an order."""
+    """The engine does not accept such an order."""
 
     detail: str
 
--- a/src/briarseam/weights/rollout.py
+++ b/src/briarseam/weights/rollout.py
@@ -1,4 +1,4 @@
-"""Bringing engines to the wanted weights, some at a time."""
+"""Update of all engines to the desired weights, some at a time."""
 
 from __future__ import annotations
 
@@ -19,168 +19,172 @@
     from briarseam.discovery import model as discovery
 
 REVIEW_S = 0.25
-# An engine that does not report, or refuses an order, is left alone for so
-# long, so that it does not keep the others from their turn.
-UNAVAILABLE_S = 2.0
-# Engines that may be out of use without haste for the others.
-FEW_SHARE = 0.1
+# Backoff for an engine that does not report or refuses an order, so that it
+# does not delay the updates of other engines.
+BACKOFF_S = 2.0
+# Share of the engines whose weights may be excluded from use without changing
+# the plan for the others.
+MAX_EXCLUDED_SHARE = 0.1
 log = structlog.get_logger("briarseam.weights")
 
 
 class Rollout:
-    """Gives orders while this instance holds the duty.
+    """Gives orders while this instance is the leader.
 
     Parameters
     ----------
     sources
-        What it goes by.
+        Dependencies of the rollout.
     """
 
     def __init__(self, sources: engine_updates.Sources) -> None:
         self.sources = sources
         self.busy: set[str] = set()
-        self.silent_until: dict[str, float] = {}
-        self.times = plans.ChangeTimes()
+        self.backoff_until: dict[str, float] = {}
+        self.durations = plans.ChangeDurations()
         # The last plan that was logged, by model.
-        self.planned: dict[str, tuple[goals.WeightGoal, plans.Plan]] = {}
+        self.logged_plans: dict[str, tuple[goals.WeightGoal, plans.Plan]] = {}
         self.lock = threading.Lock()
         self.reviews = repeating.Repeater("rollout", self.review, REVIEW_S)
 
     def start(self) -> None:
-        """Begin."""
+        """Start the rollout."""
         self.reviews.start()
 
     def stop(self) -> None:
-        """Give no further orders."""
+        """Stop giving orders."""
         self.reviews.stop()
 
     def review(self) -> None:
-        """Look after all models if this instance gives the orders."""
+        """Advance the rollouts of all models if this instance is leader."""
         if self.sources.leadership.fence() is None:
             return
         for goal in self.sources.goals().values():
             self.advance(goal)
 
     def advance(self, goal: goals.WeightGoal) -> None:
-        """Take up as many engines of a model as may be changed at once."""
+        """Start updates of as many engines of a model as the plan allows."""
         targets = self.sources.targets(goal.model)
-        behind = self.behind(goal, targets)
-        if not behind:
+        outdated = self.outdated(goal, targets)
+        if not outdated:
             return
-        plan = self.plan(goal, targets, behind)
-        for target in behind:
+        plan = self.plan(goal, targets, outdated)
+        for target in outdated:
             with self.lock:
                 if len(self.busy) >= plan.at_once:
                     return
-                if not self.may_begin(target.id):
+                if not self.may_start(target.id):
                     continue
                 self.busy.add(target.id)
             threading.Thread(
-                target=self.bring,
-                args=(self.errand(goal.model, target, plan.mode),),
+                target=self.run_update,
+                args=(self.engine_update(goal.model, target, plan.mode),),
                 name=f"weights-{target.id}",
                 daemon=True,
             ).start()
 
-    def errand(
+    def engine_update(
         self, model: str, target: discovery.Endpoint, mode: orders.Mode
     ) -> engine_updates.EngineUpdate:
-        """Return what changes one engine."""
+        """Return the update of one engine."""
         return engine_updates.EngineUpdate(
-            self.sources, self.times, model, target, mode
+            self.sources, self.durations, model, target, mode
         )
 
-    def note_silent(self, endpoint: str) -> None:
-        """Leave an engine that does not report alone for a while."""
+    def start_backoff(self, endpoint: str) -> None:
+        """Start the backoff of an engine whose update failed."""
         now_s = clocks.boot_clock()
         with self.lock:
-            # Each start has an id of its own: what is over must not stay.
-            self.silent_until = {
+            # Each start of an engine has its own id, so expired entries
+            # would accumulate.
+            self.backoff_until = {
                 other: until_s
-                for other, until_s in self.silent_until.items()
+                for other, until_s in self.backoff_until.items()
                 if until_s > now_s
             }
-            self.silent_until[endpoint] = now_s + UNAVAILABLE_S
+            self.backoff_until[endpoint] = now_s + BACKOFF_S
 
-    def may_begin(self, endpoint: str) -> bool:
-        """Tell whether an engine is neither being changed nor silent."""
+    def may_start(self, endpoint: str) -> bool:
+        """Return whether an engine is neither being updated nor in backoff."""
         if endpoint in self.busy:
             return False
-        return clocks.boot_clock() >= self.silent_until.get(endpoint, 0.0)
+        return clocks.boot_clock() >= self.backoff_until.get(endpoint, 0.0)
 
     def plan(
         self,
         goal: goals.WeightGoal,
         targets: list[discovery.Endpoint],
-        behind: list[discovery.Endpoint],
+        outdated: list[discovery.Endpoint],
     ) -> plans.Plan:
-        """Return how to go on; ``behind`` is not empty."""
-        left_s = self.time_left_s(goal.model, len(targets), behind)
+        """Return how to continue; ``outdated`` is not empty."""
+        remaining_s = self.remaining_s(goal.model, len(targets), outdated)
         with self.lock:
-            under_way = sum(target.id in self.busy for target in behind)
+            in_progress = sum(target.id in self.busy for target in outdated)
         plan = plans.make(
             len(targets),
-            len(behind) - under_way,
-            left_s,
-            self.times,
-            under_way,
+            len(outdated) - in_progress,
+            remaining_s,
+            self.durations,
+            in_progress,
         )
-        if (goal, plan) != self.planned.get(goal.model):
-            self.planned[goal.model] = (goal, plan)
+        if (goal, plan) != self.logged_plans.get(goal.model):
+            self.logged_plans[goal.model] = (goal, plan)
             log.info(
                 "rollout_planned",
                 model=goal.model,
                 version=goal.version,
                 engines=len(targets),
-                behind=len(behind),
-                time_left_s=None if left_s == math.inf else round(left_s, 1),
+                behind=len(outdated),
+                time_left_s=(
+                    None if remaining_s == math.inf else round(remaining_s, 1)
+                ),
                 at_once=plan.at_once,
                 mode=plan.mode.value,
             )
         return plan
 
-    def time_left_s(
-        self, model: str, engines: int, behind: list[discovery.Endpoint]
+    def remaining_s(
+        self, model: str, engines: int, outdated: list[discovery.Endpoint]
     ) -> float:
-        """Return the seconds until engines' weights are out of use.
+        """Return the seconds until engines' weights are excluded from use.
 
-        A few engines whose weights already are, since they did not answer
-        or are just restarting, are no reason to hurry all others.
+        A few engines whose weights are excluded already, since they did not
+        answer or are restarting, do not speed up the updates of the others.
         """
-        left = sorted(
+        all_remaining_s = sorted(
             self.sources.remaining_s(model, self.version_of(target, model))
-            for target in behind
+            for target in outdated
         )
-        in_use = [left_s for left_s in left if left_s > 0]
-        out_of_use = len(left) - len(in_use)
-        if in_use and out_of_use <= max(1, engines * FEW_SHARE):
-            return in_use[0]
-        return left[0]
+        in_use_s = [each_s for each_s in all_remaining_s if each_s > 0]
+        excluded = len(all_remaining_s) - len(in_use_s)
+        if in_use_s and excluded <= max(1, engines * MAX_EXCLUDED_SHARE):
+            return in_use_s[0]
+        return all_remaining_s[0]
 
-    def behind(
+    def outdated(
         self, goal: goals.WeightGoal, targets: list[discovery.Endpoint]
     ) -> list[discovery.Endpoint]:
         """Return the engines that have older weights, oldest first."""
         versions = {
             target: self.version_of(target, goal.model) for target in targets
         }
-        behind = [
+        outdated = [
             target
             for target, version in versions.items()
             if version < goal.version
         ]
-        return sorted(behind, key=lambda target: versions[target])
+        return sorted(outdated, key=lambda target: versions[target])
 
     def version_of(self, target: discovery.Endpoint, model: str) -> int:
-        """Return the weights that an engine is known to have."""
+        """Return the known weight version of an engine."""
         announced = target.versions.get(model, 0)
         return self.sources.known_weights.version(target.id, model, announced)
 
-    def bring(self, errand: engine_updates.EngineUpdate) -> None:
-        """Change one engine; its place is free again afterwards."""
+    def run_update(self, update: engine_updates.EngineUpdate) -> None:
+        """Run the update of one engine and free its slot afterwards."""
         try:
-            if not errand.run(self.reviews.stopping):
-                self.note_silent(errand.target.id)
+            if not update.run(self.reviews.stopping):
+                self.start_backoff(update.target.id)
         finally:
             with self.lock:
-                self.busy.discard(errand.target.id)
+                self.busy.discard(update.target.id)
--- a/tests/weights/test_goal_times.py
+++ b/tests/weights/test_goal_times.py
@@ -19,14 +19,14 @@
     def __init__(self):
         self.rows = {}
         self.writes = 0
-        self.away = False
+        self.is_down = False
 
     def newest(self, topic):
         self.check()
-        found = tuple(
+        newest = tuple(
             records.KeyedRecord(key, value) for key, value in self.rows.items()
         )
-        return records.KeyedBatch(found, len(found))
+        return records.KeyedBatch(newest, len(newest))
 
     def put(self, topic, key, value):
         self.check()
@@ -34,12 +34,12 @@
         self.rows[key] = value
 
     def check(self):
-        if self.away:
-            raise records.StoreUnavailableError("away")
+        if self.is_down:
+            raise records.StoreUnavailableError("down")
 
 
 class Process:
-    """One start of one instance, which has clocks of its own."""
+    """A process of an instance, with its own clocks."""
 
     def __init__(self, store, wall, writes=True):
         self.clock = clocks.ManualClock(7.0)
@@ -64,18 +64,18 @@
     return clocks.ManualClock(1_700_000_000.0)
 
 
-def pass_s(seconds, wall, *processes):
+def advance_s(seconds, wall, *processes):
     wall.now_s += seconds
     for process in processes:
         process.clock.now_s += seconds
 
 
 def test_new_process_learns_how_old_goals_are(store, wall):
-    """All processes end; nobody is left to tell how old a goal is."""
+    """All processes end, so that no peer is left to publish a goal's age."""
     first = Process(store, wall)
     first.times.step()
     first.history.add(goals.WeightGoal("m", 2))
-    pass_s(4, wall, first)
+    advance_s(4, wall, first)
     first.history.add(goals.WeightGoal("m", 3))
     first.times.step()
     wall.now_s += 7
@@ -91,7 +91,7 @@
     assert second.history.remaining_s("m", 2, 12.0) == pytest.approx(5.0)
 
 
-def test_what_former_processes_saw_is_no_goal_by_itself(store, wall):
+def test_restored_times_set_no_goal(store, wall):
     first = Process(store, wall)
     first.history.add(goals.WeightGoal("m", 2))
     first.times.step()
@@ -105,7 +105,7 @@
     first.history.add(goals.WeightGoal("m", 2))
     for _ in range(5):
         first.times.step()
-        pass_s(1, wall, first)
+        advance_s(1, wall, first)
     second = Process(store, wall)
     second.times.step()
     second.history.add(goals.WeightGoal("m", 2))
@@ -113,24 +113,24 @@
     assert store.writes == 1
 
 
-def test_written_times_are_never_replaced_by_later_ones(store, wall):
-    """A process that starts sees an old goal for the first time.  Would it
-    write before it has read, the goal counted as new for good.
+def test_stored_times_are_never_replaced_by_later_ones(store, wall):
+    """A process that starts sees an old goal for the first time.  If it wrote
+    before it has read, the goal would count as new from then on.
     """
     first = Process(store, wall)
     first.history.add(goals.WeightGoal("m", 2))
     first.times.step()
-    pass_s(9, wall, first)
+    advance_s(9, wall, first)
     second = Process(store, wall)
     second.history.add(goals.WeightGoal("m", 2))
     second.times.step()
-    pass_s(1, wall, second)
+    advance_s(1, wall, second)
     third = Process(store, wall)
     third.times.step()
     assert third.history.oldest_allowed("m", 10.0) == 2
 
 
-def test_earlier_time_that_a_peer_knows_is_written(store, wall):
+def test_earlier_time_from_a_peer_is_written(store, wall):
     process = Process(store, wall)
     process.times.step()
     process.history.add(goals.WeightGoal("m", 2))
@@ -140,7 +140,7 @@
     assert store.writes == 2
 
 
-def test_instances_that_do_not_write_read_only(store, wall):
+def test_instance_that_is_no_writer_only_reads(store, wall):
     process = Process(store, wall, writes=False)
     process.history.add(goals.WeightGoal("m", 2))
     process.times.step()
@@ -148,20 +148,20 @@
     assert store.writes == 0
 
 
-def test_store_that_is_away_is_asked_again(store, wall):
-    store.away = True
+def test_read_is_retried_while_the_store_is_unavailable(store, wall):
+    store.is_down = True
     process = Process(store, wall)
     process.history.add(goals.WeightGoal("m", 2))
     with pytest.raises(records.StoreUnavailableError):
         process.times.step()
     assert not process.times.known.is_set()
-    store.away = False
+    store.is_down = False
     process.times.step()
     assert process.times.known.is_set()
     assert store.writes == 1
 
 
-def test_peer_that_knows_all_times_is_enough(store, wall):
+def test_times_are_known_once_a_peer_knows_them(store, wall):
     first, second = Process(store, wall), Process(store, wall)
     second.times.consume("first", first.times.provide())
     assert not second.times.known.is_set()
@@ -183,7 +183,7 @@
         msgpack.packb([[-1, 1]]),
     ],
 )
-def test_malformed_times_are_passed_over(store, wall, value):
+def test_malformed_times_are_ignored(store, wall, value):
     store.rows["bad"] = value
     first = Process(store, wall)
     first.history.add(goals.WeightGoal("m", 2))
@@ -206,7 +206,7 @@
     assert second.history.remaining_s("m", 1, 12.0) == pytest.approx(12.0)
 
 
-def test_few_newest_versions_are_kept(store, wall):
+def test_only_the_newest_versions_are_kept(store, wall):
     process = Process(store, wall)
     for version in range(1, 3 * goals.KEPT_VERSIONS):
         process.history.add(goals.WeightGoal("m", version))
@@ -215,9 +215,9 @@
 
 
 def test_clock_that_is_ahead_makes_no_goal_younger(store, wall):
-    """The clock of one instance jumps ahead, weights are named, and all
-    processes end.  Each instance writes the time by its own clock, the one
-    that is ahead writes last, and requests begin on replaced weights.
+    """The clock of one instance is ahead while weights are set, then all
+    processes end.  If the time that it writes last won, requests would run
+    on replaced weights.
     """
     right = Process(store, wall)
     ahead = Process(store, lambda: wall() + 5.0)
@@ -226,7 +226,7 @@
     for process in (right, ahead):
         process.history.add(goals.WeightGoal("m", 2))
         process.times.step()
-        pass_s(0.1, wall, right, ahead)
+        advance_s(0.1, wall, right, ahead)
     right.times.step()
     wall.now_s += 10
     after = Process(store, wall)
@@ -235,8 +235,8 @@
 
 
 def test_later_time_on_the_store_is_corrected(store, wall):
-    """A wrong time lies on the store.  An instance that starts hears from
-    its peers how old the goal is, before it reads; all processes end.
+    """The stored time is wrong.  An instance that starts gets the age of the
+    goal from its peers before it reads the store; then all processes end.
     """
     ahead = Process(store, lambda: wall() + 8.0)
     ahead.history.add(goals.WeightGoal("m", 2))
@@ -250,15 +250,15 @@
     assert third.history.oldest_allowed("m", 10.0) == 2
 
 
-def test_earlier_time_of_another_version_stays(store, wall):
-    """An instance that saw weights 2 late writes when weights 3 are named."""
+def test_earlier_time_of_another_version_is_kept(store, wall):
+    """An instance that saw weights 2 late writes when weights 3 are set."""
     first = Process(store, wall)
     first.history.add(goals.WeightGoal("m", 2))
     first.times.step()
     late = Process(store, wall)
     late.times.stored = {}
-    late.times.looked = True
-    pass_s(9, wall, first, late)
+    late.times.has_read = True
+    advance_s(9, wall, first, late)
     late.history.add(goals.WeightGoal("m", 2))
     late.history.add(goals.WeightGoal("m", 3))
     late.times.step()
@@ -268,9 +268,9 @@
     assert third.history.oldest_allowed("m", 9.5) == 2
 
 
-def test_fault_of_ours_does_not_end_the_thread(store, wall, monkeypatch):
-    """An answer that is not base64 raises another error than an outage
-    does.  The thread ends, and the instance is never ready again.
+def test_unexpected_error_does_not_end_the_thread(store, wall, monkeypatch):
+    """An answer that is not base64 raises a different error than an outage.
+    If it ended the thread, the instance would never become ready.
     """
     monkeypatch.setattr(goal_times, "RETRY_S", 0.01)
     process = Process(store, wall)
--- a/tests/weights/test_goals.py
+++ b/tests/weights/test_goals.py
@@ -24,7 +24,9 @@
     assert history.newest["m"].version == 3
 
 
-def test_each_version_excludes_older_ones_from_its_own_time_on(history, clock):
+def test_each_version_excludes_older_ones_a_while_after_it_was_set(
+    history, clock
+):
     history.add(goals.WeightGoal("m", 2))
     clock.now_s += 4
     history.add(goals.WeightGoal("m", 3))
@@ -36,8 +38,8 @@
 
 
 def test_instance_that_starts_late_learns_how_old_a_goal_is(history, clock):
-    """An instance is replaced in the middle of a rollout.  Counted from its
-    own start, it would send requests to old weights for too long.
+    """An instance that starts during a rollout sees an old goal for the first
+    time.  Counted from then, it would use old weights for too long.
     """
     history.add(goals.WeightGoal("m", 2))
     clock.now_s += 9
@@ -51,22 +53,22 @@
     assert late_history.oldest_allowed("m", 10.0) == 2
 
 
-def test_peers_word_that_an_engine_changes_counts_for_a_while(history, clock):
+def test_peers_report_that_an_engine_is_changing_expires(history, clock):
     peer = engine_weights.EngineWeights(history, clock)
     peer.begin_change("e1")
     peer.record_version("e2", "m", 2)
-    mine = engine_weights.EngineWeights(goals.GoalHistory(clock), clock)
-    mine.consume("peer", peer.provide())
-    assert mine.is_changing("e1")
-    assert mine.version("e2", "m", 1) == 2
+    local = engine_weights.EngineWeights(goals.GoalHistory(clock), clock)
+    local.consume("peer", peer.provide())
+    assert local.is_changing("e1")
+    assert local.version("e2", "m", 1) == 2
     clock.now_s += engine_weights.PEER_REPORT_TTL_S
-    assert not mine.is_changing("e1")
-    mine.forget("e2")
-    assert mine.version("e2", "m", 1) == 1
+    assert not local.is_changing("e1")
+    local.forget("e2")
+    assert local.version("e2", "m", 1) == 1
 
 
 @pytest.mark.parametrize(
-    "told",
+    "section",
     [
         (["e1"], [("e2", "m", "3")], []),
         (["e1"], [("e2", "m", 3)], [("m", 3, "old")]),
@@ -75,13 +77,13 @@
         7,
     ],
 )
-def test_nothing_of_a_malformed_word_is_taken_in(history, clock, told):
-    """A peer of another make tells a version as text.  Half of what it said
-    was taken in, and each comparison with that version failed from then on.
+def test_nothing_of_a_malformed_section_is_applied(history, clock, section):
+    """A peer of another release sends a version as text.  If half of its
+    section were applied, each later comparison with that version would fail.
     """
     known_weights = engine_weights.EngineWeights(history, clock)
     with pytest.raises(msgspec.DecodeError):
-        known_weights.consume("peer", msgspec.msgpack.encode(told))
+        known_weights.consume("peer", msgspec.msgpack.encode(section))
     assert not known_weights.is_changing("e1")
     assert known_weights.version("e2", "m", 1) == 1
-    assert history.all_seen() == {}
+    assert history.first_seen_times() == {}
--- a/tests/weights/test_leader.py
+++ b/tests/weights/test_leader.py
@@ -6,21 +6,21 @@
 from briarseam.weights import leader
 from tests import clocks
 
-# Renewals are less than the time apart for which one is valid.
+# Interval of renewals, shorter than the time for which each is valid.
 STEP_S = 1.0
-HELD = frozenset({("topic", 0)})
+OWN_PARTS = frozenset({("topic", 0)})
 
 
 class Group:
-    """A group's store, as one member sees it."""
+    """The store of a group, as one member sees it."""
 
     def __init__(self):
         self.share = records.GroupShare(1, frozenset())
-        self.away = False
+        self.is_down = False
 
     def join(self, group, member, topic, ttl_s, generation):
-        if self.away:
-            raise records.StoreUnavailableError("away")
+        if self.is_down:
+            raise records.StoreUnavailableError("down")
         return self.share
 
     def leave(self, group, member):
@@ -39,24 +39,26 @@
 
 @pytest.fixture
 def leadership(group, clock):
-    return leader.Leadership(group, "group", "topic", "me", 3.0, clock=clock)
+    return leader.Leadership(
+        group, "group", "topic", "local", 3.0, clock=clock
+    )
 
 
-def hold(leadership, group, clock, generation=5):
-    group.share = records.GroupShare(generation, HELD)
+def become_leader(leadership, group, clock, generation=5):
+    group.share = records.GroupShare(generation, OWN_PARTS)
     leadership.join_once()
     for _ in range(4):
         clock.now_s += STEP_S
         leadership.join_once()
 
 
-def test_new_holder_waits_until_the_former_one_has_stopped(
+def test_new_leader_waits_until_the_former_one_has_stopped(
     leadership, group, clock
 ):
-    """Two holders take turns: the former one sends an order a moment before
-    the new one does, since it does not know yet that it lost the duty.
+    """Orders of two leaders would interleave: the former one sends an order
+    just before the new one, as it does not know yet of its loss.
     """
-    group.share = records.GroupShare(5, HELD)
+    group.share = records.GroupShare(5, OWN_PARTS)
     leadership.join_once()
     assert leadership.fence() is None
     for _ in range(2):
@@ -68,9 +70,9 @@
     assert leadership.fence() == 5
 
 
-def test_holder_that_cannot_renew_stops_in_time(leadership, group, clock):
-    hold(leadership, group, clock)
-    group.away = True
+def test_leader_that_cannot_renew_stops_in_time(leadership, group, clock):
+    become_leader(leadership, group, clock)
+    group.is_down = True
     with pytest.raises(records.StoreUnavailableError):
         leadership.join_once()
     assert leadership.fence() == 5
@@ -78,13 +80,13 @@
     assert leadership.fence() is None
 
 
-def test_holder_that_was_suspended_waits_again(leadership, group, clock):
-    """A holder is suspended for seconds.  Another one held the duty
-    meanwhile and lost it again; its last order is still on the way.
+def test_leader_that_was_suspended_waits_again(leadership, group, clock):
+    """A leader is suspended for seconds.  In between another instance became
+    leader and lost it again; its last order may still arrive.
     """
-    hold(leadership, group, clock)
+    become_leader(leadership, group, clock)
     clock.now_s += 20
-    group.share = records.GroupShare(9, HELD)
+    group.share = records.GroupShare(9, OWN_PARTS)
     leadership.join_once()
     assert leadership.fence() is None
     for _ in range(4):
@@ -93,58 +95,58 @@
     assert leadership.fence() == 9
 
 
-def test_duty_is_lost_when_the_store_gives_it_to_another(
+def test_leadership_is_lost_when_the_store_gives_it_to_another(
     leadership, group, clock
 ):
-    hold(leadership, group, clock)
+    become_leader(leadership, group, clock)
     group.share = records.GroupShare(6, frozenset())
     leadership.join_once()
     assert leadership.fence() is None
 
 
-def test_number_that_an_engine_refused_is_not_used_again(
-    leadership, group, clock
-):
-    hold(leadership, group, clock)
-    leadership.note_superseded(5)
+def test_refused_fencing_number_is_not_used_again(leadership, group, clock):
+    become_leader(leadership, group, clock)
+    leadership.record_superseded(5)
     assert leadership.fence() is None
-    group.share = records.GroupShare(8, HELD)
+    group.share = records.GroupShare(8, OWN_PARTS)
     leadership.join_once()
     assert leadership.fence() == 8
 
 
-def test_instance_that_need_not_stand_leaves_the_duty(
+def test_instance_that_is_no_candidate_leaves_the_group(
     leadership, group, clock
 ):
-    """85 instances each renew twice a second what one of them holds."""
-    standing = [True]
-    leadership.is_candidate = lambda: standing[0]
-    hold(leadership, group, clock)
+    """If each of 85 instances were a candidate, each would call the store
+    twice a second.
+    """
+    candidate = [True]
+    leadership.is_candidate = lambda: candidate[0]
+    become_leader(leadership, group, clock)
     assert leadership.fence() is not None
-    standing[0] = False
-    leadership.take_part()
+    candidate[0] = False
+    leadership.update_membership()
     assert leadership.fence() is None
     assert group.share.parts == frozenset()
-    group.away = True
-    leadership.take_part()
-    group.away = False
-    standing[0] = True
-    hold(leadership, group, clock, generation=9)
+    group.is_down = True
+    leadership.update_membership()
+    group.is_down = False
+    candidate[0] = True
+    become_leader(leadership, group, clock, generation=9)
     assert leadership.fence() == 9
 
 
-def test_instance_that_stopped_meanwhile_holds_nothing(leadership, group):
-    """A call to the store is under way when the instance is stopped.  Its
-    answer comes after the duty was given up, and is taken in all the same.
+def test_instance_stopped_during_a_call_is_no_leader(leadership, group):
+    """The store answers a call after the instance was stopped and has given
+    up the leadership; the answer must not restore it.
     """
     join = group.join
 
-    def stop_meanwhile(*asked):
-        group.share = records.GroupShare(5, HELD)
-        share = join(*asked)
+    def stop_during_call(*args):
+        group.share = records.GroupShare(5, OWN_PARTS)
+        share = join(*args)
         leadership.stop()
         return share
 
-    group.join = stop_meanwhile
+    group.join = stop_during_call
     leadership.join_once()
-    assert leadership.held is None
+    assert leadership.grant is None
--- a/tests/weights/test_leader_reports.py
+++ b/tests/weights/test_leader_reports.py
@@ -12,14 +12,14 @@
 
 
 class Instance:
-    """One instance; ``others`` and the check of numbers can be set."""
+    """One instance; ``others`` and ``check_fence`` can be set."""
 
     def __init__(self, name, others, clock):
         self.name = name
         self.others = others
-        self.check = True
+        self.check_fence = True
         self.reports = leader_reports.LeaderReports(
-            lambda: self.others, lambda: self.check, clock
+            lambda: self.others, lambda: self.check_fence, clock
         )
 
 
@@ -29,8 +29,8 @@
 
 
 @pytest.fixture
-def me(clock):
-    return Instance("me", ["a", "b"], clock)
+def local(clock):
+    return Instance("local", ["a", "b"], clock)
 
 
 @pytest.fixture
@@ -38,98 +38,104 @@
     return [Instance("a", [], clock), Instance("b", [], clock)]
 
 
-def pass_s(seconds, me, clock):
-    """Let time pass in which this instance is not suspended."""
+def advance_s(seconds, local, clock):
+    """Advance the clock while this instance is not suspended."""
     for _ in range(int(seconds / HEARTBEAT_S)):
         clock.now_s += HEARTBEAT_S
-        me.reports.record_active()
+        local.reports.record_active()
 
 
-def beat(me, *peers):
+def exchange_heartbeats(local, *peers):
     for peer in peers:
-        me.reports.consume(peer.name, peer.reports.provide())
+        local.reports.consume(peer.name, peer.reports.provide())
 
 
-def quiet(me, clock, gained_s):
-    return me.reports.are_others_idle(gained_s, LEASE_S)
+def are_others_idle(local, clock, gained_s):
+    return local.reports.are_others_idle(gained_s, LEASE_S)
 
 
-def test_nobody_is_waited_for_once_all_others_say_that_they_do_not_order(
-    me, peers, clock
+def test_no_wait_once_all_others_report_that_they_are_not_leader(
+    local, peers, clock
 ):
-    """All processes start anew; a holder would wait for those that ended."""
+    """All processes have restarted; waiting for those that ended would cost
+    the rollout time.
+    """
     gained_s = clock.now_s
-    assert not quiet(me, clock, gained_s)
-    beat(me, peers[0])
-    assert not quiet(me, clock, gained_s)
-    beat(me, peers[1])
-    assert quiet(me, clock, gained_s)
+    assert not are_others_idle(local, clock, gained_s)
+    exchange_heartbeats(local, peers[0])
+    assert not are_others_idle(local, clock, gained_s)
+    exchange_heartbeats(local, peers[1])
+    assert are_others_idle(local, clock, gained_s)
 
 
-def test_words_from_before_the_duty_moved_do_not_count(me, peers, clock):
-    """A peer that did not hold the duty may have held it in between."""
-    beat(me, *peers)
+def test_report_from_before_the_leadership_does_not_count(local, peers, clock):
+    """A peer that was not leader may have been leader in between."""
+    exchange_heartbeats(local, *peers)
     clock.now_s += HEARTBEAT_S
-    assert not quiet(me, clock, clock.now_s)
+    assert not are_others_idle(local, clock, clock.now_s)
 
 
-def test_former_holder_that_does_not_know_of_its_loss_is_waited_for(
-    me, peers, clock
+def test_former_leader_that_does_not_know_of_its_loss_is_waited_for(
+    local, peers, clock
 ):
     peers[0].reports.is_leader = lambda: True
-    beat(me, *peers)
-    assert not quiet(me, clock, clock.now_s)
+    exchange_heartbeats(local, *peers)
+    assert not are_others_idle(local, clock, clock.now_s)
 
 
-def test_former_holder_is_waited_for_since_its_last_order(me, peers, clock):
-    """Two holders would take turns within a lease."""
+def test_wait_lasts_a_lease_from_the_former_leaders_last_order(
+    local, peers, clock
+):
+    """Otherwise orders of two leaders would interleave within a lease."""
     gained_s = clock.now_s
     peers[0].reports.record_order()
     clock.now_s += LEASE_S - HEARTBEAT_S
-    beat(me, *peers)
-    assert not quiet(me, clock, gained_s)
+    exchange_heartbeats(local, *peers)
+    assert not are_others_idle(local, clock, gained_s)
     clock.now_s += HEARTBEAT_S + 0.01
-    beat(me, *peers)
-    assert quiet(me, clock, gained_s)
+    exchange_heartbeats(local, *peers)
+    assert are_others_idle(local, clock, gained_s)
 
 
-def test_order_of_an_instance_that_fell_silent_still_counts(me, peers, clock):
+def test_order_of_a_silent_instance_still_counts(local, peers, clock):
     peers[0].reports.record_order()
-    beat(me, *peers)
-    pass_s(leader_reports.SILENT_S + HEARTBEAT_S, me, clock)
+    exchange_heartbeats(local, *peers)
+    advance_s(leader_reports.SILENT_S + HEARTBEAT_S, local, clock)
     gained_s = clock.now_s
-    beat(me, peers[1])
-    assert not quiet(me, clock, gained_s)
-    pass_s(LEASE_S, me, clock)
-    beat(me, peers[1])
-    assert quiet(me, clock, gained_s)
+    exchange_heartbeats(local, peers[1])
+    assert not are_others_idle(local, clock, gained_s)
+    advance_s(LEASE_S, local, clock)
+    exchange_heartbeats(local, peers[1])
+    assert are_others_idle(local, clock, gained_s)
 
 
-def test_silent_instance_is_waited_for_where_engines_check_no_number(
-    me, peers, clock
+def test_silent_instance_is_waited_for_if_engines_check_no_fence(
+    local, peers, clock
 ):
-    """It may be suspended with an order on the way, which they would take."""
-    pass_s(10 * leader_reports.SILENT_S, me, clock)
+    """It may be suspended, and engines would accept an order that is still
+    on the way.
+    """
+    advance_s(10 * leader_reports.SILENT_S, local, clock)
     gained_s = clock.now_s
-    assert quiet(me, clock, gained_s)
-    me.check = False
-    assert not quiet(me, clock, gained_s)
+    assert are_others_idle(local, clock, gained_s)
+    local.check_fence = False
+    assert not are_others_idle(local, clock, gained_s)
 
 
-def test_instances_that_are_not_known_are_waited_for(me, clock):
-    me.others = None
-    pass_s(10 * leader_reports.SILENT_S, me, clock)
-    assert not quiet(me, clock, clock.now_s)
+def test_unknown_instances_are_waited_for(local, clock):
+    local.others = None
+    advance_s(10 * leader_reports.SILENT_S, local, clock)
+    assert not are_others_idle(local, clock, clock.now_s)
 
 
-def test_only_instance_waits_for_nobody(me, clock):
-    me.others = []
-    me.check = False
-    assert quiet(me, clock, clock.now_s)
+def test_only_instance_does_not_wait(local, clock):
+    local.others = []
+    local.check_fence = False
+    assert are_others_idle(local, clock, clock.now_s)
 
 
 class Group:
-    """A group's store that has given its partition to one member."""
+    """A store that has assigned the group's partition to one member."""
 
     generation = 5
 
@@ -143,136 +149,136 @@
 
 
 @pytest.fixture
-def leadership(me, clock):
+def leadership(local, clock):
     return leader.Leadership(
         Group(),
         "group",
         "topic",
-        "me",
+        "local",
         LEASE_S,
-        are_others_idle=lambda since_s: me.reports.are_others_idle(
+        are_others_idle=lambda since_s: local.reports.are_others_idle(
             since_s, LEASE_S
         ),
         clock=clock,
     )
 
 
-def test_holder_orders_as_soon_as_the_others_are_quiet(
-    me, peers, leadership, clock
+def test_leader_orders_as_soon_as_the_others_are_idle(
+    local, peers, leadership, clock
 ):
     leadership.join_once()
     assert leadership.fence() is None
     clock.now_s += HEARTBEAT_S
-    beat(me, *peers)
+    exchange_heartbeats(local, *peers)
     leadership.join_once()
     assert leadership.fence() == 5
 
 
-def test_holder_that_may_order_goes_on_while_others_are_not_heard(
-    me, peers, leadership, clock
+def test_leader_that_may_order_continues_while_others_are_unknown(
+    local, peers, leadership, clock
 ):
-    """Once nobody else gave orders, nobody else can: the store says so."""
+    """Once no other instance gave orders, none can, as the store makes only
+    one of them the leader.
+    """
     leadership.join_once()
-    beat(me, *peers)
+    exchange_heartbeats(local, *peers)
     assert leadership.fence() == 5
     clock.now_s += 1.0
     leadership.join_once()
-    me.others = None
+    local.others = None
     assert leadership.fence() == 5
 
 
-def test_order_of_an_instance_that_left_still_counts(me, peers, clock):
-    """Instances are stopped and started in turn while weights are changed.
-
-    The holder orders, is stopped at once, gives the duty up and takes its
-    registration away.  The next holder no longer lists it, and orders less
-    than a lease after it.
+def test_order_of_an_instance_that_left_still_counts(local, peers, clock):
+    """During a rolling restart the leader orders, stops at once and removes
+    its registration.  The next leader no longer lists it and must still not
+    order within a lease of that order.
     """
     peers[0].reports.record_order()
-    beat(me, *peers)
+    exchange_heartbeats(local, *peers)
     gained_s = clock.now_s
-    me.others = ["b"]
+    local.others = ["b"]
     clock.now_s += HEARTBEAT_S
-    beat(me, peers[1])
-    assert not quiet(me, clock, gained_s)
+    exchange_heartbeats(local, peers[1])
+    assert not are_others_idle(local, clock, gained_s)
     clock.now_s += LEASE_S
-    beat(me, peers[1])
-    assert quiet(me, clock, gained_s)
+    exchange_heartbeats(local, peers[1])
+    assert are_others_idle(local, clock, gained_s)
 
 
-def test_last_other_instance_that_left_still_counts(me, peers, clock):
-    """Of two instances the holder orders and is stopped.  The one that is
-    left lists nobody; its engines check no number, so that an order of the
-    former holder may be carried out after one of its own.
+def test_last_other_instance_that_left_still_counts(local, peers, clock):
+    """Of two instances the leader orders and is stopped.  The remaining one
+    lists no others.  Its engines check no fencing number, so they may carry
+    out the former leader's order after one of the new leader.
     """
-    me.check = False
-    me.others = ["a"]
+    local.check_fence = False
+    local.others = ["a"]
     peers[0].reports.record_order()
-    beat(me, peers[0])
+    exchange_heartbeats(local, peers[0])
     gained_s = clock.now_s
-    me.others = []
+    local.others = []
     clock.now_s += HEARTBEAT_S
-    assert not quiet(me, clock, gained_s)
-
+    assert not are_others_idle(local, clock, gained_s)
 
-def test_order_from_before_a_restart_still_counts(me, peers, clock):
-    """The holder orders, ends by itself and is back within a second.
 
-    Its new process knows of no order and says so; what its former process
-    said is lost with that, and another holder orders within a lease.
+def test_order_from_before_a_restart_still_counts(local, peers, clock):
+    """The leader orders, ends and restarts within a second.  Its new process
+    reports no order; that must not hide the order of the former process.
     """
     peers[0].reports.record_order()
-    beat(me, *peers)
+    exchange_heartbeats(local, *peers)
     clock.now_s += HEARTBEAT_S
     gained_s = clock.now_s
-    beat(me, Instance("a", [], clock), peers[1])
-    assert not quiet(me, clock, gained_s)
+    exchange_heartbeats(local, Instance("a", [], clock), peers[1])
+    assert not are_others_idle(local, clock, gained_s)
 
 
-def test_order_after_the_last_heartbeat_of_a_holder_still_counts(
-    me, peers, clock
+def test_order_after_the_last_heartbeat_of_a_leader_still_counts(
+    local, peers, clock
 ):
-    """The holder orders and is lost before its next heartbeat, or only its
-    link to this instance is cut.  The store gives the duty away 2.2 s
-    after the holder's last call.  It was heard as the holder, so that it
-    may have ordered for as long as its tenure went on.
+    """The leader orders and fails before its next heartbeat, or its link to
+    this instance is cut.  The store gives the leadership away 2.2 s after
+    its last call.  Its last report was that of the leader, so it may have
+    ordered until its leadership expired.
     """
     peers[0].reports.is_leader = lambda: True
-    beat(me, *peers)
+    exchange_heartbeats(local, *peers)
     clock.now_s += HEARTBEAT_S
     ordered_s = clock.now_s
     peers[0].reports.record_order()
     clock.now_s += leader.TTL_S - HEARTBEAT_S
     gained_s = clock.now_s
-    beat(me, peers[1])
+    exchange_heartbeats(local, peers[1])
     assert clock.now_s - ordered_s < LEASE_S
-    assert not quiet(me, clock, gained_s)
+    assert not are_others_idle(local, clock, gained_s)
 
 
-def test_holder_that_falls_silent_is_waited_for_while_its_time_runs(
-    me, peers, clock
+def test_silent_leader_is_waited_for_until_its_leadership_expires(
+    local, peers, clock
 ):
-    """It was heard as the holder and may have ordered until its time was
-    over; the last it could tell of was before that.
+    """It may have ordered after its last report, until its leadership
+    expired.
     """
     peers[0].reports.is_leader = lambda: True
-    beat(me, *peers)
-    pass_s(leader_reports.SILENT_S + HEARTBEAT_S, me, clock)
+    exchange_heartbeats(local, *peers)
+    advance_s(leader_reports.SILENT_S + HEARTBEAT_S, local, clock)
     gained_s = clock.now_s
-    beat(me, peers[1])
-    assert not quiet(me, clock, gained_s)
-    pass_s(LEASE_S, me, clock)
-    beat(me, peers[1])
-    assert quiet(me, clock, gained_s)
+    exchange_heartbeats(local, peers[1])
+    assert not are_others_idle(local, clock, gained_s)
+    advance_s(LEASE_S, local, clock)
+    exchange_heartbeats(local, peers[1])
+    assert are_others_idle(local, clock, gained_s)
 
 
-def test_words_heard_before_an_own_suspension_do_not_count(me, peers, clock):
-    """This instance is suspended for some seconds, wakes and is given the
-    duty by the store before it has heard anybody.  To it all others are
-    silent, though one of them has just given an order.
+def test_reports_from_before_an_own_suspension_do_not_count(
+    local, peers, clock
+):
+    """This instance is suspended for some seconds and becomes leader before
+    it receives a heartbeat.  All others look silent to it, although one of
+    them has just given an order.
     """
-    beat(me, *peers)
+    exchange_heartbeats(local, *peers)
     clock.now_s += 2 * leader_reports.SILENT_S
     peers[0].reports.record_order()
     clock.now_s += HEARTBEAT_S
-    assert not quiet(me, clock, clock.now_s)
+    assert not are_others_idle(local, clock, clock.now_s)
--- a/tests/weights/test_rollout.py
+++ b/tests/weights/test_rollout.py
@@ -17,7 +17,7 @@
 from briarseam.weights import rollout as rollouts
 
 
-class Duty:
+class FakeLeadership:
     def __init__(self):
         self.number = 7
         self.refused = []
@@ -25,19 +25,19 @@
     def fence(self):
         return self.number
 
-    def note_superseded(self, fence):
+    def record_superseded(self, fence):
         self.refused.append(fence)
         self.number = None
 
 
 class Engines:
-    """Engines that take orders at once, each loading one report long."""
+    """Engines that accept orders at once and are loading for one report."""
 
     def __init__(self, count):
         self.versions = {f"e{number}": 1 for number in range(count)}
         self.taken = dict.fromkeys(self.versions, 0)
         self.loading = {}
-        self.most_loading = 0
+        self.max_loading = 0
         self.orders = []
         self.answer = None
         self.lock = threading.Lock()
@@ -60,7 +60,7 @@
                 return self.answer
             self.taken[endpoint] += 1
             self.loading[endpoint] = order.version
-            self.most_loading = max(self.most_loading, len(self.loading))
+            self.max_loading = max(self.max_loading, len(self.loading))
             return orders.Taken()
 
 
@@ -74,7 +74,7 @@
 class Case:
     def __init__(self, count=5):
         self.engines = Engines(count)
-        self.duty = Duty()
+        self.leadership = FakeLeadership()
         self.known_weights = engine_weights.EngineWeights(goals.GoalHistory())
         self.goal = goals.WeightGoal("m", 2)
         self.rollout = rollouts.Rollout(
@@ -83,10 +83,10 @@
                 targets=lambda model: [
                     endpoint(name, 1) for name in self.engines.versions
                 ],
-                leadership=self.duty,
+                leadership=self.leadership,
                 engines=self.engines,
                 known_weights=self.known_weights,
-                own_name="me",
+                own_name="local",
             )
         )
 
@@ -99,41 +99,41 @@
 
 @pytest.fixture
 def case():
-    made = Case()
-    made.rollout.start()
-    yield made
-    made.rollout.stop()
+    case = Case()
+    case.rollout.start()
+    yield case
+    case.rollout.stop()
 
 
-def test_all_engines_get_the_wanted_weights_two_at_a_time(case):
+def test_all_engines_get_the_desired_weights_two_at_a_time(case):
     waiting.until(lambda: set(case.engines.versions.values()) == {2})
     assert len(case.engines.orders) == 5
-    assert case.engines.most_loading <= plans.EASY_AT_ONCE
+    assert case.engines.max_loading <= plans.MIN_RELAXED
     waiting.until(lambda: not case.known_weights.changing)
     assert case.known_weights.version("e0", "m", 1) == 2
 
 
-def test_no_order_is_given_without_the_duty(case):
-    case.duty.number = None
+def test_only_the_leader_gives_orders(case):
+    case.leadership.number = None
     case.goal = goals.WeightGoal("m", 3)
     given = len(case.engines.orders)
     waiting.until(lambda: not case.rollout.busy)
     assert all(order.version == 2 for _, order in case.engines.orders[given:])
 
 
-def test_refused_number_ends_the_orders():
-    made = Case(count=1)
-    made.engines.answer = orders.Superseded()
-    made.rollout.start()
-    waiting.until(lambda: made.duty.refused == [7])
-    made.rollout.stop()
-    assert len(made.engines.orders) == 1
+def test_superseded_order_ends_the_orders():
+    case = Case(count=1)
+    case.engines.answer = orders.Superseded()
+    case.rollout.start()
+    waiting.until(lambda: case.leadership.refused == [7])
+    case.rollout.stop()
+    assert len(case.engines.orders) == 1
 
 
-def test_order_whose_answer_is_lost_can_only_be_taken_once(case):
+def test_order_whose_answer_is_lost_can_be_accepted_only_once(case):
     """An engine does not answer an order and carries it out seconds later,
-    after the order was repeated.  Both name the number of orders that the
-    engine had taken, so the late one changes nothing.
+    after the order was repeated.  Both orders carry the number of orders
+    that the engine had accepted, so the late one has no effect.
     """
     case.engines.answer = orders.Lost("no answer")
     case.goal = goals.WeightGoal("m", 3)
@@ -148,29 +148,29 @@
     assert len(expected) <= 1
 
 
-class Slow(Engines):
-    """Engines that load until four of them do, as loads take seconds."""
+class SlowEngines(Engines):
+    """Engines that are loading until four of them are at once."""
 
     def report(self, address, endpoint):
         with self.lock:
-            if endpoint in self.loading and self.most_loading < 4:
+            if endpoint in self.loading and self.max_loading < 4:
                 return orders.Report({"m": 1}, True, self.taken[endpoint])
         return super().report(address, endpoint)
 
 
-def test_many_engines_are_changed_more_at_a_time():
-    made = Case(count=20)
-    made.engines = Slow(20)
-    made.rollout.sources = dataclasses.replace(
-        made.rollout.sources, engines=made.engines
+def test_more_of_many_engines_are_changed_at_once():
+    case = Case(count=20)
+    case.engines = SlowEngines(20)
+    case.rollout.sources = dataclasses.replace(
+        case.rollout.sources, engines=case.engines
     )
-    made.rollout.start()
-    waiting.until(lambda: set(made.engines.versions.values()) == {2})
-    made.rollout.stop()
-    assert made.engines.most_loading == 4
+    case.rollout.start()
+    waiting.until(lambda: set(case.engines.versions.values()) == {2})
+    case.rollout.stop()
+    assert case.engines.max_loading == 4
 
 
-class Unshown(Engines):
+class LaggingEngines(Engines):
     """Engines whose reports do not show an order for a while."""
 
     def __init__(self, count):
@@ -189,19 +189,19 @@
 
 
 def test_order_that_reports_do_not_show_yet_is_not_repeated():
-    """Reports are some hundred milliseconds old; each order is paid for."""
-    made = Case(count=3)
-    made.engines = Unshown(3)
-    made.rollout.sources = dataclasses.replace(
-        made.rollout.sources, engines=made.engines
+    """Reports are some hundred milliseconds old; each order has a cost."""
+    case = Case(count=3)
+    case.engines = LaggingEngines(3)
+    case.rollout.sources = dataclasses.replace(
+        case.rollout.sources, engines=case.engines
     )
-    made.rollout.start()
-    waiting.until(lambda: set(made.engines.versions.values()) == {2})
-    made.rollout.stop()
-    assert len(made.engines.orders) == 3
+    case.rollout.start()
+    waiting.until(lambda: set(case.engines.versions.values()) == {2})
+    case.rollout.stop()
+    assert len(case.engines.orders) == 3
 
 
-class Silent(Engines):
+class SilentEngines(Engines):
     """Engines of which some do not report."""
 
     def report(self, address, endpoint):
@@ -211,22 +211,22 @@
         return super().report(address, endpoint)
 
 
-def test_engines_that_do_not_report_do_not_keep_others_from_their_turn():
-    """Two engines hang; two at a time are changed, and these came first
-    each time, so that the others kept their old weights.
+def test_engines_that_do_not_report_do_not_delay_the_others():
+    """Two engines hang, and two are changed at a time.  If these came first
+    each time, the others would keep their old weights.
     """
-    made = Case(count=6)
-    made.engines = Silent(6)
-    made.rollout.sources = dataclasses.replace(
-        made.rollout.sources, engines=made.engines
+    case = Case(count=6)
+    case.engines = SilentEngines(6)
+    case.rollout.sources = dataclasses.replace(
+        case.rollout.sources, engines=case.engines
     )
-    made.rollout.start()
-    waiting.until(lambda: list(made.engines.versions.values()).count(2) == 4)
-    made.rollout.stop()
+    case.rollout.start()
+    waiting.until(lambda: list(case.engines.versions.values()).count(2) == 4)
+    case.rollout.stop()
 
 
-class Replaced(Engines):
-    """Engines of which some have started anew under another id."""
+class ReplacedEngines(Engines):
+    """Engines of which some have restarted under another id."""
 
     def order(self, address, endpoint, order):
         if endpoint in {"e0", "e1"}:
@@ -235,56 +235,57 @@
         return super().order(address, endpoint, order)
 
 
-def test_engines_that_refuse_orders_do_not_keep_others_from_their_turn():
-    """Two engines crash and come back as others at the same address, while
-    their old entries still stand.  The orders to them were repeated for
-    eight seconds, and no other engine got new weights meanwhile.
+def test_engines_that_refuse_orders_do_not_delay_the_others():
+    """Two engines crash and other ones start at their addresses, while the old
+    entries still exist.  If the orders to them were repeated, no other engine
+    would get new weights for eight seconds.
     """
-    made = Case(count=6)
-    made.engines = Replaced(6)
-    made.rollout.sources = dataclasses.replace(
-        made.rollout.sources, engines=made.engines
+    case = Case(count=6)
+    case.engines = ReplacedEngines(6)
+    case.rollout.sources = dataclasses.replace(
+        case.rollout.sources, engines=case.engines
     )
-    made.rollout.start()
-    waiting.until(lambda: list(made.engines.versions.values()).count(2) == 4)
-    made.rollout.stop()
-    refused = [name for name, _ in made.engines.orders if name in {"e0", "e1"}]
+    case.rollout.start()
+    waiting.until(lambda: list(case.engines.versions.values()).count(2) == 4)
+    case.rollout.stop()
+    refused = [name for name, _ in case.engines.orders if name in {"e0", "e1"}]
     assert len(refused) <= 4
 
 
-def test_peers_are_told_at_once_before_an_engine_takes_no_work(monkeypatch):
-    """Peers heard it with the next heartbeat, half a second later, and sent
-    on; a prompt that may be tried once was refused.
+def test_change_is_published_to_peers_before_the_order(monkeypatch):
+    """If peers learned of it with the next heartbeat only, half a second
+    later, a prompt that may be tried only once could be sent to an engine
+    that refuses it.
     """
     monkeypatch.setattr(engine_updates, "SHORT_NOTICE_S", 0.01)
-    made = Case(count=1)
-    told = []
-    made.rollout.sources = dataclasses.replace(
-        made.rollout.sources,
-        publish=lambda: told.append(
-            (made.known_weights.is_changing("e0"), len(made.engines.orders))
+    case = Case(count=1)
+    published = []
+    case.rollout.sources = dataclasses.replace(
+        case.rollout.sources,
+        publish=lambda: published.append(
+            (case.known_weights.is_changing("e0"), len(case.engines.orders))
         ),
         remaining_s=lambda model, version: 0.5,
     )
-    made.rollout.start()
-    waiting.until(lambda: made.engines.versions == {"e0": 2})
-    made.rollout.stop()
-    assert told == [(True, 0)]
+    case.rollout.start()
+    waiting.until(lambda: case.engines.versions == {"e0": 2})
+    case.rollout.stop()
+    assert published == [(True, 0)]
 
 
-def test_runs_are_not_waited_for_when_time_is_short():
-    made = Case(count=6)
-    made.rollout.sources = dataclasses.replace(
-        made.rollout.sources, remaining_s=lambda model, version: 8.0
+def test_runs_are_retained_when_time_is_short():
+    case = Case(count=6)
+    case.rollout.sources = dataclasses.replace(
+        case.rollout.sources, remaining_s=lambda model, version: 8.0
     )
-    made.rollout.start()
-    waiting.until(lambda: set(made.engines.versions.values()) == {2})
-    made.rollout.stop()
-    assert made.engines.orders[0][1].mode is orders.Mode.RETAIN
+    case.rollout.start()
+    waiting.until(lambda: set(case.engines.versions.values()) == {2})
+    case.rollout.stop()
+    assert case.engines.orders[0][1].mode is orders.Mode.RETAIN
 
 
 def planned(case, versions):
-    """Return the plan for engines with these weights, 60 s to go."""
+    """Return the plan for engines with these weights, with 60 s left."""
     history = case.known_weights.history
     history.add(goals.WeightGoal("m", 2), age_s=100.0)
     history.add(goals.WeightGoal("m", 3))
@@ -299,24 +300,24 @@
         ),
     )
     goal = goals.WeightGoal("m", 3)
-    behind = case.rollout.behind(goal, targets)
-    return case.rollout.plan(goal, targets, behind)
+    outdated = case.rollout.outdated(goal, targets)
+    return case.rollout.plan(goal, targets, outdated)
 
 
 @pytest.mark.parametrize("version", [0, 1])
-def test_engine_out_of_use_does_not_hurry_the_others(version):
-    """An engine is restarting, so that its weights are not known, or did
-    not answer when weights 2 were put in place.  Nothing is gained by
-    haste, but the runs of all others are changed under way, and what they
-    make from then on counts for nothing.
+def test_engine_with_excluded_weights_does_not_hurry_the_others(version):
+    """An engine is restarting, so its weights are not known, or it did not
+    answer when weights 2 were rolled out.  A faster plan would gain nothing,
+    but change the weights of active runs, whose further output would be
+    useless.
     """
     plan = planned(Case(), [version, 2, 2, 2, 2, 2])
     assert plan.mode is orders.Mode.FINISH
 
 
 def test_plan_is_logged_once_for_each_of_two_models(case):
-    """Weights of two models are named; each review logs both plans anew,
-    eight lines a second for as long as the rollouts last.
+    """If each review logged both plans again, the rollouts of two models would
+    log eight lines a second.
     """
     case.rollout.stop()
     case.rollout.reviews.thread.join()
@@ -330,26 +331,27 @@
         for _review in range(4):
             for goal in both:
                 case.rollout.plan(goal, targets, targets)
-    found = [line for line in lines if line["event"] == "rollout_planned"]
-    assert len(found) == 2
+    planned_lines = [
+        line for line in lines if line["event"] == "rollout_planned"
+    ]
+    assert len(planned_lines) == 2
 
 
-def test_engines_under_way_do_not_count_as_not_begun():
-    """Sixty engines, 18 s: three rounds of twenty, five seconds each, are
-    in time.  Two seconds later the twenty under way still count as to be
-    done, so that what is left looks like three rounds of less time than
-    that; the rest has its runs changed under way, and four more engines
-    are out of service at once.
+def test_engines_being_changed_do_not_count_as_outdated():
+    """Sixty engines in 18 s: three rounds of twenty, five seconds each, end
+    in time.  If the twenty engines of the first round still counted as
+    outdated two seconds later, the rest would look late: active runs would
+    not finish, and four more engines would be out of service at once.
     """
-    made = Case(count=60)
+    case = Case(count=60)
     targets = [endpoint(f"e{number}", 1) for number in range(60)]
     goal = goals.WeightGoal("m", 2)
-    left_s = [17.7]
-    made.rollout.sources = dataclasses.replace(
-        made.rollout.sources, remaining_s=lambda model, version: left_s[0]
+    remaining_s = [17.7]
+    case.rollout.sources = dataclasses.replace(
+        case.rollout.sources, remaining_s=lambda model, version: remaining_s[0]
     )
-    first = made.rollout.plan(goal, targets, targets)
+    first = case.rollout.plan(goal, targets, targets)
     assert first == plans.Plan(20, orders.Mode.FINISH)
-    made.rollout.busy.update(target.id for target in targets[:20])
-    left_s[0] -= 2.0
-    assert made.rollout.plan(goal, targets, targets) == first
+    case.rollout.busy.update(target.id for target in targets[:20])
+    remaining_s[0] -= 2.0
+    assert case.rollout.plan(goal, targets, targets) == first
