--- a/src/briarseam/membership/calling.py
+++ b/src/briarseam/membership/client_factory.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Calling:
+class ClientFactory:
     """What opening a connection to another agent takes.
 
     Attributes
--- a/src/briarseam/membership/directory.py
+++ b/src/briarseam/membership/directory.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Known:
+class TrackedSummary:
     """A summary and when its cell was last seen to live.
 
     Attributes
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Answer:
+class DerivedView:
     """What is worked out from the summaries, kept until they change.
 
     Attributes
@@ -70,70 +70,81 @@
     def __init__(self, clock: tables.Clock) -> None:
         self.clock = clock
         self.lock = threading.Lock()
-        self.known: dict[str, Known] = {}
-        self.told_lost: frozenset[str] = frozenset()
-        self.judges = True
+        self.summaries: dict[str, TrackedSummary] = {}
+        self.reported_lost: frozenset[str] = frozenset()
+        self.is_contact = True
         self.revision = 0
-        self.answer = Answer(-1, frozenset(), "", b"", ())
+        self.derived = DerivedView(-1, frozenset(), "", b"", ())
 
     def apply(
         self, summaries: typing.Iterable[messages.CellSummary]
     ) -> tuple[messages.CellSummary, ...]:
         """Take in summaries; return those that were news."""
-        news = []
+        updates = []
         with self.lock:
             for summary in summaries:
-                found = self.known.get(summary.cell)
-                if found is not None and not is_newer(
-                    summary.stamp, found.summary.stamp
+                tracked = self.summaries.get(summary.cell)
+                if tracked is not None and not is_newer(
+                    summary.stamp, tracked.summary.stamp
                 ):
                     continue
-                self.known[summary.cell] = Known(summary, self.clock())
+                self.summaries[summary.cell] = TrackedSummary(
+                    summary, self.clock()
+                )
                 if (
-                    found is None
-                    or found.summary.stamp.version != summary.stamp.version
+                    tracked is None
+                    or tracked.summary.stamp.version != summary.stamp.version
                 ):
                     self.revision += 1
-                    news.append(summary)
-        return tuple(news)
+                    updates.append(summary)
+        return tuple(updates)
 
-    def take_stamps(
+    def apply_stamps(
         self, stamps: typing.Mapping[str, messages.CellStamp]
     ) -> None:
         """Take in that cells went on living with the members known."""
         with self.lock:
             for cell, stamp in stamps.items():
-                found = self.known.get(cell)
-                if found is None:
+                tracked = self.summaries.get(cell)
+                if tracked is None:
                     continue
-                have = found.summary.stamp
-                if have.version == stamp.version and have.beat < stamp.beat:
-                    summary = dataclasses.replace(found.summary, stamp=stamp)
-                    self.known[cell] = Known(summary, self.clock())
+                previous = tracked.summary.stamp
+                if (
+                    previous.version == stamp.version
+                    and previous.beat < stamp.beat
+                ):
+                    summary = dataclasses.replace(tracked.summary, stamp=stamp)
+                    self.summaries[cell] = TrackedSummary(
+                        summary, self.clock()
+                    )
 
     def summary(self, cell: str) -> messages.CellSummary | None:
         """Return the newest summary of a cell."""
-        found = self.known.get(cell)
-        return None if found is None else found.summary
+        tracked = self.summaries.get(cell)
+        return None if tracked is None else tracked.summary
 
     def stamps(self) -> dict[str, messages.CellStamp]:
         """Return how new each summary is."""
         with self.lock:
             return {
-                cell: found.summary.stamp for cell, found in self.known.items()
+                cell: tracked.summary.stamp
+                for cell, tracked in self.summaries.items()
             }
 
-    def news_for(self, asked: messages.CellsAsked) -> messages.CellsNews:
+    def updates_for(self, query: messages.CellsAsked) -> messages.CellsNews:
         """Return what an asking agent does not have."""
         summaries = []
         stamps = {}
         with self.lock:
-            for cell, found in self.known.items():
-                have = asked.stamps.get(cell)
-                stamp = found.summary.stamp
-                if have is None or have.version < stamp.version:
-                    summaries.append(found.summary)
-                elif have.version == stamp.version and have.beat < stamp.beat:
+            for cell, tracked in self.summaries.items():
+                previous = query.stamps.get(cell)
+                stamp = tracked.summary.stamp
+                if previous is None or previous.version < stamp.version:
+                    summaries.append(tracked.summary)
+                elif (
+                    previous.version == stamp.version
+                    and previous.beat < stamp.beat
+                ):
                     stamps[cell] = stamp
         return messages.CellsNews(
             tuple(summaries), stamps, tuple(sorted(self.lost()))
@@ -146,54 +157,54 @@
         that went down as a whole would stay as it was.  Its beat stops.
         Agents that do not exchange beats take the word of those that do.
         """
-        if not self.judges:
-            return self.told_lost
-        oldest = self.clock() - LOST_AFTER_S
+        if not self.is_contact:
+            return self.reported_lost
+        cutoff = self.clock() - LOST_AFTER_S
         return frozenset(
             cell
-            for cell, found in list(self.known.items())
-            if found.beat_at < oldest
+            for cell, tracked in list(self.summaries.items())
+            if tracked.beat_at < cutoff
         )
 
     def forget(self) -> None:
         """Drop cells that have been lost for long."""
-        oldest = self.clock() - FORGET_AFTER_S
+        cutoff = self.clock() - FORGET_AFTER_S
         with self.lock:
-            for cell, found in list(self.known.items()):
-                if found.beat_at < oldest and self.judges:
-                    del self.known[cell]
+            for cell, tracked in list(self.summaries.items()):
+                if tracked.beat_at < cutoff and self.is_contact:
+                    del self.summaries[cell]
                     self.revision += 1
                     log.info("cell_forgotten", cell=cell)
 
     def digest(self) -> bytes:
         """Return a digest of the members known and the cells lost."""
-        return self.answered(self.answer.own_cell).digest
+        return self.derive(self.derived.own_cell).digest
 
     def members(self, own_cell: str) -> tuple[state.Member, ...]:
         """Return the members of all other cells, each name once.
 
         The same tuple is returned until something changes.
         """
-        return self.answered(own_cell).members
+        return self.derive(own_cell).members
 
-    def answered(self, own_cell: str) -> Answer:
+    def derive(self, own_cell: str) -> DerivedView:
         """Return the present answer, worked out anew only after a change."""
         lost = self.lost()
-        answer = self.answer
+        derived = self.derived
         if (
-            answer.revision != self.revision
-            or answer.lost != lost
-            or answer.own_cell != own_cell
+            derived.revision != self.revision
+            or derived.lost != lost
+            or derived.own_cell != own_cell
         ):
-            answer = Answer(
+            derived = DerivedView(
                 self.revision,
                 lost,
                 own_cell,
                 self.build_digest(lost),
                 self.build_members(own_cell, lost),
             )
-            self.answer = answer
-        return answer
+            self.derived = derived
+        return derived
 
     def build_digest(self, lost: frozenset[str]) -> bytes:
         """Return the digest of what is known."""
@@ -213,19 +224,19 @@
         later start counts, and a living cell before a lost one.
         """
         with self.lock:
-            known = [
-                (found.summary, found.summary.cell in lost)
-                for cell, found in self.known.items()
+            summaries = [
+                (tracked.summary, tracked.summary.cell in lost)
+                for cell, tracked in self.summaries.items()
                 if cell != own_cell
             ]
-        known.sort(key=lambda pair: pair[1])
+        summaries.sort(key=lambda pair: pair[1])
         members: dict[str, state.Member] = {}
-        for summary, is_lost in known:
+        for summary, is_lost in summaries:
             for about in summary.members:
                 member = member_of(about, summary.cell, is_lost)
-                have = members.get(about.name)
-                if have is None or (
-                    not is_lost and have.incarnation < about.incarnation
+                previous = members.get(about.name)
+                if previous is None or (
+                    not is_lost and previous.incarnation < about.incarnation
                 ):
                     members[about.name] = member
         return tuple(members.values())
--- a/src/briarseam/membership/drain.py
+++ b/src/briarseam/membership/drain.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-TELL_BOUND_S = 3.0
+PUBLISH_TIMEOUT_S = 3.0
 POLL_S = 0.05
 DEFAULT_BOUND_S = 600.0
 log = structlog.get_logger("briarseam.membership")
@@ -103,7 +103,9 @@
         )
         log.info("draining", in_flight=self.in_flight())
         self.announce()
-        self.wait(self.published, started + min(TELL_BOUND_S, self.bound_s))
+        self.wait(
+            self.published, started + min(PUBLISH_TIMEOUT_S, self.bound_s)
+        )
         # A peer may have answered a lookup just before it was told.
         served_until = self.clock() + self.linger_s()
         end = started + self.bound_s
@@ -111,10 +113,12 @@
         settled = self.wait(self.settle, end)
         return self.outcome(started, settled)
 
-    def wait(self, condition: typing.Callable[[], bool], until: float) -> bool:
+    def wait(
+        self, condition: typing.Callable[[], bool], deadline: float
+    ) -> bool:
         """Wait for a condition until a time, or a hurry; tell if it held."""
         while not condition():
-            if self.clock() >= until or self.interrupted():
+            if self.clock() >= deadline or self.interrupted():
                 return False
             self.sleep(POLL_S)
         return True
@@ -123,8 +127,10 @@
         """Return and log how the drain ended."""
         waited_s = self.clock() - started
         if not settled:
-            left = self.in_flight()
-            log.warning("drain_cut_off", in_flight=left, waited_s=waited_s)
-            return CutOff(waited_s, left)
+            remaining = self.in_flight()
+            log.warning(
+                "drain_cut_off", in_flight=remaining, waited_s=waited_s
+            )
+            return CutOff(waited_s, remaining)
         log.info("drained", waited_s=waited_s)
         return Drained(waited_s)
--- a/src/briarseam/membership/endpoints.py
+++ b/src/briarseam/membership/endpoints.py
@@ -17,7 +17,7 @@
     from briarseam.membership import service
 
 SECTION = "leaving-endpoints"
-HOLD_S = 30.0
+REPORT_HOLD_S = 30.0
 CACHE_S = 0.25
 ROLES = frozenset({"engine", "service", "store"})
 log = structlog.get_logger("briarseam.membership")
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Leaving:
+class LeavingEndpoint:
     """One endpoint that the instance list showed as leaving.
 
     Attributes
@@ -52,12 +52,12 @@
         Monotonic time in seconds at which it was last known to say so.
     """
 
-    leaving: frozenset[Leaving]
+    leaving: frozenset[LeavingEndpoint]
     at: float
 
 
 @dataclasses.dataclass(frozen=True)
-class Answer:
+class CachedNames:
     """The last answer, kept for a moment since each request asks.
 
     Attributes
@@ -98,75 +98,83 @@
         self.membership = membership
         self.view = view
         self.lock = threading.Lock()
-        self.read: frozenset[Leaving] = frozenset()
+        self.listed_leaving: frozenset[LeavingEndpoint] = frozenset()
         self.reports: dict[str, Report] = {}
-        self.answer = Answer(frozenset(), -1, 0.0)
-        membership.list_reader.add(self.take_listing)
+        self.cached = CachedNames(frozenset(), -1, 0.0)
+        membership.list_reader.add_callback(self.apply_listing)
         membership.add_section(SECTION, self.provide, self.consume)
 
-    def take_listing(self, rows: tuple[instances.Instance, ...]) -> None:
+    def apply_listing(self, rows: tuple[instances.Instance, ...]) -> None:
         """Take in one reading of the list.
 
         An endpoint that was leaving and is no longer on the list stays
         leaving until the list shows it live again.
         """
-        ours = [row for row in rows if row.role in ROLES]
-        live = [row for row in ours if row.state is instances.ListedState.LIVE]
+        endpoint_rows = [row for row in rows if row.role in ROLES]
+        live = [
+            row
+            for row in endpoint_rows
+            if row.state is instances.ListedState.LIVE
+        ]
         names = {row.name for row in live}
         addresses = {row.address for row in live}
         now_leaving = frozenset(
-            Leaving(row.name, row.address)
-            for row in ours
+            LeavingEndpoint(row.name, row.address)
+            for row in endpoint_rows
             if row.state is instances.ListedState.LEAVING
         )
         with self.lock:
             kept = {
-                left
-                for left in self.read
-                if left.name not in names and left.address not in addresses
+                endpoint
+                for endpoint in self.listed_leaving
+                if endpoint.name not in names
+                and endpoint.address not in addresses
             }
-            read = now_leaving | kept
-            if read == self.read:
+            listed_leaving = now_leaving | kept
+            if listed_leaving == self.listed_leaving:
                 return
-            self.read = read
-        self.forget_answer()
+            self.listed_leaving = listed_leaving
+        self.invalidate()
         log.info(
-            "endpoints_leaving", endpoints=sorted(left.name for left in read)
+            "endpoints_leaving",
+            endpoints=sorted(endpoint.name for endpoint in listed_leaving),
         )
         self.membership.publish_now()
 
     def provide(self) -> bytes:
         """Return what this agent read itself."""
-        ordered = sorted(self.read, key=lambda left: left.name)
+        ordered = sorted(
+            self.listed_leaving, key=lambda endpoint: endpoint.name
+        )
         return msgspec.msgpack.encode(ordered)
 
     def consume(self, member: str, data: bytes) -> None:
         """Take in what a peer read."""
-        leaving = msgspec.msgpack.decode(data, type=frozenset[Leaving])
+        leaving = msgspec.msgpack.decode(data, type=frozenset[LeavingEndpoint])
         with self.lock:
             self.reports[member] = Report(leaving, self.membership.clock())
-        self.forget_answer()
+        self.invalidate()
 
-    def forget_answer(self) -> None:
+    def invalidate(self) -> None:
         """Work out the next answer anew."""
-        self.answer = Answer(frozenset(), -1, 0.0)
+        self.cached = CachedNames(frozenset(), -1, 0.0)
 
     def leaving_endpoints(self) -> frozenset[str]:
         """Return the names, as configured, that get no new work."""
         view = self.view()
         now = self.membership.clock()
-        answer = self.answer
-        if answer.offset != view.offset or now >= answer.until:
+        cached = self.cached
+        if cached.offset != view.offset or now >= cached.until:
             names = self.names(view)
-            answer = Answer(names, view.offset, now + CACHE_S)
-            self.answer = answer
-        return answer.names
+            cached = CachedNames(names, view.offset, now + CACHE_S)
+            self.cached = cached
+        return cached.names
 
     def names(self, view: schema.View) -> frozenset[str]:
         """Return the names of a view's leaving endpoints."""
-        known = self.known()
-        names = {left.name for left in known}
-        addresses = {left.address for left in known}
+        known_leaving = self.known_leaving()
+        names = {endpoint.name for endpoint in known_leaving}
+        addresses = {endpoint.address for endpoint in known_leaving}
         return frozenset(
             name
             for name, endpoint in view.endpoints.items()
@@ -175,22 +183,22 @@
             or endpoint.address in addresses
         )
 
-    def known(self) -> frozenset[Leaving]:
+    def known_leaving(self) -> frozenset[LeavingEndpoint]:
         """Return what this agent read and what its peers report.
 
         A report holds while its member is there, and for ``HOLD_S`` after,
         by when this agent's own reading is due.
         """
         now = self.membership.clock()
-        there = {member.name for member in self.membership.members()}
+        present = {member.name for member in self.membership.members()}
         with self.lock:
-            known = set(self.read)
+            known_leaving = set(self.listed_leaving)
             for name, report in list(self.reports.items()):
-                if name in there:
+                if name in present:
                     report = dataclasses.replace(report, at=now)
                     self.reports[name] = report
-                elif now - report.at > HOLD_S:
+                elif now - report.at > REPORT_HOLD_S:
                     del self.reports[name]
                     continue
-                known |= report.leaving
-        return frozenset(known)
+                known_leaving |= report.leaving
+        return frozenset(known_leaving)
--- a/src/briarseam/membership/entries.py
+++ b/src/briarseam/membership/entries.py
@@ -18,12 +18,12 @@
 
 EXPIRE_S = 3.0
 REVIEW_S = 0.5
-START_BOUND_S = 10.0
+MAX_READY_WAIT_S = 10.0
 log = structlog.get_logger("briarseam.membership")
 
 
 @dataclasses.dataclass(frozen=True)
-class Seen:
+class EntryReport:
     """The last word from one entry process.
 
     Attributes
@@ -74,7 +74,7 @@
         self.membership = membership
         self.linger_s = linger_s
         self.expire_s = expire_s
-        self.seen: dict[str, Seen] = {}
+        self.reports: dict[str, EntryReport] = {}
         self.lock = threading.Lock()
         self.reviews = repeating.Repeater(
             "local-entries", self.review, REVIEW_S
@@ -82,7 +82,7 @@
 
     def register(self, router: server.Router) -> None:
         """Answer the entry processes' messages."""
-        router.on(messages.EntryHere, self.on_here)
+        router.on(messages.EntryHere, self.on_entry_here)
 
     def start(self) -> None:
         """Begin looking for silent entries."""
@@ -92,17 +92,17 @@
         """Stop looking."""
         self.reviews.stop()
 
-    def on_here(
-        self, peer: connections.Identity, here: messages.EntryHere
+    def on_entry_here(
+        self, peer: connections.Identity, message: messages.EntryHere
     ) -> messages.EntryNoted:
         """Note what an entry says of itself."""
         del peer
         with self.lock:
-            before = self.seen.get(here.address)
+            previous = self.reports.get(message.address)
             now = self.membership.clock()
-            self.seen[here.address] = Seen(here.state, now)
-        if before is None or before.state is not here.state:
-            log.info("entry_state", entry=here.address, now=here.state)
+            self.reports[message.address] = EntryReport(message.state, now)
+        if previous is None or previous.state is not message.state:
+            log.info("entry_state", entry=message.address, now=message.state)
         self.review()
         return messages.EntryNoted(
             self.membership.is_published(), self.linger_s
@@ -112,17 +112,17 @@
         """Drop silent entries; tell the membership which ones serve."""
         ready = self.is_ready()
         with self.lock:
-            oldest = self.membership.clock() - self.expire_s
-            for address, seen in list(self.seen.items()):
-                gone = seen.state is messages.EntryState.GONE
-                if gone or seen.at < oldest:
-                    del self.seen[address]
+            cutoff = self.membership.clock() - self.expire_s
+            for address, report in list(self.reports.items()):
+                gone = report.state is messages.EntryState.GONE
+                if gone or report.at < cutoff:
+                    del self.reports[address]
                     log.info("entry_gone", entry=address)
             serving = tuple(
                 sorted(
                     address
-                    for address, seen in self.seen.items()
-                    if seen.state is messages.EntryState.SERVING and ready
+                    for address, report in self.reports.items()
+                    if report.state is messages.EntryState.SERVING and ready
                 )
             )
             # Under the lock, so that a review with an older list never
@@ -133,13 +133,13 @@
         """Tell whether the agent has ever been ready, or waited enough."""
         if not self.was_ready:
             waited_s = self.membership.clock() - self.started_at
-            self.was_ready = waited_s > START_BOUND_S or self.ready()
+            self.was_ready = waited_s > MAX_READY_WAIT_S or self.ready()
         return self.was_ready
 
     def leaving(self) -> int:
         """Return how many entries are leaving and not yet gone."""
         with self.lock:
             return sum(
-                seen.state is messages.EntryState.LEAVING
-                for seen in self.seen.values()
+                report.state is messages.EntryState.LEAVING
+                for report in self.reports.values()
             )
--- a/src/briarseam/membership/freshness.py
+++ b/src/briarseam/membership/freshness.py
@@ -23,19 +23,19 @@
         self.clock = clock
         self.superseded = False
         self.ticked_at: float | None = None
-        self.answered_at: float | None = None
+        self.replied_at: float | None = None
 
-    def note_tick(self) -> None:
+    def record_tick(self) -> None:
         """Note that this process runs."""
         self.ticked_at = self.clock()
 
-    def note_answer(self, sent_at: float) -> None:
+    def record_reply(self, sent_at: float) -> None:
         """Note that a heartbeat sent at ``sent_at`` was answered."""
         self.superseded = False
-        if self.answered_at is None or sent_at > self.answered_at:
-            self.answered_at = sent_at
+        if self.replied_at is None or sent_at > self.replied_at:
+            self.replied_at = sent_at
 
-    def note_superseded(self) -> None:
+    def record_superseded(self) -> None:
         """Note that a peer hears a later start of this instance."""
         self.superseded = True
 
@@ -54,7 +54,7 @@
         """
         if self.superseded or not self.is_recent(self.ticked_at):
             return False
-        return not has_peers or self.is_recent(self.answered_at)
+        return not has_peers or self.is_recent(self.replied_at)
 
     def is_recent(self, at: float | None) -> bool:
         """Tell whether a time is within the limit."""
--- a/src/briarseam/membership/gossip.py
+++ b/src/briarseam/membership/gossip.py
@@ -24,14 +24,14 @@
 
 if typing.TYPE_CHECKING:
     from briarseam.backing import instances
-    from briarseam.membership import calling as callings
+    from briarseam.membership import client_factory as client_factories
     from briarseam.membership import table as tables
     from briarseam.wire import server
 
 SECTION = "cells"
-CONTACTS = 2
+CONTACTS_PER_CELL = 2
 FANOUT = 3
-BEAT_MS = 5000
+BEAT_INTERVAL_MS = 5000
 JITTER = 0.2
 log = structlog.get_logger("briarseam.membership")
 
@@ -55,7 +55,7 @@
     """
 
     table: tables.Table
-    calling: callings.Calling
+    client_factory: client_factories.ClientFactory
     about: typing.Callable[[], messages.About]
     review: typing.Callable[[], None]
     interval_s: float
@@ -75,15 +75,15 @@
         self.table = parts.table
         self.directory = directories.Directory(parts.table.clock)
         self.listed: dict[str, tuple[messages.About, ...]] = {}
-        self.news: dict[str, messages.CellSummary] = {}
-        self.behind = True
+        self.updates: dict[str, messages.CellSummary] = {}
+        self.outdated = True
         self.lock = threading.Lock()
         self.wake = threading.Event()
         self.stopping = threading.Event()
 
     def register(self, router: server.Router) -> None:
         """Answer the exchange of other agents."""
-        router.on_quick(messages.CellsAsked, self.on_asked)
+        router.on_quick(messages.CellsAsked, self.on_cells_query)
 
     def start(self) -> None:
         """Begin to exchange."""
@@ -112,39 +112,45 @@
         """Do what this agent's rank in its cell asks for."""
         self.directory.forget()
         contacts = self.own_contacts()
-        me = self.table.me.name
-        self.directory.judges = me in [about.name for about in contacts]
-        if self.directory.judges:
-            self.write_own()
+        own_name = self.table.local_agent.name
+        self.directory.is_contact = own_name in [
+            about.name for about in contacts
+        ]
+        if self.directory.is_contact:
+            self.update_own_summary()
             self.exchange()
-        elif self.behind:
-            others = [about for about in contacts if about.name != me]
-            self.behind = not any(self.ask(about) for about in others)
+        elif self.outdated:
+            others = [about for about in contacts if about.name != own_name]
+            self.outdated = not any(
+                self.exchange_with(about) for about in others
+            )
 
     # As one of the cell's contacts.
 
-    def write_own(self) -> None:
+    def update_own_summary(self) -> None:
         """Renew the summary of this cell if its members changed."""
         # The members must not change before they have their version: an
         # older view with a later one would hide members from other cells.
         with self.table.lock:
-            due = self.renewed_own()
-            news = self.directory.apply(due)
-        self.note_news(news)
+            due = self.next_own_summary()
+            updates = self.directory.apply(due)
+        self.queue_updates(updates)
 
-    def renewed_own(self) -> tuple[messages.CellSummary, ...]:
+    def next_own_summary(self) -> tuple[messages.CellSummary, ...]:
         """Return the next summary of this cell; nothing if none is due."""
-        cell = self.table.my_cell()
+        cell = self.table.own_cell()
         members = self.own_members()
-        have = self.directory.summary(cell)
+        previous = self.directory.summary(cell)
         now_ms = time.time_ns() // 1_000_000
-        stamp = messages.CellStamp(0, 0) if have is None else have.stamp
-        if have is None or have.members != members:
+        stamp = (
+            messages.CellStamp(0, 0) if previous is None else previous.stamp
+        )
+        if previous is None or previous.members != members:
             # Above what is known, so that a clock that was set back does
             # not keep this cell's news from being taken.
             version = max(now_ms, stamp.version + 1)
             stamp = messages.CellStamp(version, version)
-        elif now_ms - stamp.beat >= BEAT_MS:
+        elif now_ms - stamp.beat >= BEAT_INTERVAL_MS:
             stamp = messages.CellStamp(stamp.version, now_ms)
         else:
             return ()
@@ -152,7 +158,7 @@
 
     def own_members(self) -> tuple[messages.About, ...]:
         """Return this cell's members that are heard, by name."""
-        abouts = [*self.table.abouts(), self.parts.about()]
+        abouts = [*self.table.live_abouts(), self.parts.about()]
         return tuple(sorted(abouts, key=lambda about: about.name))
 
     def own_contacts(self) -> list[messages.About]:
@@ -162,67 +168,67 @@
     def exchange(self) -> None:
         """Exchange with one other cell, or with a few when there is news."""
         with self.lock:
-            news, self.news = tuple(self.news.values()), {}
+            updates, self.updates = tuple(self.updates.values()), {}
         partners = self.partners()
         random.shuffle(partners)
-        for partner in partners[: FANOUT if news else 1]:
-            self.ask(partner, news)
+        for partner in partners[: FANOUT if updates else 1]:
+            self.exchange_with(partner, updates)
 
     def partners(self) -> list[messages.About]:
         """Return one contact of each other cell."""
-        own = self.table.my_cell()
-        found = {
+        own_cell = self.table.own_cell()
+        contacts_by_cell = {
             cell: contacts_of(abouts) for cell, abouts in self.listed.items()
         }
         for cell in self.directory.stamps():
             summary = self.directory.summary(cell)
             if summary is not None and summary.members:
-                found[cell] = contacts_of(summary.members)
+                contacts_by_cell[cell] = contacts_of(summary.members)
         return [
             random.choice(contacts)
-            for cell, contacts in found.items()
-            if cell != own and contacts
+            for cell, contacts in contacts_by_cell.items()
+            if cell != own_cell and contacts
         ]
 
     # As any agent.
 
-    def ask(
+    def exchange_with(
         self,
         partner: messages.About,
-        news: tuple[messages.CellSummary, ...] = (),
+        updates: tuple[messages.CellSummary, ...] = (),
     ) -> bool:
         """Exchange with one agent; tell whether it answered."""
-        calling = self.parts.calling
-        client = calling.client(partner.address, max_idle=0)
-        asked = messages.CellsAsked(self.directory.stamps(), news)
+        client_factory = self.parts.client_factory
+        client = client_factory.client(partner.address, max_idle=0)
+        query = messages.CellsAsked(self.directory.stamps(), updates)
         try:
-            reply = client.call(asked, calling.reply_timeout_s)
+            reply = client.call(query, client_factory.reply_timeout_s)
         except connections.WireError:
             return False
         if not isinstance(reply, messages.CellsNews):
             return False
-        self.note_news(self.directory.apply(reply.summaries))
-        self.directory.take_stamps(reply.stamps)
-        self.directory.told_lost = frozenset(reply.lost)
+        self.queue_updates(self.directory.apply(reply.summaries))
+        self.directory.apply_stamps(reply.stamps)
+        self.directory.reported_lost = frozenset(reply.lost)
         return True
 
-    def on_asked(
-        self, peer: connections.Identity, asked: messages.CellsAsked
+    def on_cells_query(
+        self, peer: connections.Identity, query: messages.CellsAsked
     ) -> messages.CellsNews:
         """Answer an exchange."""
         del peer
-        self.note_news(self.directory.apply(asked.news))
-        self.directory.take_stamps(asked.stamps)
-        return self.directory.news_for(asked)
+        self.queue_updates(self.directory.apply(query.news))
+        self.directory.apply_stamps(query.stamps)
+        return self.directory.updates_for(query)
 
-    def note_news(self, news: tuple[messages.CellSummary, ...]) -> None:
+    def queue_updates(self, updates: tuple[messages.CellSummary, ...]) -> None:
         """Remember to pass news on, and do so at once."""
-        if not news:
+        if not updates:
             return
         with self.lock:
-            for summary in news:
-                self.news[summary.cell] = summary
-        if self.directory.judges:
+            for summary in updates:
+                self.updates[summary.cell] = summary
+        if self.directory.is_contact:
             self.wake.set()
         self.parts.review()
 
@@ -230,10 +236,10 @@
         """Take in a peer's digest of the directory."""
         names = [about.name for about in self.own_contacts()]
         if member in names and digest != self.directory.digest():
-            self.behind = True
+            self.outdated = True
             self.wake.set()
 
-    def take_listing(self, rows: tuple[instances.Instance, ...]) -> None:
+    def apply_listing(self, rows: tuple[instances.Instance, ...]) -> None:
         """Take in the listed agents of other cells."""
         by_cell: dict[str, list[messages.About]] = {}
         for row in rows:
@@ -257,4 +263,4 @@
     """
     staying = [about for about in members if not about.leaving]
     staying.sort(key=lambda about: xxhash.xxh64_intdigest(about.name.encode()))
-    return staying[:CONTACTS]
+    return staying[:CONTACTS_PER_CELL]
--- a/src/briarseam/membership/answering.py
+++ b/src/briarseam/membership/handlers.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class AnsweringParts:
+class HandlerParts:
     """What answering needs, wired by ``membership.service``.
 
     Attributes
@@ -39,7 +39,7 @@
     review: typing.Callable[[], None]
 
 
-class Answering:
+class MessageHandlers:
     """Answers heartbeats and questions about members.
 
     Parameters
@@ -48,7 +48,7 @@
         What it needs.
     """
 
-    def __init__(self, parts: AnsweringParts) -> None:
+    def __init__(self, parts: HandlerParts) -> None:
         self.parts = parts
         self.table = parts.table
 
@@ -56,68 +56,68 @@
         """Answer the other agents' messages."""
         router.on_quick(messages.Introduction, self.on_introduction)
         router.on_quick(messages.Heartbeat, self.on_heartbeat)
-        router.on_quick(messages.PeersAsked, self.on_peers_asked)
-        router.on_quick(messages.HeardAsked, self.on_heard_asked)
+        router.on_quick(messages.PeersAsked, self.on_peers_query)
+        router.on_quick(messages.HeardAsked, self.on_contact_query)
 
     def on_introduction(
-        self, peer: connections.Identity, beat: messages.Introduction
+        self, peer: connections.Identity, introduction: messages.Introduction
     ) -> messages.Introduced | messages.Superseded:
         """Take in what a peer says of itself."""
         del peer
-        about = beat.about
-        if about.name == self.table.me.name:
+        about = introduction.about
+        if about.name == self.table.local_agent.name:
             # Only this instance has the name, so one of two starts of it
             # has been replaced, whichever came first.
             current = about.incarnation >= self.parts.about().incarnation
         else:
-            current = self.table.take_about(about, self.table.clock())
+            current = self.table.apply_about(about, self.table.clock())
         if not current:
             return messages.Superseded()
         self.parts.review()
-        self.keep_sections(about.name, beat.sections)
+        self.apply_sections(about.name, introduction.sections)
         return messages.Introduced(self.parts.about(), self.parts.digest())
 
     def on_heartbeat(
-        self, peer: connections.Identity, beat: messages.Heartbeat
+        self, peer: connections.Identity, heartbeat: messages.Heartbeat
     ) -> messages.Alive | messages.UnknownAgent:
         """Take in that a peer lives."""
         with self.table.lock:
-            found = self.table.records.get(peer.name)
-            if found is None or found.incarnation != beat.incarnation:
+            record = self.table.records.get(peer.name)
+            if record is None or record.incarnation != heartbeat.incarnation:
                 return messages.UnknownAgent()
-            self.table.note_heard(found, self.table.clock())
-        self.keep_sections(peer.name, beat.sections)
+            self.table.record_contact(record, self.table.clock())
+        self.apply_sections(peer.name, heartbeat.sections)
         incarnation = self.parts.about().incarnation
         return messages.Alive(incarnation, self.parts.digest())
 
-    def keep_sections(
+    def apply_sections(
         self, name: str, content: typing.Mapping[str, bytes]
     ) -> None:
         """Keep and hand on the sections of a heartbeat."""
         if not content:
             return
         with self.table.lock:
-            found = self.table.records.get(name)
-            if found is None:
+            record = self.table.records.get(name)
+            if record is None:
                 return
-            found.sections.update(content)
+            record.sections.update(content)
         self.parts.sections.consume(name, content)
 
-    def on_peers_asked(
-        self, peer: connections.Identity, asked: messages.PeersAsked
+    def on_peers_query(
+        self, peer: connections.Identity, query: messages.PeersAsked
     ) -> messages.Peers:
         """Answer with the agents heard here."""
-        del peer, asked
-        return messages.Peers((*self.table.abouts(), self.parts.about()))
+        del peer, query
+        return messages.Peers((*self.table.live_abouts(), self.parts.about()))
 
-    def on_heard_asked(
-        self, peer: connections.Identity, asked: messages.HeardAsked
+    def on_contact_query(
+        self, peer: connections.Identity, query: messages.HeardAsked
     ) -> messages.Heard:
         """Answer how long ago an agent was heard here."""
         del peer
         with self.table.lock:
-            found = self.table.records.get(asked.name)
-            if found is None or found.heard_at is None:
+            record = self.table.records.get(query.name)
+            if record is None or record.last_contact_at is None:
                 return messages.Heard(None, 0)
-            silent_s = found.silent_s(self.table.clock())
-            return messages.Heard(silent_s, found.incarnation)
+            silent_s = record.silent_s(self.table.clock())
+            return messages.Heard(silent_s, record.incarnation)
--- a/src/briarseam/membership/peer.py
+++ b/src/briarseam/membership/heartbeat_sender.py
@@ -14,22 +14,22 @@
 from briarseam.wire import frames as frames_module
 
 if typing.TYPE_CHECKING:
-    from briarseam.membership import calling as callings
+    from briarseam.membership import client_factory as client_factories
     from briarseam.membership import replies as reply_handlers
     from briarseam.membership import sections as heartbeat_sections
     from briarseam.membership import table as tables
     from briarseam.wire import codec
     from briarseam.wire import event_loop
 
-FULL_INTERVAL_S = 10.0
-PEERS_INTERVAL_S = 2.0
+FULL_HEARTBEAT_INTERVAL_S = 10.0
+PEERS_QUERY_INTERVAL_S = 2.0
 JITTER = 0.1
 MAX_BACKOFF_S = 5.0
 log = structlog.get_logger("briarseam.membership")
 
 
 @dataclasses.dataclass(frozen=True)
-class PeerParts:
+class SenderParts:
     """What heartbeats need, wired by ``membership.service``.
 
     Attributes
@@ -55,7 +55,7 @@
     """
 
     loop: event_loop.EventLoop
-    calling: callings.Calling
+    client_factory: client_factories.ClientFactory
     address_of: typing.Callable[[str], str]
     about: typing.Callable[[], messages.About]
     digest: typing.Callable[[], int]
@@ -65,7 +65,7 @@
     clock: tables.Clock
 
 
-class Peer:
+class HeartbeatSender:
     """Heartbeats to one peer until stopped.
 
     Parameters
@@ -76,7 +76,7 @@
         What it needs.
     """
 
-    def __init__(self, name: str, parts: PeerParts) -> None:
+    def __init__(self, name: str, parts: SenderParts) -> None:
         self.name = name
         self.parts = parts
         self.wake = asyncio.Event()
@@ -84,20 +84,20 @@
         self.stopped = False
         self.connection: frames_module.Frames | None = None
         self.address = ""
-        self.sent: dict[str, bytes] = {}
+        self.sent_sections: dict[str, bytes] = {}
         self.sent_about: messages.About | None = None
         self.introducing = False
-        self.full_at = 0.0
-        self.asked_at = 0.0
-        self.asked_digest = 0
+        self.full_sent_at = 0.0
+        self.queried_at = 0.0
+        self.queried_digest = 0
         self.failures = 0
-        self.beats = 0
+        self.heartbeats_answered = 0
 
     def start(self) -> None:
         """Begin sending."""
-        self.parts.loop.call(self.begin)
+        self.parts.loop.call(self.start_in_loop)
 
-    def begin(self) -> None:
+    def start_in_loop(self) -> None:
         """Begin sending; call it in the loop."""
         if not self.stopped:
             loop = asyncio.get_running_loop()
@@ -105,15 +105,15 @@
 
     def stop(self) -> None:
         """Stop soon, also while the peer does not answer."""
-        self.parts.loop.call(self.end)
+        self.parts.loop.call(self.stop_in_loop)
 
-    def end(self) -> None:
+    def stop_in_loop(self) -> None:
         """Stop now; call it in the loop."""
         self.stopped = True
         if self.task is not None:
             self.task.cancel()
 
-    def tell_now(self) -> None:
+    def send_now(self) -> None:
         """Send the next heartbeat soon."""
         self.parts.loop.call(self.wake.set)
 
@@ -122,31 +122,31 @@
         try:
             while True:
                 self.wake.clear()
-                await self.try_beat()
+                await self.try_heartbeat()
                 await self.pause()
         finally:
             self.disconnect()
 
-    async def try_beat(self) -> None:
+    async def try_heartbeat(self) -> None:
         """Send a heartbeat, and count how that went."""
         try:
-            await self.beat()
+            await self.send_heartbeat()
         except connections.WireError:
-            self.note_failure()
+            self.record_failure()
         except Exception:
             # A fault of ours, or of what takes in an answer, must not end
             # the heartbeats: the peer would take this agent for gone.
             log.exception("heartbeat_failed", peer=self.name)
-            self.note_failure()
+            self.record_failure()
         else:
-            self.beats += 1
+            self.heartbeats_answered += 1
             self.failures = 0
-            self.parts.replies.count_beat(True)
+            self.parts.replies.count_heartbeat(True)
 
-    def note_failure(self) -> None:
+    def record_failure(self) -> None:
         """Begin anew with the next heartbeat."""
         self.failures += 1
-        self.parts.replies.count_beat(False)
+        self.parts.replies.count_heartbeat(False)
         self.disconnect()
 
     async def pause(self) -> None:
@@ -170,7 +170,7 @@
         backoff_s = min(interval_s * self.failures, MAX_BACKOFF_S)
         return backoff.jittered(max(interval_s, backoff_s), JITTER)
 
-    async def beat(self) -> None:
+    async def send_heartbeat(self) -> None:
         """Send one heartbeat and take in the reply.
 
         Raises
@@ -179,40 +179,42 @@
             When the peer could not be reached or did not answer.
         """
         connection = await self.connect()
-        beat = self.compose()
+        heartbeat = self.compose()
         # The peer was alive when the heartbeat went out.  Should this
         # process be frozen between sending and reading, the reply it finds
         # on waking is old, and so must the time be that it stands for.
         sent_at = self.parts.clock()
-        self.introducing = isinstance(beat, messages.Introduction)
-        connection.send(beat)
-        reply = await connection.receive(self.parts.calling.reply_timeout_s)
-        await self.take(connection, beat, reply, sent_at)
+        self.introducing = isinstance(heartbeat, messages.Introduction)
+        connection.send(heartbeat)
+        reply = await connection.receive(
+            self.parts.client_factory.reply_timeout_s
+        )
+        await self.handle_reply(connection, heartbeat, reply, sent_at)
 
-    async def take(
+    async def handle_reply(
         self,
         connection: frames_module.Frames,
-        beat: messages.Introduction | messages.Heartbeat,
+        heartbeat: messages.Introduction | messages.Heartbeat,
         reply: codec.Message,
         sent_at: float,
     ) -> None:
         """Take in the reply to a heartbeat sent at ``sent_at``."""
         replies = self.parts.replies
-        self.sent.update(beat.sections)
-        if isinstance(beat, messages.Introduction):
-            self.sent_about = beat.about
+        self.sent_sections.update(heartbeat.sections)
+        if isinstance(heartbeat, messages.Introduction):
+            self.sent_about = heartbeat.about
         match reply:
             case messages.Introduced(about=about, digest=digest):
-                replies.take_about(about, sent_at)
-                await self.learn_peers(connection, digest)
+                replies.apply_about(about, sent_at)
+                await self.query_peers(connection, digest)
             case messages.Alive(incarnation=incarnation, digest=digest):
-                replies.take_alive(self.name, incarnation, sent_at)
-                await self.learn_peers(connection, digest)
+                replies.apply_alive(self.name, incarnation, sent_at)
+                await self.query_peers(connection, digest)
             case messages.UnknownAgent():
-                self.full_at = 0.0
+                self.full_sent_at = 0.0
             case messages.Superseded():
-                replies.take_superseded()
-                self.full_at = 0.0
+                replies.apply_superseded()
+                self.full_sent_at = 0.0
             case _:
                 raise connections.WireError("expected a heartbeat's answer")
 
@@ -223,13 +225,13 @@
             return self.connection
         self.disconnect()
         self.address = address
-        calling = self.parts.calling
+        client_factory = self.parts.client_factory
         self.connection = await frames_module.connect(
             address,
-            calling.identity,
-            calling.key,
-            calling.reply_timeout_s,
-            calling.stamps,
+            client_factory.identity,
+            client_factory.key,
+            client_factory.reply_timeout_s,
+            client_factory.stamps,
         )
         if self.connection.peer.name != self.name:
             raise connections.WireError(
@@ -242,39 +244,44 @@
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.close()
-        self.full_at = 0.0
+        self.full_sent_at = 0.0
 
     def compose(self) -> messages.Introduction | messages.Heartbeat:
         """Return the next heartbeat: everything, or only what changed."""
         now = self.parts.clock()
         about = self.parts.about()
         content = self.parts.sections.content()
-        if self.full_at == 0.0 or now - self.full_at > FULL_INTERVAL_S:
-            self.full_at = now
-            self.sent = {}
+        if (
+            self.full_sent_at == 0.0
+            or now - self.full_sent_at > FULL_HEARTBEAT_INTERVAL_S
+        ):
+            self.full_sent_at = now
+            self.sent_sections = {}
             self.sent_about = None
         changed = {
             name: data
             for name, data in content.items()
-            if self.sent.get(name) != data
+            if self.sent_sections.get(name) != data
         }
         digest = self.parts.digest()
         if about != self.sent_about:
             return messages.Introduction(about, digest, changed)
         return messages.Heartbeat(about.incarnation, digest, changed)
 
-    async def learn_peers(
+    async def query_peers(
         self, connection: frames_module.Frames, digest: int
     ) -> None:
         """Ask the peer whom it hears when its view differs from ours."""
         now = self.parts.clock()
-        if digest in (self.parts.digest(), self.asked_digest):
+        if digest in (self.parts.digest(), self.queried_digest):
             return
-        if now - self.asked_at < PEERS_INTERVAL_S:
+        if now - self.queried_at < PEERS_QUERY_INTERVAL_S:
             return
-        self.asked_at = now
+        self.queried_at = now
         connection.send(messages.PeersAsked())
-        peers = await connection.receive(self.parts.calling.reply_timeout_s)
+        peers = await connection.receive(
+            self.parts.client_factory.reply_timeout_s
+        )
         if isinstance(peers, messages.Peers):
-            self.asked_digest = digest
-            self.parts.replies.take_peers(peers)
+            self.queried_digest = digest
+            self.parts.replies.apply_peers(peers)
--- a/src/briarseam/membership/listing.py
+++ b/src/briarseam/membership/listing.py
@@ -15,7 +15,7 @@
 JITTER = 0.2
 AGENT_ROLE = "agent"
 log = structlog.get_logger("briarseam.membership")
-OnListing = typing.Callable[[tuple[instances.Instance, ...]], None]
+ListingCallback = typing.Callable[[tuple[instances.Instance, ...]], None]
 
 
 class ListReader:
@@ -45,13 +45,13 @@
         self.source = source
         self.interval_s = interval_s
         self.bytes_per_s = bytes_per_s
-        self.callbacks: tuple[OnListing, ...] = ()
+        self.callbacks: tuple[ListingCallback, ...] = ()
         self.rows: tuple[instances.Instance, ...] = ()
         self.available = True
         self.bytes_read = 0
         self.stopping = threading.Event()
 
-    def add(self, callback: OnListing) -> None:
+    def add_callback(self, callback: ListingCallback) -> None:
         """Call back with the rows of each read."""
         self.callbacks = (*self.callbacks, callback)
 
@@ -91,9 +91,9 @@
         try:
             listing = self.source.read()
         except instances.InstanceListUnavailableError as error:
-            self.note_available(False, str(error))
+            self.set_available(False, str(error))
             return 0
-        self.note_available(True, "")
+        self.set_available(True, "")
         self.rows = listing.instances
         self.bytes_read += listing.size
         for callback in self.callbacks:
@@ -105,7 +105,7 @@
         pause_s = max(self.interval_s, size / self.bytes_per_s)
         return backoff.jittered(pause_s, JITTER)
 
-    def note_available(self, available: bool, detail: str) -> None:
+    def set_available(self, available: bool, detail: str) -> None:
         """Log a change of the list's availability, once."""
         if available == self.available:
             return
--- a/src/briarseam/membership/replies.py
+++ b/src/briarseam/membership/replies.py
@@ -31,29 +31,29 @@
         self.heartbeats_failed = 0
         self.lock = threading.Lock()
 
-    def take_about(self, about: messages.About, sent_at: float) -> None:
+    def apply_about(self, about: messages.About, sent_at: float) -> None:
         """Take in a peer's answer to an introduction sent at ``sent_at``."""
-        self.table.take_about(about, sent_at)
-        self.freshness.note_answer(sent_at)
+        self.table.apply_about(about, sent_at)
+        self.freshness.record_reply(sent_at)
 
-    def take_alive(self, name: str, incarnation: int, sent_at: float) -> None:
+    def apply_alive(self, name: str, incarnation: int, sent_at: float) -> None:
         """Take in a peer's answer to a heartbeat sent at ``sent_at``."""
         with self.table.lock:
-            found = self.table.records.get(name)
-            if found is not None and found.incarnation == incarnation:
-                self.table.note_heard(found, sent_at)
-        self.freshness.note_answer(sent_at)
+            record = self.table.records.get(name)
+            if record is not None and record.incarnation == incarnation:
+                self.table.record_contact(record, sent_at)
+        self.freshness.record_reply(sent_at)
 
-    def take_superseded(self) -> None:
+    def apply_superseded(self) -> None:
         """Take in that a peer hears a later start of this instance."""
-        self.freshness.note_superseded()
+        self.freshness.record_superseded()
 
-    def take_peers(self, answer: messages.Peers) -> None:
+    def apply_peers(self, answer: messages.Peers) -> None:
         """Take in whom a peer hears."""
         for about in answer.members:
-            self.table.take_hearsay(about)
+            self.table.apply_peer_report(about)
 
-    def count_beat(self, answered: bool) -> None:
+    def count_heartbeat(self, answered: bool) -> None:
         """Count a heartbeat by whether it was answered."""
         with self.lock:
             if answered:
--- a/src/briarseam/membership/sections.py
+++ b/src/briarseam/membership/sections.py
@@ -48,17 +48,17 @@
 
     def __init__(
         self,
-        keep_s: float,
+        cache_s: float,
         clock: typing.Callable[[], float],
-        tally: malformed.Tally | None = None,
+        malformed_counter: malformed.Tally | None = None,
     ) -> None:
-        self.tally = tally or malformed.Tally()
-        self.keep_s = keep_s
+        self.malformed_counter = malformed_counter or malformed.Tally()
+        self.cache_s = cache_s
         self.clock = clock
         self.lock = threading.Lock()
         self.by_name: dict[str, Section] = {}
-        self.kept: dict[str, bytes] = {}
-        self.kept_until = 0.0
+        self.cached: dict[str, bytes] = {}
+        self.cached_until = 0.0
 
     def add(self, section: Section) -> None:
         """Add one section; its name must be free."""
@@ -66,25 +66,25 @@
             if section.name in self.by_name:
                 raise ValueError(f"section {section.name!r} is taken")
             self.by_name = {**self.by_name, section.name: section}
-        self.renew()
+        self.invalidate()
 
-    def renew(self) -> None:
+    def invalidate(self) -> None:
         """Ask the slices anew for the next heartbeat."""
-        self.kept_until = 0.0
+        self.cached_until = 0.0
 
     def content(self) -> dict[str, bytes]:
         """Return this agent's content by section name."""
         now = self.clock()
-        if now >= self.kept_until:
-            self.kept_until = now + self.keep_s
-            self.kept = {
+        if now >= self.cached_until:
+            self.cached_until = now + self.cache_s
+            self.cached = {
                 section.name: data
                 for section in self.by_name.values()
-                for data in self.provided(section)
+                for data in self.provide(section)
             }
-        return self.kept
+        return self.cached
 
-    def provided(self, section: Section) -> tuple[bytes, ...]:
+    def provide(self, section: Section) -> tuple[bytes, ...]:
         """Return a section's content, nothing if it can't be made.
 
         A number from elsewhere that no message carries would end the thread
@@ -93,7 +93,7 @@
         try:
             return (section.provide(),)
         except Exception as error:
-            self.tally.note(
+            self.malformed_counter.note(
                 malformed.Kind.SECTION,
                 f"{section.name} of this instance",
                 f"{type(error).__name__}: {error}",
@@ -113,7 +113,7 @@
             except Exception as error:
                 # One slice's bad content must not make the member look
                 # dead: its heartbeat still counts.
-                self.tally.note(
+                self.malformed_counter.note(
                     malformed.Kind.SECTION,
                     f"{name} of {member}",
                     f"{type(error).__name__}: {error}",
--- a/src/briarseam/membership/seeds.py
+++ b/src/briarseam/membership/seeds.py
@@ -9,21 +9,25 @@
 from briarseam.wire import connection as connections
 
 if typing.TYPE_CHECKING:
-    from briarseam.membership import calling as callings
+    from briarseam.membership import client_factory as client_factories
     from briarseam.membership import replies as reply_handlers
 
 
-def ask(
+def query(
     addresses: typing.Iterable[str],
-    calling: callings.Calling,
+    client_factory: client_factories.ClientFactory,
     replies: reply_handlers.ReplyHandler,
 ) -> None:
     """Ask each address whom it hears; one that is away is passed over."""
     for address in addresses:
-        seed = clients.Client(address, calling.identity, calling.key, 0)
+        seed = clients.Client(
+            address, client_factory.identity, client_factory.key, 0
+        )
         try:
-            reply = seed.call(messages.PeersAsked(), calling.reply_timeout_s)
+            reply = seed.call(
+                messages.PeersAsked(), client_factory.reply_timeout_s
+            )
         except connections.WireError:
             continue
         if isinstance(reply, messages.Peers):
-            replies.take_peers(reply)
+            replies.apply_peers(reply)
--- a/src/briarseam/membership/service.py
+++ b/src/briarseam/membership/service.py
@@ -9,17 +9,17 @@
 import structlog
 
 from briarseam import repeating
-from briarseam.membership import answering
-from briarseam.membership import calling
 from briarseam.membership import cells
+from briarseam.membership import client_factory
 from briarseam.membership import freshness
 from briarseam.membership import gossip
+from briarseam.membership import handlers
+from briarseam.membership import heartbeat_sender
 from briarseam.membership import listing
 from briarseam.membership import messages
-from briarseam.membership import peer as peers
 from briarseam.membership import replies
 from briarseam.membership import sections
-from briarseam.membership import seeds as seed_calls
+from briarseam.membership import seeds as seed_peers
 from briarseam.membership import state
 from briarseam.membership import suspicion
 from briarseam.membership import table as tables
@@ -36,9 +36,9 @@
 
 HEARTBEAT_INTERVAL_S = 1.0
 SUSPECT_AFTER_S = 3.0
-TICKS_PER_INTERVAL = 4
-GOSSIP_BEATS = 2
-SPREAD_BEATS = 3
+REVIEWS_PER_HEARTBEAT = 4
+GOSSIP_HEARTBEATS = 2
+PROPAGATION_HEARTBEATS = 3
 log = structlog.get_logger("briarseam.membership")
 
 
@@ -80,7 +80,7 @@
 
     def __init__(
         self,
-        me: state.LocalAgent,
+        local_agent: state.LocalAgent,
         instances: platform.InstanceSource,
         key: bytes,
         seeds: tuple[str, ...] = (),
@@ -93,50 +93,56 @@
         malformed_counter: malformed.Tally | None = None,
         loop: event_loop.EventLoop | None = None,
     ) -> None:
-        self.settings = me
+        self.local_agent = local_agent
         self.owns_loop = loop is None
         self.loop = loop or event_loop.EventLoop("heartbeats")
         self.key = key
-        self.seeds = [seed for seed in seeds if seed != me.agent_address]
+        self.seeds = [
+            seed for seed in seeds if seed != local_agent.agent_address
+        ]
         self.heartbeat_interval_s = heartbeat_interval_s
         self.suspect_after_s = suspect_after_s
         # A change is pushed from cell to cell within a beat or less, and
         # the agents there ask for it after the next; one spare.
-        self.propagation_s = SPREAD_BEATS * heartbeat_interval_s
+        self.propagation_s = PROPAGATION_HEARTBEATS * heartbeat_interval_s
         self.clock = clock
-        self.identity = connections.Identity("agent", me.name)
-        self.calling = calling.Calling(
+        self.identity = connections.Identity("agent", local_agent.name)
+        self.client_factory = client_factory.ClientFactory(
             self.identity, key, suspect_after_s / 2, stamps
         )
         self.incarnation = state.new_incarnation()
-        self.entry_addresses = me.entry_addresses
+        self.entry_addresses = local_agent.entry_addresses
         self.leaving = False
         self.freshness = freshness.Freshness(suspect_after_s, clock)
-        self.table = tables.Table(me, cell_of, suspect_after_s, clock)
+        self.table = tables.Table(local_agent, cell_of, suspect_after_s, clock)
         self.list_reader = listing.ListReader(instances, list_interval_s)
-        self.list_reader.add(self.table.take_listing)
+        self.list_reader.add_callback(self.table.apply_listing)
         self.sections = sections.Sections(
-            heartbeat_interval_s / TICKS_PER_INTERVAL, clock, malformed_counter
+            heartbeat_interval_s / REVIEWS_PER_HEARTBEAT,
+            clock,
+            malformed_counter,
         )
         self.replies = replies.ReplyHandler(self.table, self.freshness)
-        self.heartbeat_senders: dict[str, peers.Peer] = {}
+        self.heartbeat_senders: dict[
+            str, heartbeat_sender.HeartbeatSender
+        ] = {}
         self.clients: dict[str, clients.Client] = {}
         self.lock = threading.Lock()
-        self.watching = repeating.Repeater(
+        self.reviews = repeating.Repeater(
             "membership-watch",
-            self.watch,
-            heartbeat_interval_s / TICKS_PER_INTERVAL,
+            self.run_review,
+            heartbeat_interval_s / REVIEWS_PER_HEARTBEAT,
             first_s=0.0,
         )
-        self.confirming = repeating.Repeater(
+        self.confirmations = repeating.Repeater(
             "membership-confirm",
-            self.confirm,
+            self.confirm_suspects,
             heartbeat_interval_s,
             first_s=0.0,
         )
         self.digest = 0
         self.snapshot: tuple[state.Member, ...] = ()
-        self.wide = views.View()
+        self.view = views.View()
         self.gossip = self.build_gossip()
         self.review()
 
@@ -147,20 +153,20 @@
         built = gossip.Gossip(
             gossip.GossipParts(
                 table=self.table,
-                calling=self.calling,
+                client_factory=self.client_factory,
                 about=self.about,
                 review=self.review,
-                interval_s=GOSSIP_BEATS * self.heartbeat_interval_s,
+                interval_s=GOSSIP_HEARTBEATS * self.heartbeat_interval_s,
             )
         )
-        self.list_reader.add(built.take_listing)
+        self.list_reader.add_callback(built.apply_listing)
         self.add_section(gossip.SECTION, built.directory.digest, built.consume)
         return built
 
-    def build_answering(self) -> answering.Answering:
+    def build_handlers(self) -> handlers.MessageHandlers:
         """Return what answers the other agents."""
-        return answering.Answering(
-            answering.AnsweringParts(
+        return handlers.MessageHandlers(
+            handlers.HandlerParts(
                 table=self.table,
                 sections=self.sections,
                 about=self.about,
@@ -169,13 +175,15 @@
             )
         )
 
-    def build_peer(self, name: str) -> peers.Peer:
+    def build_heartbeat_sender(
+        self, name: str
+    ) -> heartbeat_sender.HeartbeatSender:
         """Return the heartbeats to a peer."""
-        return peers.Peer(
+        return heartbeat_sender.HeartbeatSender(
             name,
-            peers.PeerParts(
+            heartbeat_sender.SenderParts(
                 loop=self.loop,
-                calling=self.calling,
+                client_factory=self.client_factory,
                 address_of=self.address_of,
                 about=self.about,
                 digest=lambda: self.digest,
@@ -192,10 +200,10 @@
     def local_member(self) -> state.Member:
         """Return this agent as a member."""
         return state.Member(
-            name=self.settings.name,
-            zone=self.settings.zone,
-            cell=self.table.my_cell(),
-            agent_address=self.settings.agent_address,
+            name=self.local_agent.name,
+            zone=self.local_agent.zone,
+            cell=self.table.own_cell(),
+            agent_address=self.local_agent.agent_address,
             entry_addresses=self.entry_addresses,
             state=state.MemberState.LEAVING
             if self.leaving
@@ -213,15 +221,15 @@
         The same tuple is returned as long as nothing but the time since
         they were heard has changed.
         """
-        return self.wide.members
+        return self.view.members
 
     def live(self, include_leaving: bool = False) -> tuple[state.Member, ...]:
         """Return the members that are alive, on request leaving ones too."""
-        wanted = {state.MemberState.ALIVE}
+        states = {state.MemberState.ALIVE}
         if include_leaving:
-            wanted.add(state.MemberState.LEAVING)
+            states.add(state.MemberState.LEAVING)
         return tuple(
-            member for member in self.snapshot if member.state in wanted
+            member for member in self.snapshot if member.state in states
         )
 
     def is_fresh(self) -> bool:
@@ -233,7 +241,7 @@
         if self.leaving:
             return
         self.leaving = True
-        log.info("leaving", name=self.settings.name)
+        log.info("leaving", name=self.local_agent.name)
         self.publish_now()
 
     def is_published(self) -> bool:
@@ -247,18 +255,18 @@
         about = self.about()
         now = self.clock()
         with self.table.lock:
-            heard = {
+            live_names = {
                 name
-                for name, found in self.table.records.items()
-                if found.silent_s(now) <= self.suspect_after_s
+                for name, record in self.table.records.items()
+                if record.silent_s(now) <= self.suspect_after_s
             }
-        threads = dict(self.heartbeat_senders)
-        if heard - threads.keys():
+        senders = dict(self.heartbeat_senders)
+        if live_names - senders.keys():
             return False
         return all(
-            peer.sent_about == about
-            for name, peer in threads.items()
-            if name in heard or peer.is_introducing()
+            sender.sent_about == about
+            for name, sender in senders.items()
+            if name in live_names or sender.is_introducing()
         )
 
     def set_entries(self, addresses: tuple[str, ...]) -> None:
@@ -295,14 +303,16 @@
         """
         address = self.address_of(name)
         with self.lock:
-            found = self.clients.get(name)
-            if found is None or found.address != address:
-                found = self.clients[name] = self.calling.client(address)
-            return found
+            client = self.clients.get(name)
+            if client is None or client.address != address:
+                client = self.clients[name] = self.client_factory.client(
+                    address
+                )
+            return client
 
     def register(self, router: server.Router) -> None:
         """Answer the other agents' messages."""
-        self.build_answering().register(router)
+        self.build_handlers().register(router)
         self.gossip.register(router)
 
     def start(self) -> None:
@@ -310,17 +320,17 @@
         self.loop.start()
         self.list_reader.start()
         self.gossip.start()
-        self.watching.start()
-        self.confirming.start()
+        self.reviews.start()
+        self.confirmations.start()
 
     def stop(self) -> None:
         """Stop the threads and close the connections."""
-        self.watching.stop()
-        self.confirming.stop()
+        self.reviews.stop()
+        self.confirmations.stop()
         self.list_reader.stop()
         self.gossip.stop()
-        for peer in list(self.heartbeat_senders.values()):
-            peer.stop()
+        for sender in list(self.heartbeat_senders.values()):
+            sender.stop()
         if self.owns_loop:
             self.loop.stop()
         with self.lock:
@@ -332,9 +342,9 @@
     def about(self) -> messages.About:
         """Return what this agent says of itself."""
         return messages.About(
-            name=self.settings.name,
-            zone=self.settings.zone,
-            address=self.settings.agent_address,
+            name=self.local_agent.name,
+            zone=self.local_agent.zone,
+            address=self.local_agent.agent_address,
             entries=self.entry_addresses,
             incarnation=self.incarnation,
             leaving=self.leaving,
@@ -343,56 +353,58 @@
     def address_of(self, name: str) -> str:
         """Return a member's address or raise :class:`UnknownMemberError`."""
         with self.table.lock:
-            found = self.table.records.get(name)
-            if found is None:
+            record = self.table.records.get(name)
+            if record is None:
                 raise UnknownMemberError(f"no member {name}")
-            return found.agent_address
+            return record.agent_address
 
     # Threads.
 
-    def watch(self) -> None:
+    def run_review(self) -> None:
         """Review the table, and send heartbeats to whom it names."""
         self.review()
-        self.match_peers()
+        self.sync_heartbeat_senders()
 
     def review(self) -> None:
         """Judge each member's silence anew and renew the snapshot."""
         with self.table.lock:
             suspicion.review(self.table)
-            self.freshness.note_tick()
+            self.freshness.record_tick()
             self.digest = self.table.digest(self.incarnation)
             self.snapshot = (self.local_member, *self.table.members())
-            others = self.gossip.directory.members(self.table.my_cell())
-            wide = views.renew(self.wide, self.snapshot, others)
-            changed = wide is not self.wide
-            self.wide = wide
+            others = self.gossip.directory.members(self.table.own_cell())
+            view = views.update(self.view, self.snapshot, others)
+            changed = view is not self.view
+            self.view = view
         if changed:
             self.gossip.wake.set()
 
-    def match_peers(self) -> None:
+    def sync_heartbeat_senders(self) -> None:
         """Begin heartbeats to each new peer; end those to forgotten ones."""
         with self.table.lock:
-            wanted = set(self.table.records)
-        for name in wanted - set(self.heartbeat_senders):
-            peer = self.build_peer(name)
-            self.heartbeat_senders[name] = peer
-            peer.start()
-        for name in set(self.heartbeat_senders) - wanted:
+            names = set(self.table.records)
+        for name in names - set(self.heartbeat_senders):
+            sender = self.build_heartbeat_sender(name)
+            self.heartbeat_senders[name] = sender
+            sender.start()
+        for name in set(self.heartbeat_senders) - names:
             self.heartbeat_senders.pop(name).stop()
 
     def publish_now(self) -> None:
         """Send the next heartbeats now."""
-        self.sections.renew()
+        self.sections.invalidate()
         self.review()
-        for peer in list(self.heartbeat_senders.values()):
-            peer.tell_now()
+        for sender in list(self.heartbeat_senders.values()):
+            sender.send_now()
 
-    def confirm(self) -> None:
+    def confirm_suspects(self) -> None:
         """Ask others about suspects; ask seeds while no peer is heard."""
-        suspicion.confirm(self.table, self.ask)
+        suspicion.confirm(self.table, self.call)
         if len(self.snapshot) <= 1:
-            seed_calls.ask(self.seeds, self.calling, self.replies)
+            seed_peers.query(self.seeds, self.client_factory, self.replies)
 
-    def ask(self, name: str, request: codec.Message) -> codec.Message:
+    def call(self, name: str, request: codec.Message) -> codec.Message:
         """Call a member and return its reply."""
-        return self.client(name).call(request, self.calling.reply_timeout_s)
+        return self.client(name).call(
+            request, self.client_factory.reply_timeout_s
+        )
--- a/src/briarseam/membership/state.py
+++ b/src/briarseam/membership/state.py
@@ -10,7 +10,7 @@
 import typing
 
 INCARNATION_RANDOM_BITS = 16
-NEVER_HEARD_S = float("inf")
+NO_CONTACT_S = float("inf")
 
 
 class MemberState(enum.StrEnum):
@@ -78,7 +78,7 @@
 
 
 @dataclasses.dataclass
-class Record:
+class PeerRecord:
     """What the table holds about one peer.
 
     Attributes
@@ -107,20 +107,24 @@
     incarnation: int = 0
     listed_address: str = ""
     listed_leaving: bool = False
-    told_leaving: bool = False
-    heard_at: float | None = None
-    vouched_at: float | None = None
+    announced_leaving: bool = False
+    last_contact_at: float | None = None
+    confirmed_at: float | None = None
     sections: dict[str, bytes] = dataclasses.field(default_factory=dict)
 
     def silent_s(self, now: float) -> float:
         """Return the seconds since it was heard."""
-        return NEVER_HEARD_S if self.heard_at is None else now - self.heard_at
+        return (
+            NO_CONTACT_S
+            if self.last_contact_at is None
+            else now - self.last_contact_at
+        )
 
-    def leaving(self) -> bool:
+    def is_leaving(self) -> bool:
         """Tell whether it said, or the list says, that it is leaving."""
-        return self.told_leaving or self.listed_leaving
+        return self.announced_leaving or self.listed_leaving
 
-    def member(self, now: float) -> Member:
+    def to_member(self, now: float) -> Member:
         """Return the immutable form."""
         return Member(
             name=self.name,
--- a/src/briarseam/membership/table.py
+++ b/src/briarseam/membership/table.py
@@ -36,46 +36,48 @@
 
     def __init__(
         self,
-        me: state.LocalAgent,
+        local_agent: state.LocalAgent,
         cell_of: cells.CellOf,
         suspect_after_s: float,
         clock: Clock,
     ) -> None:
-        self.me = me
+        self.local_agent = local_agent
         self.cell_of = cell_of
         self.suspect_after_s = suspect_after_s
         self.clock = clock
         self.lock = threading.RLock()
-        self.records: dict[str, state.Record] = {}
+        self.records: dict[str, state.PeerRecord] = {}
         self.reviewed_at = clock()
-        self.woke_at = self.reviewed_at
+        self.resumed_at = self.reviewed_at
 
-    def my_cell(self) -> str:
+    def own_cell(self) -> str:
         """Return this agent's cell."""
-        return self.cell_of(self.me.name, self.me.zone)
+        return self.cell_of(self.local_agent.name, self.local_agent.zone)
 
     def in_cell(self, name: str, zone: str) -> bool:
         """Tell whether the agent is another one of this cell."""
-        if name == self.me.name or zone != self.me.zone:
+        if name == self.local_agent.name or zone != self.local_agent.zone:
             return False
-        return self.cell_of(name, zone) == self.my_cell()
+        return self.cell_of(name, zone) == self.own_cell()
 
-    def record(self, name: str, zone: str, address: str) -> state.Record:
+    def get_or_add(
+        self, name: str, zone: str, address: str
+    ) -> state.PeerRecord:
         """Return the record of a peer, added when there is none."""
-        found = self.records.get(name)
-        if found is None:
-            found = state.Record(
+        record = self.records.get(name)
+        if record is None:
+            record = state.PeerRecord(
                 name=name,
                 zone=zone,
                 cell=self.cell_of(name, zone),
                 agent_address=address,
                 added_at=self.clock(),
             )
-            self.records[name] = found
+            self.records[name] = record
             log.info("peer_found", peer=name, address=address)
-        return found
+        return record
 
-    def take_listing(
+    def apply_listing(
         self, listed: typing.Iterable[instances.Instance]
     ) -> None:
         """Take in the agents on the instance list."""
@@ -86,31 +88,31 @@
                 if row.role == "agent" and self.in_cell(row.name, row.zone)
             }
             for row in rows.values():
-                found = self.record(row.name, row.zone, row.address)
-                found.cell = self.cell_of(row.name, row.zone)
-                found.listed_address = row.address
-                found.listed_leaving = row.state == "leaving"
+                record = self.get_or_add(row.name, row.zone, row.address)
+                record.cell = self.cell_of(row.name, row.zone)
+                record.listed_address = row.address
+                record.listed_leaving = row.state == "leaving"
                 # The list lags: its address counts only for an agent that
                 # is not heard just now under another one.
-                if found.state is not state.MemberState.ALIVE:
-                    found.agent_address = row.address
-            for name, found in self.records.items():
+                if record.state is not state.MemberState.ALIVE:
+                    record.agent_address = row.address
+            for name, record in self.records.items():
                 if name not in rows:
-                    found.listed_address = ""
-                    found.listed_leaving = False
+                    record.listed_address = ""
+                    record.listed_leaving = False
 
-    def take_hearsay(self, about: messages.About) -> None:
+    def apply_peer_report(self, about: messages.About) -> None:
         """Take in an agent that a peer hears; it is not yet heard here."""
         with self.lock:
             if not self.in_cell(about.name, about.zone):
                 return
-            found = self.records.get(about.name)
-            if found is None:
-                self.record(about.name, about.zone, about.address)
-            elif about.incarnation > found.incarnation:
-                found.agent_address = about.address
+            record = self.records.get(about.name)
+            if record is None:
+                self.get_or_add(about.name, about.zone, about.address)
+            elif about.incarnation > record.incarnation:
+                record.agent_address = about.address
 
-    def take_about(self, about: messages.About, heard_at: float) -> bool:
+    def apply_about(self, about: messages.About, contact_at: float) -> bool:
         """Take in what an agent says of itself.
 
         Returns
@@ -123,32 +125,33 @@
         with self.lock:
             if not self.in_cell(about.name, about.zone):
                 return True
-            found = self.record(about.name, about.zone, about.address)
-            if self.supersedes(found, about.incarnation):
+            record = self.get_or_add(about.name, about.zone, about.address)
+            if self.supersedes(record, about.incarnation):
                 return False
-            if about.incarnation != found.incarnation:
+            if about.incarnation != record.incarnation:
                 # A restarted instance keeps nothing of the earlier one.
-                found.sections = {}
-                found.heard_at = None
-            found.incarnation = about.incarnation
-            found.agent_address = about.address
-            found.entry_addresses = about.entries
-            found.told_leaving = about.leaving
-            self.note_heard(found, heard_at)
+                record.sections = {}
+                record.last_contact_at = None
+            record.incarnation = about.incarnation
+            record.agent_address = about.address
+            record.entry_addresses = about.entries
+            record.announced_leaving = about.leaving
+            self.record_contact(record, contact_at)
             return True
 
-    def supersedes(self, found: state.Record, incarnation: int) -> bool:
+    def supersedes(self, record: state.PeerRecord, incarnation: int) -> bool:
         """Tell whether a record is of a later start and still heard.
 
         A clock set back would give a restarted instance a lower number, so
         the number counts only while the higher one is being heard.
         """
-        silent_s = found.silent_s(self.clock())
+        silent_s = record.silent_s(self.clock())
         return (
-            incarnation < found.incarnation and silent_s < self.suspect_after_s
+            incarnation < record.incarnation
+            and silent_s < self.suspect_after_s
         )
 
-    def note_review(self, now: float) -> None:
+    def record_review(self, now: float) -> None:
         """Note that the table is being reviewed; find out about a freeze.
 
         A process that was frozen wakes with everybody silent for as long.
@@ -157,40 +160,45 @@
         makes a member suspect and never gone.
         """
         if now - self.reviewed_at > self.suspect_after_s:
-            self.woke_at = now
+            self.resumed_at = now
         self.reviewed_at = now
 
-    def note_heard(self, found: state.Record, heard_at: float) -> None:
+    def record_contact(
+        self, record: state.PeerRecord, contact_at: float
+    ) -> None:
         """Move on the time of the last word from a peer, never back."""
-        if found.heard_at is None or heard_at > found.heard_at:
-            found.heard_at = heard_at
+        if (
+            record.last_contact_at is None
+            or contact_at > record.last_contact_at
+        ):
+            record.last_contact_at = contact_at
 
-    def digest(self, me_incarnation: int) -> int:
+    def digest(self, own_incarnation: int) -> int:
         """Return a digest of the agents heard, with this one."""
         with self.lock:
-            heard = [
-                f"{found.name}\0{found.incarnation}"
-                for found in self.records.values()
-                if found.state
+            live = [
+                f"{record.name}\0{record.incarnation}"
+                for record in self.records.values()
+                if record.state
                 in (state.MemberState.ALIVE, state.MemberState.LEAVING)
             ]
-        heard.append(f"{self.me.name}\0{me_incarnation}")
-        return xxhash.xxh64_intdigest("\n".join(sorted(heard)).encode())
+        live.append(f"{self.local_agent.name}\0{own_incarnation}")
+        return xxhash.xxh64_intdigest("\n".join(sorted(live)).encode())
 
-    def abouts(self) -> tuple[messages.About, ...]:
+    def live_abouts(self) -> tuple[messages.About, ...]:
         """Return the peers that are heard, as they said of themselves."""
         with self.lock:
             return tuple(
                 messages.About(
-                    name=found.name,
-                    zone=found.zone,
-                    address=found.agent_address,
-                    entries=found.entry_addresses,
-                    incarnation=found.incarnation,
-                    leaving=found.leaving(),
+                    name=record.name,
+                    zone=record.zone,
+                    address=record.agent_address,
+                    entries=record.entry_addresses,
+                    incarnation=record.incarnation,
+                    leaving=record.is_leaving(),
                 )
-                for found in self.records.values()
-                if found.state
+                for record in self.records.values()
+                if record.state
                 in (state.MemberState.ALIVE, state.MemberState.LEAVING)
             )
 
@@ -199,8 +207,8 @@
         now = self.clock()
         with self.lock:
             return tuple(
-                found.member(now)
-                for found in self.records.values()
-                if found.state is not state.MemberState.GONE
-                and found.incarnation
+                record.to_member(now)
+                for record in self.records.values()
+                if record.state is not state.MemberState.GONE
+                and record.incarnation
             )
--- a/src/briarseam/membership/view.py
+++ b/src/briarseam/membership/view.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Trait:
+class MemberKey:
     """What makes a member another one for lookups and routing."""
 
     name: str
@@ -36,11 +36,11 @@
     """
 
     members: tuple[state.Member, ...] = ()
-    traits: tuple[Trait, ...] = ()
+    keys: tuple[MemberKey, ...] = ()
     others: tuple[state.Member, ...] = ()
 
 
-def renew(
+def update(
     view: View,
     own: tuple[state.Member, ...],
     others: tuple[state.Member, ...],
@@ -50,17 +50,17 @@
     The directory returns the same tuple until it changes, so thousands of
     members need not be compared several times a second.
     """
-    traits = tuple(map(trait_of, own))
-    if others is view.others and traits == view.traits:
+    keys = tuple(map(key_of, own))
+    if others is view.others and keys == view.keys:
         return view
     names = {member.name for member in own}
     rest = (each for each in others if each.name not in names)
-    return View((*own, *rest), traits, others)
+    return View((*own, *rest), keys, others)
 
 
-def trait_of(member: state.Member) -> Trait:
+def key_of(member: state.Member) -> MemberKey:
     """Return a member's trait."""
-    return Trait(
+    return MemberKey(
         name=member.name,
         incarnation=member.incarnation,
         state=member.state,
--- a/tests/membership/conftest.py
+++ b/tests/membership/conftest.py
@@ -12,13 +12,13 @@
 
 
 @pytest.fixture
-def listing() -> helpers.FakeList:
-    return helpers.FakeList()
+def listing() -> helpers.FakeInstanceList:
+    return helpers.FakeInstanceList()
 
 
 @pytest.fixture
 def start(
-    listing: helpers.FakeList,
+    listing: helpers.FakeInstanceList,
 ) -> typing.Iterator[typing.Callable[..., helpers.Node]]:
     nodes: list[helpers.Node] = []
 
@@ -30,21 +30,21 @@
         incarnation: int | None = None,
         **options: typing.Any,
     ) -> helpers.Node:
-        router = helpers.CuttableRouter()
+        router = helpers.BlockingRouter()
         listener = server.Server(
             "127.0.0.1:0",
             connections.Identity("agent", name),
             helpers.KEY,
             router,
         )
-        me = state.LocalAgent(
+        local_agent = state.LocalAgent(
             name, zone, listener.address, (f"entry-of-{name}",)
         )
         options.setdefault("heartbeat_interval_s", helpers.INTERVAL_S)
         options.setdefault("suspect_after_s", helpers.SUSPECT_AFTER_S)
         options.setdefault("list_interval_s", helpers.INTERVAL_S)
         membership = service.Membership(
-            me, listing, helpers.KEY, seeds=seeds, **options
+            local_agent, listing, helpers.KEY, seeds=seeds, **options
         )
         if incarnation is not None:
             membership.incarnation = incarnation
@@ -53,7 +53,7 @@
         membership.start()
         if listed:
             listing.put(name, listener.address, zone)
-        node = helpers.Node(membership, listener, router.cut)
+        node = helpers.Node(membership, listener, router.blocked)
         nodes.append(node)
         return node
 
--- a/tests/membership/nodes.py
+++ b/tests/membership/nodes.py
@@ -5,7 +5,7 @@
 import typing
 
 from briarseam.backing import instances
-from briarseam.membership import peer as peers
+from briarseam.membership import heartbeat_sender
 from briarseam.membership import service
 from briarseam.membership import state
 from briarseam.testing import waiting
@@ -18,7 +18,7 @@
 SUSPECT_AFTER_S = 0.6
 
 
-class FakeList:
+class FakeInstanceList:
     """An instance list in memory; the test edits ``rows``."""
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
         )
 
 
-class PausableClock:
+class SkippingClock:
     """A clock that a test sets forward, as a freeze would."""
 
     def __init__(self, clock: typing.Callable[[], float]) -> None:
@@ -60,7 +60,7 @@
 
     membership: service.Membership
     server: server.Server
-    cut: set[str] = dataclasses.field(default_factory=set)
+    blocked: set[str] = dataclasses.field(default_factory=set)
 
     def names(self) -> set[str]:
         return {member.name for member in self.membership.live()}
@@ -71,7 +71,7 @@
                 return member.state
         return None
 
-    def peer(self, name: str) -> peers.Peer:
+    def sender_to(self, name: str) -> heartbeat_sender.HeartbeatSender:
         """Return the heartbeats to a peer, once they have begun.
 
         A peer that sent its introduction first is a member before that.
@@ -85,26 +85,26 @@
         self.server.stop()
 
 
-class CuttableRouter(server.Router):
+class BlockingRouter(server.Router):
     """A router that hangs up on peers the test has cut off."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.cut: set[str] = set()
+        self.blocked: set[str] = set()
 
     def answer(self, peer: connections.Identity, request: object) -> object:
-        if peer.name in self.cut:
+        if peer.name in self.blocked:
             raise connections.WireError("cut by the test")
         return super().answer(peer, request)
 
 
-def cut_between(one: Node, other: Node) -> None:
+def block_between(one: Node, other: Node) -> None:
     """Cut the path between two nodes in both directions."""
-    one.cut.add(other.membership.settings.name)
-    other.cut.add(one.membership.settings.name)
+    one.blocked.add(other.membership.local_agent.name)
+    other.blocked.add(one.membership.local_agent.name)
 
 
-def join(*nodes: Node) -> None:
+def unblock(*nodes: Node) -> None:
     """Heal all cuts."""
     for node in nodes:
-        node.cut.clear()
+        node.blocked.clear()
--- a/tests/membership/test_endpoints.py
+++ b/tests/membership/test_endpoints.py
@@ -44,7 +44,7 @@
 
 
 @pytest.fixture
-def one_agent(start: Start) -> endpoints.LeavingEndpoints:
+def leaving_endpoints(start: Start) -> endpoints.LeavingEndpoints:
     return endpoints.LeavingEndpoints(start("a").membership, view_of)
 
 
@@ -55,31 +55,31 @@
         pytest.param(row("leaving", "instance-7"), id="by address"),
     ],
 )
-def test_listed_as_leaving(
-    one_agent: endpoints.LeavingEndpoints, listed: instances.Instance
+def test_endpoint_listed_as_leaving_is_leaving(
+    leaving_endpoints: endpoints.LeavingEndpoints, listed: instances.Instance
 ) -> None:
     """The platform will take an engine away and marks it on the list: it
     gets no new work, under whatever name the list has it.
     """
-    assert one_agent.leaving_endpoints() == frozenset()
-    one_agent.take_listing((listed, row("live", "two", OTHER)))
-    assert one_agent.leaving_endpoints() == {"one"}
+    assert leaving_endpoints.leaving_endpoints() == frozenset()
+    leaving_endpoints.apply_listing((listed, row("live", "two", OTHER)))
+    assert leaving_endpoints.leaving_endpoints() == {"one"}
 
 
-def test_leaving_holds_until_listed_live(
-    one_agent: endpoints.LeavingEndpoints,
+def test_endpoint_is_leaving_until_listed_live(
+    leaving_endpoints: endpoints.LeavingEndpoints,
 ) -> None:
     """A leaving engine drops off the list while it still shuts down, then
     comes back: it gets work only when the list shows it live.
     """
-    one_agent.take_listing((row("leaving"),))
-    one_agent.take_listing(())
-    assert one_agent.leaving_endpoints() == {"one"}
-    one_agent.take_listing((row("live"),))
-    assert one_agent.leaving_endpoints() == frozenset()
+    leaving_endpoints.apply_listing((row("leaving"),))
+    leaving_endpoints.apply_listing(())
+    assert leaving_endpoints.leaving_endpoints() == {"one"}
+    leaving_endpoints.apply_listing((row("live"),))
+    assert leaving_endpoints.leaving_endpoints() == frozenset()
 
 
-def test_drained_by_configuration(start: Start) -> None:
+def test_endpoint_drained_by_configuration_is_leaving(start: Start) -> None:
     """An operator sets an endpoint to draining: it counts as leaving with
     the very change, whatever the list says.
     """
@@ -92,37 +92,37 @@
     assert leaving.leaving_endpoints() == {"one"}
 
 
-def test_agent_that_missed_the_news_hears_it(
-    start: Start, listing: helpers.FakeList
+def test_leaving_endpoint_is_learned_from_peers(
+    start: Start, listing: helpers.FakeInstanceList
 ) -> None:
     """One agent can't read the list any more, so it never sees that an
     engine is leaving.  A peer that did tells it, and takes it back later.
     """
     a, b = start("a"), start("b")
-    blind = endpoints.LeavingEndpoints(a.membership, view_of)
-    seeing = endpoints.LeavingEndpoints(b.membership, view_of)
+    without_list = endpoints.LeavingEndpoints(a.membership, view_of)
+    with_list = endpoints.LeavingEndpoints(b.membership, view_of)
     waiting.until(lambda: a.names() == b.names() == {"a", "b"})
     a.membership.list_reader.stop()
     a.membership.list_reader.callbacks = ()
     listing.rows["one"] = row("leaving")
-    waiting.until(lambda: seeing.leaving_endpoints() == {"one"})
-    waiting.until(lambda: blind.leaving_endpoints() == {"one"})
+    waiting.until(lambda: with_list.leaving_endpoints() == {"one"})
+    waiting.until(lambda: without_list.leaving_endpoints() == {"one"})
     listing.rows["one"] = row("live")
-    waiting.until(lambda: not blind.leaving_endpoints())
+    waiting.until(lambda: not without_list.leaving_endpoints())
 
 
-def test_report_outlives_its_reporter_for_a_while(
-    one_agent: endpoints.LeavingEndpoints,
+def test_report_of_dead_peer_expires(
+    leaving_endpoints: endpoints.LeavingEndpoints,
 ) -> None:
     """The only agent that saw an engine leave dies itself.  Its news holds
     until others are sure to have read the list, and no longer.
     """
-    clock = helpers.PausableClock(one_agent.membership.clock)
-    one_agent.membership.clock = clock
-    one_agent.consume(
+    clock = helpers.SkippingClock(leaving_endpoints.membership.clock)
+    leaving_endpoints.membership.clock = clock
+    leaving_endpoints.consume(
         "dead",
         msgspec.msgpack.encode([{"name": "one", "address": ENGINE}]),
     )
-    assert one_agent.leaving_endpoints() == {"one"}
-    clock.skipped_s = endpoints.HOLD_S + 1
-    assert one_agent.leaving_endpoints() == frozenset()
+    assert leaving_endpoints.leaving_endpoints() == {"one"}
+    clock.skipped_s = endpoints.REPORT_HOLD_S + 1
+    assert leaving_endpoints.leaving_endpoints() == frozenset()
--- a/tests/membership/test_entries.py
+++ b/tests/membership/test_entries.py
@@ -37,12 +37,14 @@
 
 @pytest.fixture
 def instance(start: Start) -> typing.Iterator[Instance]:
-    made = Instance(start, "a")
-    yield made
-    made.presence.close()
+    instance = Instance(start, "a")
+    yield instance
+    instance.presence.close()
 
 
-def test_entry_is_named_from_start_to_leaving(instance: Instance) -> None:
+def test_entry_address_is_published_from_start_to_leaving(
+    instance: Instance,
+) -> None:
     """An entry starts and is later stopped by an operator.  Callers are
     sent to it in between only, and the agent waits until it has gone.
     """
@@ -56,7 +58,7 @@
     assert instance.local.leaving() == 0
 
 
-def test_peers_know_before_a_leaving_entry_is_told_so(
+def test_leaving_is_confirmed_only_after_peers_have_it(
     instance: Instance, start: Start
 ) -> None:
     """A leaving entry may stop only after every agent has ceased to name
@@ -64,49 +66,51 @@
     """
     peer = start("b")
     instance.presence.report()
-    waiting.until(lambda: named_by(peer) == {ADDRESS})
-    peer.cut.add("a")
+    waiting.until(lambda: addresses_known_to(peer) == {ADDRESS})
+    peer.blocked.add("a")
     instance.presence.leave()
     assert not instance.presence.published
-    peer.cut.clear()
+    peer.blocked.clear()
     waiting.until(instance.presence.leaving_published)
-    assert named_by(peer) == set()
+    assert addresses_known_to(peer) == set()
 
 
-def test_peer_that_was_just_introduced_must_be_told(
-    instance: Instance, start: Start, listing: helpers.FakeList
+def test_leaving_is_unconfirmed_while_introduction_is_open(
+    instance: Instance, start: Start, listing: helpers.FakeInstanceList
 ) -> None:
     """An entry leaves just as a new agent has read its agent's first
     introduction, the answer to which is still on its way back.
     """
     instance.presence.report()
-    early: list[bool] = []
+    published: list[bool] = []
     listing.rows.clear()
     peer = start("b", listed=False)
     handlers = peer.server.router.handlers
-    usual = handlers[messages.Introduction]
+    original = handlers[messages.Introduction]
 
-    def leave_meanwhile(
+    def leave_before_reply(
         sender: connection.Identity, beat: messages.Introduction
     ) -> object:
-        reply = usual(sender, beat)
-        if not early:
+        reply = original(sender, beat)
+        if not published:
             instance.presence.leave()
-            early.append(instance.presence.published)
+            published.append(instance.presence.published)
         return reply
 
-    handlers[messages.Introduction] = leave_meanwhile
-    settings = peer.membership.settings
-    instance.node.membership.table.record(
-        "b", settings.zone, settings.agent_address
+    handlers[messages.Introduction] = leave_before_reply
+    local_agent = peer.membership.local_agent
+    instance.node.membership.table.get_or_add(
+        "b", local_agent.zone, local_agent.agent_address
     )
-    waiting.until(lambda: early)
-    assert early == [False]
+    waiting.until(lambda: published)
+    assert published == [False]
     waiting.until(instance.presence.leaving_published)
-    assert named_by(peer) == set()
+    assert addresses_known_to(peer) == set()
 
 
-def test_peer_that_was_just_heard_must_be_told(instance: Instance) -> None:
+def test_leaving_is_unconfirmed_for_newly_received_peer(
+    instance: Instance,
+) -> None:
     """An entry leaves just as its agent has first heard a new agent, to
     which it has not sent anything itself.
     """
@@ -114,11 +118,11 @@
     membership = instance.node.membership
     assert membership.is_published()
     new = messages.About("b", "rumoi", "127.0.0.1:1", (), 1, False)
-    membership.table.take_about(new, membership.clock())
+    membership.table.apply_about(new, membership.clock())
     assert not membership.is_published()
 
 
-def named_by(node: helpers.Node) -> set[str]:
+def addresses_known_to(node: helpers.Node) -> set[str]:
     """Return the addresses that a node names for the agent ``a``."""
     return {
         address
@@ -128,7 +132,7 @@
     }
 
 
-def test_entry_of_an_unready_agent_is_not_named(instance: Instance) -> None:
+def test_entry_of_unready_agent_is_not_published(instance: Instance) -> None:
     """An agent was just started and knows no endpoints yet.  Callers are
     sent to its entry once it does, or when it has waited enough.
     """
@@ -144,11 +148,11 @@
     assert instance.addresses() == (ADDRESS,)
 
 
-def test_dead_entry_is_taken_out(instance: Instance) -> None:
+def test_silent_entry_is_removed(instance: Instance) -> None:
     """An entry process is killed while its agent lives on: callers are not
     sent to its closed port for long.
     """
-    clock = helpers.PausableClock(instance.node.membership.clock)
+    clock = helpers.SkippingClock(instance.node.membership.clock)
     instance.node.membership.clock = clock
     instance.presence.report()
     assert instance.addresses() == (ADDRESS,)
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -19,7 +19,7 @@
 Start = typing.Callable[..., helpers.Node]
 
 
-def everyone(node: helpers.Node) -> dict[str, state.MemberState]:
+def states_of(node: helpers.Node) -> dict[str, state.MemberState]:
     """Return the states of all members that a node knows."""
     return {
         member.name: member.state for member in node.membership.all_members()
@@ -30,8 +30,8 @@
     """Start two agents in one zone, three in another; wait for all."""
     nodes = [start(name, "rumoi") for name in ("a", "b")]
     nodes += [start(name, "ishikari") for name in ("c", "d", "e")]
-    wanted = dict.fromkeys("abcde", ALIVE)
-    waiting.until(lambda: all(everyone(node) == wanted for node in nodes))
+    expected = dict.fromkeys("abcde", ALIVE)
+    waiting.until(lambda: all(states_of(node) == expected for node in nodes))
     return nodes
 
 
@@ -45,7 +45,7 @@
     directories = [
         node.membership.gossip.directory
         for node in nodes
-        if node.membership.gossip.directory.judges
+        if node.membership.gossip.directory.is_contact
     ]
     found = [each.summary(cell) for each in directories]
     names = {
@@ -59,7 +59,7 @@
     return names == {members} and len(versions) == 1
 
 
-def test_agents_know_the_members_of_other_cells(start: Start) -> None:
+def test_members_of_other_cells_are_known(start: Start) -> None:
     """Agents heartbeat only their own zone's.  A lookup answered in one
     zone must still name the entries of the others.
     """
@@ -80,9 +80,9 @@
     """
     nodes = start_two_zones(start)
     nodes[2].membership.announce_leaving()
-    elsewhere = (None, state.MemberState.LEAVING)
+    departed = (None, state.MemberState.LEAVING)
     waiting.until(
-        lambda: all(everyone(node).get("c") in elsewhere for node in nodes)
+        lambda: all(states_of(node).get("c") in departed for node in nodes)
     )
 
 
@@ -93,21 +93,21 @@
     gone.  The others send callers there last, not first.
     """
     monkeypatch.setattr(directory, "LOST_AFTER_S", 1.0)
-    monkeypatch.setattr(gossip, "BEAT_MS", 100)
+    monkeypatch.setattr(gossip, "BEAT_INTERVAL_MS", 100)
     nodes = start_two_zones(start)
     waiting.until(lambda: summaries_agree(nodes, "ishikari/0", "cde"))
     for node in nodes[2:]:
         node.membership.gossip.stop()
     for node in nodes[2:]:
         node.stop()
-    wanted = dict.fromkeys("ab", ALIVE) | dict.fromkeys("cde", SUSPECT)
+    expected = dict.fromkeys("ab", ALIVE) | dict.fromkeys("cde", SUSPECT)
     waiting.until(
-        lambda: all(everyone(node) == wanted for node in nodes[:2]),
+        lambda: all(states_of(node) == expected for node in nodes[:2]),
         timeout_s=15,
     )
 
 
-def test_zone_cut_in_parts(start: Start) -> None:
+def test_zone_split_into_cells_keeps_all_members(start: Start) -> None:
     """Configuration cuts a zone into two cells: each agent heartbeats only
     its own, and still knows all.
     """
@@ -116,7 +116,7 @@
         start(name, cell_of=cells.by_parts(lambda zone: 2)) for name in names
     ]
     waiting.until(
-        lambda: all(set(everyone(node)) == set(names) for node in nodes)
+        lambda: all(set(states_of(node)) == set(names) for node in nodes)
     )
     own_cells = [node.membership.local_member.cell for node in nodes]
     expected = [own_cells.count(cell) - 1 for cell in own_cells]
@@ -142,80 +142,84 @@
     return messages.CellSummary(cell, stamp, abouts)
 
 
-def test_late_summary_changes_nothing() -> None:
+def test_outdated_summary_is_ignored() -> None:
     """An exchange was held up on its way and brings back a member that
     has gone since.
     """
-    known = directory.Directory(clocks.ManualClock())
-    assert known.apply([summary("x/0", 2, "a")])
-    assert not known.apply([summary("x/0", 1, "a", "b")])
-    assert [member.name for member in known.members("y/0")] == ["a"]
+    summaries = directory.Directory(clocks.ManualClock())
+    assert summaries.apply([summary("x/0", 2, "a")])
+    assert not summaries.apply([summary("x/0", 1, "a", "b")])
+    assert [member.name for member in summaries.members("y/0")] == ["a"]
 
 
-def test_silent_cell_is_lost_until_its_beat_rises() -> None:
+def test_cell_is_lost_until_its_beat_advances() -> None:
     """A cell is cut off and later heard again with the same members."""
     clock = clocks.ManualClock()
-    known = directory.Directory(clock)
-    known.apply([summary("x/0", 1, "a")])
-    before = known.digest()
+    summaries = directory.Directory(clock)
+    summaries.apply([summary("x/0", 1, "a")])
+    before = summaries.digest()
     clock.now_s += directory.LOST_AFTER_S + 1
-    assert [member.state for member in known.members("y/0")] == [SUSPECT]
-    assert known.digest() != before
-    known.take_stamps({"x/0": messages.CellStamp(1, 5)})
-    assert [member.state for member in known.members("y/0")] == [ALIVE]
-    assert known.digest() == before
+    assert [member.state for member in summaries.members("y/0")] == [SUSPECT]
+    assert summaries.digest() != before
+    summaries.apply_stamps({"x/0": messages.CellStamp(1, 5)})
+    assert [member.state for member in summaries.members("y/0")] == [ALIVE]
+    assert summaries.digest() == before
 
 
-def test_agent_in_two_summaries_counts_once() -> None:
+def test_agent_in_two_summaries_is_listed_once() -> None:
     """A zone was cut anew: an agent stands in its old cell's last summary
     and in its new cell's.
     """
     clock = clocks.ManualClock()
-    known = directory.Directory(clock)
-    known.apply([summary("x/0", 1, "a", "b")])
+    summaries = directory.Directory(clock)
+    summaries.apply([summary("x/0", 1, "a", "b")])
     clock.now_s += directory.LOST_AFTER_S + 1
-    known.apply([summary("x/1", 2, "a")])
-    members = {member.name: member for member in known.members("y/0")}
+    summaries.apply([summary("x/1", 2, "a")])
+    members = {member.name: member for member in summaries.members("y/0")}
     assert members["a"].cell == "x/1"
     assert members["a"].state is ALIVE
     assert members["b"].state is SUSPECT
 
 
-def test_own_summary_outdoes_one_from_a_faster_clock(start: Start) -> None:
+def test_own_summary_supersedes_version_from_faster_clock(
+    start: Start,
+) -> None:
     """All agents of a cell are replaced, and the new ones' clocks are
     behind.  What they write must still replace their forerunners'.
     """
     node = start("a")
     future = 2**60
     node.membership.gossip.stop()
-    known = node.membership.gossip.directory
-    known.apply([summary("rumoi/0", future, "old")])
-    node.membership.gossip.write_own()
-    written = known.summary("rumoi/0")
+    summaries = node.membership.gossip.directory
+    summaries.apply([summary("rumoi/0", future, "old")])
+    node.membership.gossip.update_own_summary()
+    written = summaries.summary("rumoi/0")
     assert written.stamp.version > future
     assert [about.name for about in written.members] == ["a"]
 
 
-def test_members_cannot_change_before_their_summary_has_its_version(
+def test_members_are_locked_while_summary_gets_its_version(
     start: Start, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An older view with a later version hides members from other cells."""
     node = start("a")
     node.membership.gossip.stop()
     table = node.membership.gossip.table
-    known = node.membership.gossip.directory
-    summary_of = known.summary
-    could_change = []
+    summaries = node.membership.gossip.directory
+    original = summaries.summary
+    lock_acquired = []
 
-    def change_members(cell: str) -> messages.CellSummary | None:
+    def try_to_change_members(cell: str) -> messages.CellSummary | None:
         changing = threading.Thread(
-            target=lambda: could_change.append(table.lock.acquire(timeout=0.2))
+            target=lambda: lock_acquired.append(
+                table.lock.acquire(timeout=0.2)
+            )
         )
         changing.start()
         changing.join()
-        return summary_of(cell)
+        return original(cell)
 
-    monkeypatch.setattr(known, "summary", change_members)
-    node.membership.gossip.write_own()
-    assert could_change
-    assert not any(could_change)
+    monkeypatch.setattr(summaries, "summary", try_to_change_members)
+    node.membership.gossip.update_own_summary()
+    assert lock_acquired
+    assert not any(lock_acquired)
--- a/tests/membership/test_listing.py
+++ b/tests/membership/test_listing.py
@@ -12,15 +12,17 @@
     """The list grows to thousands of rows: agents read it less often, so
     that its size does not eat what a node may spend on control.
     """
-    reader = listing.ListReader(helpers.FakeList(), 2.0, bytes_per_s=1000)
+    reader = listing.ListReader(
+        helpers.FakeInstanceList(), 2.0, bytes_per_s=1000
+    )
     for size, pause_s in ((100, 2.0), (60_000, 60.0)):
         low, high = 1 - listing.JITTER, 1 + listing.JITTER
         assert low * pause_s <= reader.pause_s(size) <= high * pause_s
 
 
-def test_outage_keeps_the_last_rows() -> None:
+def test_last_rows_are_kept_in_an_outage() -> None:
     """The list is down for a while: what it said before still counts."""
-    source = helpers.FakeList()
+    source = helpers.FakeInstanceList()
     source.put("a", "127.0.0.1:1")
     reader = listing.ListReader(source)
     reader.read_once()
@@ -30,7 +32,7 @@
     assert not reader.available
 
 
-def test_adapter_reads_the_list_over_http() -> None:
+def test_adapter_reads_list_over_http() -> None:
     """The platform's own service shows one leaving agent; in an outage the
     adapter says so instead of showing an empty list.
     """
--- a/tests/membership/test_many_peers.py
+++ b/tests/membership/test_many_peers.py
@@ -15,8 +15,8 @@
 from tests.membership import nodes as helpers
 
 PEERS = 200
-MOST_THREADS = 10
-PATIENCE_S = 60.0
+MAX_THREADS = 10
+TIMEOUT_S = 60.0
 
 
 def peer_about(name, address):
@@ -28,23 +28,23 @@
 
     def __init__(self, name, loop):
         self.name = name
-        self.beats = 0
+        self.heartbeats = 0
         self.router = server.Router()
-        self.router.on_quick(messages.Introduction, self.introduced)
-        self.router.on_quick(messages.Heartbeat, self.alive)
+        self.router.on_quick(messages.Introduction, self.on_introduction)
+        self.router.on_quick(messages.Heartbeat, self.on_heartbeat)
         me = connections.Identity("agent", name)
         self.server = server.Server(
             "127.0.0.1:0", me, helpers.KEY, self.router, loop=loop
         )
         self.server.start()
 
-    def introduced(self, peer, beat):
+    def on_introduction(self, peer, message):
         return messages.Introduced(
             peer_about(self.name, self.server.address), 0
         )
 
-    def alive(self, peer, beat):
-        self.beats += 1
+    def on_heartbeat(self, peer, message):
+        self.heartbeats += 1
         return messages.Alive(1, 0)
 
 
@@ -59,11 +59,11 @@
 @pytest.fixture
 def peers(loop, listing):
     made = [Peer(f"peer-{number}", loop) for number in range(PEERS)]
-    for one in made:
-        listing.put(one.name, one.server.address)
+    for peer in made:
+        listing.put(peer.name, peer.server.address)
     yield made
-    for one in made:
-        one.server.stop()
+    for peer in made:
+        peer.server.stop()
 
 
 def test_threads_do_not_grow_with_peers(listing, peers, loop):
@@ -91,16 +91,18 @@
     membership.start()
     try:
         waiting.until(
-            lambda: all(one.beats for one in peers), PATIENCE_S, "heartbeats"
+            lambda: all(peer.heartbeats for peer in peers),
+            TIMEOUT_S,
+            "heartbeats",
         )
         assert len(membership.live()) == PEERS + 1
-        assert threading.active_count() - before <= MOST_THREADS
+        assert threading.active_count() - before <= MAX_THREADS
     finally:
         membership.stop()
         listener.stop()
 
 
-def test_fault_in_taking_in_an_answer_does_not_end_heartbeats(
+def test_error_while_handling_reply_does_not_end_heartbeats(
     listing, start, monkeypatch
 ):
     """Two instances take each other for gone after a fault of one section.
@@ -108,24 +110,25 @@
     Whatever takes in an answer may have a fault; heartbeats go on.
     """
     failures = [ZeroDivisionError()]
-    take_about = replies.ReplyHandler.take_about
+    apply_about = replies.ReplyHandler.apply_about
 
     def fail_once(self, about, sent_at):
         if failures:
             raise failures.pop()
-        take_about(self, about, sent_at)
+        apply_about(self, about, sent_at)
 
-    monkeypatch.setattr(replies.ReplyHandler, "take_about", fail_once)
+    monkeypatch.setattr(replies.ReplyHandler, "apply_about", fail_once)
     one, other = start("a"), start("b")
     waiting.until(lambda: one.names() == other.names() == {"a", "b"})
     assert failures == []
     pairs = [(one, "b"), (other, "a")]
     before = [
-        node.membership.heartbeat_senders[name].beats for node, name in pairs
+        node.membership.heartbeat_senders[name].heartbeats_answered
+        for node, name in pairs
     ]
     waiting.until(
         lambda: all(
-            node.membership.heartbeat_senders[name].beats > count
+            node.membership.heartbeat_senders[name].heartbeats_answered > count
             for (node, name), count in zip(pairs, before, strict=True)
         )
     )
--- a/tests/membership/test_sections.py
+++ b/tests/membership/test_sections.py
@@ -11,9 +11,9 @@
 
 
 @pytest.fixture
-def both():
+def sections_with_failing_one():
     """Two sections, the first of which can neither be made nor read."""
-    taken = []
+    consumed = []
 
     def fail(*_args):
         raise OverflowError("a number beyond 64 bits")
@@ -22,22 +22,22 @@
     made.add(sections.Section("bad", fail, fail))
     made.add(
         sections.Section(
-            "good", lambda: b"1", lambda member, data: taken.append(data)
+            "good", lambda: b"1", lambda member, data: consumed.append(data)
         )
     )
-    made.taken = taken
+    made.consumed = consumed
     return made
 
 
-def test_section_that_cannot_be_read_does_not_hide_the_others(both):
-    both.consume("peer", {"bad": b"\xff", "good": b"2"})
-    assert both.taken == [b"2"]
+def test_undecodable_section_does_not_hide_others(sections_with_failing_one):
+    sections_with_failing_one.consume("peer", {"bad": b"\xff", "good": b"2"})
+    assert sections_with_failing_one.consumed == [b"2"]
 
 
-def test_section_that_cannot_be_made_does_not_end_the_heartbeats(both):
+def test_failing_section_is_left_out_of_heartbeat(sections_with_failing_one):
     """An engine tells a number that no message can carry.
 
     The thread that sends heartbeats to a peer ended at it, and one
     instance after the other took this one for dead.
     """
-    assert both.content() == {"good": b"1"}
+    assert sections_with_failing_one.content() == {"good": b"1"}
--- a/tests/membership/test_service.py
+++ b/tests/membership/test_service.py
@@ -25,7 +25,7 @@
     return nodes
 
 
-def test_listed_agents_hear_each_other(start: Start) -> None:
+def test_listed_agents_find_each_other(start: Start) -> None:
     """Three agents start and are on the list: each serves its callers
     knowing the other two, with their entry addresses.
     """
@@ -40,20 +40,20 @@
         waiting.until(node.membership.is_fresh)
 
 
-def test_unlisted_agent_is_heard_through_a_seed(start: Start) -> None:
+def test_unlisted_agent_is_found_through_seed(start: Start) -> None:
     """A new agent is not on the lagging list yet.  It asks a seed, and
     the agents that the seed never told of it still hear it.
     """
     nodes = start_all(start, "a", "b")
-    seed = nodes[0].membership.settings.agent_address
+    seed = nodes[0].membership.local_agent.agent_address
     new = start("c", listed=False, seeds=(seed,))
-    everyone = {"a", "b", "c"}
+    expected = {"a", "b", "c"}
     waiting.until(
-        lambda: all(node.names() == everyone for node in [*nodes, new])
+        lambda: all(node.names() == expected for node in [*nodes, new])
     )
 
 
-def test_leaving_is_known_at_once(start: Start) -> None:
+def test_leaving_is_published_at_once(start: Start) -> None:
     """An operator stops an agent: its peers stop naming it to callers
     before the next heartbeat is due, though the list still shows it live.
     """
@@ -61,8 +61,8 @@
     for node in (a, b):
         node.membership.heartbeat_interval_s = 60.0
         node.membership.table.suspect_after_s = 60.0
-    beats_before = b.peer("a").beats
-    waiting.until(lambda: b.peer("a").beats > beats_before)
+    before = b.sender_to("a").heartbeats_answered
+    waiting.until(lambda: b.sender_to("a").heartbeats_answered > before)
     b.membership.announce_leaving()
     waiting.until(lambda: a.names() == {"a"}, timeout_s=10)
     assert a.state_of("b") is LEAVING
@@ -70,18 +70,18 @@
 
 
 def test_listed_as_leaving_is_not_live(
-    start: Start, listing: helpers.FakeList
+    start: Start, listing: helpers.FakeInstanceList
 ) -> None:
     """The platform marks an instance as leaving before the agent there
     hears of it: callers are no longer sent to it.
     """
     a, b = start_all(start, "a", "b")
-    listing.put("b", b.membership.settings.agent_address, state="leaving")
+    listing.put("b", b.membership.local_agent.agent_address, state="leaving")
     waiting.until(lambda: a.names() == {"a"})
     assert a.state_of("b") is LEAVING
 
 
-def test_dead_agent_is_gone_though_listed(start: Start) -> None:
+def test_dead_agent_is_gone_while_still_listed(start: Start) -> None:
     """An agent is killed; the lagging list goes on showing it.  Its peers
     find it silent, ask each other, and drop it.
     """
@@ -92,22 +92,22 @@
     assert a.names() == b.names() == {"a", "b"}
 
 
-def test_cut_between_two_keeps_both_members(start: Start) -> None:
+def test_member_reachable_through_third_is_not_gone(start: Start) -> None:
     """The path between two agents is cut while both reach a third.  Each
     suspects the other, asks the third, and does not call it gone.
     """
     a, b, c = start_all(start, "a", "b", "c")
-    helpers.cut_between(a, b)
+    helpers.block_between(a, b)
     waiting.until(lambda: a.state_of("b") is SUSPECT, timeout_s=10)
     record = a.membership.table.records["b"]
-    waiting.until(lambda: record.vouched_at is not None, timeout_s=10)
+    waiting.until(lambda: record.confirmed_at is not None, timeout_s=10)
     assert a.state_of("b") is SUSPECT
     assert c.names() == {"a", "b", "c"}
-    helpers.join(a, b)
+    helpers.unblock(a, b)
     waiting.until(lambda: a.names() == {"a", "b", "c"}, timeout_s=10)
 
 
-def test_restarted_agent_is_a_new_one(start: Start) -> None:
+def test_restarted_agent_replaces_former_incarnation(start: Start) -> None:
     """An agent is replaced under the same name and another address while
     the list still shows the old address: its peers hear the new one.
     """
@@ -115,7 +115,7 @@
     old = b.membership.incarnation
     a.membership.table.records["b"].sections["load"] = b"old"
     b.stop()
-    seed = a.membership.settings.agent_address
+    seed = a.membership.local_agent.agent_address
     new = start("b", listed=False, seeds=(seed,))
     assert new.membership.incarnation > old
     record = a.membership.table.records["b"]
@@ -132,7 +132,7 @@
     is told so by its peers and stops counting its view as current.
     """
     a, new = start_all(start, "a", "b")
-    a_address = a.membership.settings.agent_address
+    a_address = a.membership.local_agent.agent_address
     earlier = new.membership.incarnation - 1
     old = start("b", listed=False, seeds=(a_address,), incarnation=earlier)
     waiting.until(lambda: old.membership.freshness.superseded)
@@ -141,56 +141,58 @@
     assert record.incarnation == new.membership.incarnation
 
 
-def test_frozen_agent_is_not_fresh_on_waking(start: Start) -> None:
+def test_agent_is_not_fresh_after_a_freeze(start: Start) -> None:
     """An agent is frozen for a minute.  In its first moment awake its view
     still shows dead peers alive; it must not count until a peer answered.
     """
-    clock = helpers.PausableClock(time.monotonic)
+    clock = helpers.SkippingClock(time.monotonic)
     a = start("a", clock=clock)
     b = start("b")
     waiting.until(lambda: a.names() == b.names() == {"a", "b"})
     waiting.until(a.membership.is_fresh)
-    b.cut.add("a")
+    b.blocked.add("a")
     clock.skipped_s += 60
     assert not a.membership.is_fresh()
     waiting.until(lambda: a.state_of("b") is SUSPECT)
-    b.cut.clear()
+    b.blocked.clear()
     waiting.until(a.membership.is_fresh, timeout_s=10)
     waiting.until(lambda: a.names() == {"a", "b"})
 
 
-def test_reply_read_after_a_freeze_is_old(start: Start) -> None:
+def test_reply_read_after_a_freeze_does_not_renew_freshness(
+    start: Start,
+) -> None:
     """An agent is frozen while a reply is on its way to it, and the cell
     is gone when it wakes.  The reply that it finds in its socket shows
     that the peer lived when it was asked, not now.
     """
-    clock = helpers.PausableClock(time.monotonic)
+    clock = helpers.SkippingClock(time.monotonic)
     a = start("a", clock=clock)
     b = start("b")
     waiting.until(lambda: a.names() == b.names() == {"a", "b"})
     handlers = b.server.router.handlers
-    usual = handlers[messages.Heartbeat]
+    original = handlers[messages.Heartbeat]
 
     def answer_before_the_freeze(
-        peer: connection.Identity, beat: messages.Heartbeat
+        peer: connection.Identity, heartbeat: messages.Heartbeat
     ) -> object:
-        reply = usual(peer, beat)
+        reply = original(peer, heartbeat)
         clock.skipped_s += 60
-        b.cut.add("a")
+        b.blocked.add("a")
         return reply
 
     handlers[messages.Heartbeat] = answer_before_the_freeze
-    waiting.until(lambda: a.peer("b").failures)
+    waiting.until(lambda: a.sender_to("b").failures)
     assert clock.skipped_s == 60
     assert not a.membership.is_fresh()
 
 
-def test_sections_ride_on_heartbeats(start: Start) -> None:
+def test_sections_are_carried_by_heartbeats(start: Start) -> None:
     """A slice shares a number with the cell; peers get each change, and
     one slice's fault does not make the member look dead.
     """
     a, b = start_all(start, "a", "b")
-    got: dict[str, bytes] = {}
+    received: dict[str, bytes] = {}
     content = {"value": b"1"}
 
     def fail(member: str, data: bytes) -> None:
@@ -198,11 +200,13 @@
 
     b.membership.add_section("bad", lambda: b"x", fail)
     a.membership.add_section("bad", lambda: b"y", fail)
-    b.membership.add_section("load", lambda: content["value"], got.__setitem__)
-    a.membership.add_section("load", lambda: b"", got.__setitem__)
-    waiting.until(lambda: got.get("b") == b"1")
+    b.membership.add_section(
+        "load", lambda: content["value"], received.__setitem__
+    )
+    a.membership.add_section("load", lambda: b"", received.__setitem__)
+    waiting.until(lambda: received.get("b") == b"1")
     content["value"] = b"2"
-    waiting.until(lambda: got.get("b") == b"2")
+    waiting.until(lambda: received.get("b") == b"2")
     sections = a.membership.table.records["b"].sections
     assert sections["load"] == b"2"
     assert a.names() == {"a", "b"}
@@ -216,8 +220,8 @@
         a.membership.client("z")
 
 
-def test_half_of_the_agents_replaced_at_once(
-    start: Start, listing: helpers.FakeList
+def test_half_of_a_cell_replaced_at_once(
+    start: Start, listing: helpers.FakeInstanceList
 ) -> None:
     """The platform replaces half of a cell in one go.  The rest drop the
     old and hear the new, though no new one knows more than the list.
@@ -225,10 +229,10 @@
     nodes = start_all(start, "a", "b", "c", "d")
     for node in nodes[2:]:
         node.stop()
-        del listing.rows[node.membership.settings.name]
+        del listing.rows[node.membership.local_agent.name]
     new = [start("e"), start("f")]
-    everyone = {"a", "b", "e", "f"}
+    expected = {"a", "b", "e", "f"}
     waiting.until(
-        lambda: all(node.names() == everyone for node in [*nodes[:2], *new]),
+        lambda: all(node.names() == expected for node in [*nodes[:2], *new]),
         timeout_s=10,
     )
--- a/tests/membership/test_split.py
+++ b/tests/membership/test_split.py
@@ -10,18 +10,18 @@
 SESSIONS = [f"s{number}" for number in range(40)]
 
 
-def firsts(node: helpers.Node) -> set[str]:
+def first_addresses(node: helpers.Node) -> set[str]:
     """Return where a node sends callers first."""
     lookup = lookups.Lookup(node.membership.all_members, lambda digest: None)
     return {lookup.where("org", name).addresses[0] for name in SESSIONS}
 
 
-def entries(names: str) -> set[str]:
+def entry_addresses(names: str) -> set[str]:
     """Return the entry addresses of some nodes."""
     return {f"entry-of-{name}" for name in names}
 
 
-def test_both_sides_of_a_split_serve_callers(start: Start) -> None:
+def test_both_sides_of_a_network_partition_serve_callers(start: Start) -> None:
     """A switch fails and parts a cell in two; callers reach both sides.
     Each side goes on answering lookups with the agents that it reaches
     first, and both are one again when the switch is back.
@@ -33,20 +33,21 @@
     sides = ("ab", "cd")
     for one in sides[0]:
         for other in sides[1]:
-            helpers.cut_between(nodes[one], nodes[other])
+            helpers.block_between(nodes[one], nodes[other])
     for side in sides:
         for name in side:
             waiting.until(
                 lambda name=name, side=side: (
-                    firsts(nodes[name]) == entries(side)
+                    first_addresses(nodes[name]) == entry_addresses(side)
                 ),
                 timeout_s=15,
             )
             assert nodes[name].membership.is_fresh()
-    helpers.join(*nodes.values())
+    helpers.unblock(*nodes.values())
     waiting.until(
         lambda: all(
-            firsts(node) == entries("abcd") for node in nodes.values()
+            first_addresses(node) == entry_addresses("abcd")
+            for node in nodes.values()
         ),
         timeout_s=15,
     )
--- a/tests/membership/test_table.py
+++ b/tests/membership/test_table.py
@@ -6,7 +6,7 @@
 from tests import clocks
 
 
-def test_peers_cell_is_the_present_one_after_cells_were_cut_anew():
+def test_cell_of_known_peer_follows_configuration():
     """A region grows, and is cut into cells.
 
     A peer that was known before kept the name of its former cell, and was
@@ -20,7 +20,7 @@
         clocks.ManualClock(),
     )
     listed = [instances.Instance("b", "agent", "127.0.0.1:2", "north")]
-    table.take_listing(listed)
+    table.apply_listing(listed)
     cells.update(a="north/east/0", b="north/east/0")
-    table.take_listing(listed)
+    table.apply_listing(listed)
     assert table.records["b"].cell == "north/east/0"
