--- a/src/briarseam/membership/__init__.py
+++ b/src/briarseam/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership: which agents of the cell are alive, leaving or gone."""
+"""Membership: which agents of the cell are alive, suspect, leaving or gone."""
--- a/src/briarseam/membership/cells.py
+++ b/src/briarseam/membership/cells.py
@@ -1,4 +1,4 @@
-"""How a zone's agents are cut into cells."""
+"""Assignment of a zone's agents to cells."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 import xxhash
 
 PartsOf = typing.Callable[[str], int]
-# From an agent's name and zone.
+# Returns the cell for an agent's name and zone.
 CellOf = typing.Callable[[str, str], str]
 
 
 def by_parts(parts_of: PartsOf) -> CellOf:
-    """Return a function that cuts each zone into a number of cells."""
+    """Return a function that divides each zone into a number of cells."""
     return lambda name, zone: cell_of(name, zone, parts_of(zone))
 
 
@@ -26,7 +26,7 @@
     zone
         Its availability zone.
     parts
-        Number of cells in the zone.  With one part more, only about one
+        Number of cells in the zone.  If it grows by one, only about one
         agent in ``parts + 1`` changes its cell.
     """
     best = max(range(parts), key=lambda part: weight(name, part))
@@ -34,7 +34,7 @@
 
 
 def whole_zone(name: str, zone: str) -> str:
-    """Return the cell of an agent where each zone is one."""
+    """Return the cell of an agent where each zone is a single cell."""
     return cell_of(name, zone, 1)
 
 
--- a/src/briarseam/membership/client_factory.py
+++ b/src/briarseam/membership/client_factory.py
@@ -1,4 +1,4 @@
-"""How this agent calls other agents."""
+"""Creation of clients that call other agents."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class ClientFactory:
-    """What opening a connection to another agent takes.
+    """Creates clients of other agents.
 
     Attributes
     ----------
     identity
-        This agent.
+        The local agent.
     key
         The shared key of the wire.
     reply_timeout_s
-        Longest wait for a connection and for a reply, in seconds.
+        Timeout of a connection and of a reply, in seconds.
     stamps
-        The process's hybrid clock, which rides on every frame.
+        The process's hybrid clock, whose time is sent with every frame.
     """
 
     identity: connections.Identity
--- a/src/briarseam/membership/directory.py
+++ b/src/briarseam/membership/directory.py
@@ -1,4 +1,4 @@
-"""What is known of the other cells."""
+"""The members of other cells, from their summaries."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class TrackedSummary:
-    """A summary and when its cell was last seen to live.
+    """A summary, and when its cell's beat last advanced.
 
     Attributes
     ----------
     summary
-        The newest one.
+        The newest summary of the cell.
     beat_at
-        Monotonic time at which its beat last rose here.
+        Monotonic time at which an advanced beat was last received.
     """
 
     summary: messages.CellSummary
@@ -39,16 +39,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class DerivedView:
-    """What is worked out from the summaries, kept until they change.
+    """Results computed from the summaries, cached until they change.
 
     Attributes
     ----------
     revision, lost, own_cell
-        What it was worked out from.
+        Inputs of the computation.
     digest
-        Of versions and lost cells.
+        Digest of the versions and the lost cells.
     members
-        Of the other cells.
+        Members of the other cells.
     """
 
     revision: int
@@ -79,7 +79,7 @@
     def apply(
         self, summaries: typing.Iterable[messages.CellSummary]
     ) -> tuple[messages.CellSummary, ...]:
-        """Take in summaries; return those that were news."""
+        """Apply summaries; return those whose members changed."""
         updates = []
         with self.lock:
             for summary in summaries:
@@ -102,7 +102,7 @@
     def apply_stamps(
         self, stamps: typing.Mapping[str, messages.CellStamp]
     ) -> None:
-        """Take in that cells went on living with the members known."""
+        """Apply beats of cells whose known members are unchanged."""
         with self.lock:
             for cell, stamp in stamps.items():
                 tracked = self.summaries.get(cell)
@@ -124,7 +124,7 @@
         return None if tracked is None else tracked.summary
 
     def stamps(self) -> dict[str, messages.CellStamp]:
-        """Return how new each summary is."""
+        """Return the version of each summary."""
         with self.lock:
             return {
                 cell: tracked.summary.stamp
@@ -132,7 +132,7 @@
             }
 
     def updates_for(self, query: messages.CellsAsked) -> messages.CellsNews:
-        """Return what an asking agent does not have."""
+        """Return what is newer than a query's versions."""
         summaries = []
         stamps = {}
         with self.lock:
@@ -151,11 +151,12 @@
         )
 
     def lost(self) -> frozenset[str]:
-        """Return the cells that seem dead or cut off.
+        """Return the cells that seem dead or unreachable.
 
-        Nobody outside a cell hears its members, so the summary of a zone
-        that went down as a whole would stay as it was.  Its beat stops.
-        Agents that do not exchange beats take the word of those that do.
+        Agents outside a cell receive no heartbeats of its members, so the
+        summary of a zone that failed completely stays as it was, but its
+        beat stops.  Agents that are no contacts do not receive beats and
+        use the lost cells that a contact reports.
         """
         if not self.is_contact:
             return self.reported_lost
@@ -167,7 +168,7 @@
         )
 
     def forget(self) -> None:
-        """Drop cells that have been lost for long."""
+        """Drop cells that have been lost for ``FORGET_AFTER_S``."""
         cutoff = self.clock() - FORGET_AFTER_S
         with self.lock:
             for cell, tracked in list(self.summaries.items()):
@@ -177,7 +178,7 @@
                     log.info("cell_forgotten", cell=cell)
 
     def digest(self) -> bytes:
-        """Return a digest of the members known and the cells lost."""
+        """Return a digest of the known members and the lost cells."""
         return self.derive(self.derived.own_cell).digest
 
     def members(self, own_cell: str) -> tuple[state.Member, ...]:
@@ -188,7 +189,7 @@
         return self.derive(own_cell).members
 
     def derive(self, own_cell: str) -> DerivedView:
-        """Return the present answer, worked out anew only after a change."""
+        """Return the results, recomputed only after a change."""
         lost = self.lost()
         derived = self.derived
         if (
@@ -207,7 +208,7 @@
         return derived
 
     def build_digest(self, lost: frozenset[str]) -> bytes:
-        """Return the digest of what is known."""
+        """Return the digest of the summaries' versions and the lost cells."""
         parts = [
             f"{cell}\0{stamp.version}" for cell, stamp in self.stamps().items()
         ]
@@ -220,8 +221,9 @@
     ) -> tuple[state.Member, ...]:
         """Return the members of the other cells.
 
-        A name may stand in two summaries after cells were cut anew: the
-        later start counts, and a living cell before a lost one.
+        A name may be in two summaries after the division into cells has
+        changed: the later incarnation has precedence, and live cells have
+        precedence over lost ones.
         """
         with self.lock:
             summaries = [
@@ -248,18 +250,18 @@
 
 
 def member_of(about: messages.About, cell: str, lost: bool) -> state.Member:
-    """Return the member that an agent of another cell is."""
-    now = state.MemberState.ALIVE
+    """Return an agent of another cell as a member."""
+    member_state = state.MemberState.ALIVE
     if lost:
-        now = state.MemberState.SUSPECT
+        member_state = state.MemberState.SUSPECT
     if about.leaving:
-        now = state.MemberState.LEAVING
+        member_state = state.MemberState.LEAVING
     return state.Member(
         name=about.name,
         zone=about.zone,
         cell=cell,
         agent_address=about.address,
         entry_addresses=about.entries,
-        state=now,
+        state=member_state,
         incarnation=about.incarnation,
     )
--- a/src/briarseam/membership/drain.py
+++ b/src/briarseam/membership/drain.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown that both daemons go through."""
+"""Graceful shutdown of the daemons."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Drained:
-    """Nothing was in flight at the end.
+    """The drain ended with no request in flight.
 
     Attributes
     ----------
@@ -29,14 +29,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class CutOff:
-    """The bound, or an operator's hurry, came before the last request's end.
+    """The drain's bound or an interrupt came before the last request's end.
 
     Attributes
     ----------
     waited_s
         Seconds from the announcement.
     in_flight
-        Requests that will be cut.
+        Requests that will be cut off.
     """
 
     waited_s: float
@@ -48,35 +48,35 @@
 
 @dataclasses.dataclass(frozen=True)
 class Drain:
-    """What one daemon does between SIGTERM and its exit.
+    """The steps of a daemon between SIGTERM and its exit.
 
-    Callers keep a lookup for its time to live and connect by themselves,
-    so a process that stopped on SIGTERM would refuse or cut callers whom
-    the system itself sent there a moment ago.  It vanishes from the
-    lookups first, serves until the last of them has run out, and then
-    until nothing is in flight.
+    Callers use a lookup for its time to live, so a process that stopped at
+    SIGTERM would refuse or cut off callers that were directed to it shortly
+    before.  The process is removed from the lookups first, serves until the
+    last lookup has expired, and then until nothing is in flight.
 
     Attributes
     ----------
     announce
-        Tells the peers, or the agent, that this process is leaving.
+        Publishes to the peers, or to the agent, that this process is
+        leaving.
     published
-        Whether all who give out lookups know it.
+        Whether all agents that answer lookups know it.
     in_flight
-        Requests under way.
+        Number of requests in flight.
     settle
-        Whether nothing is in flight; if so, the process takes nothing more
-        from then on.
+        Whether nothing is in flight; if so, the process accepts no more
+        requests from then on.
     linger_s
-        Returns for how many seconds callers may still come that a lookup
-        sends here: its time to live, and the time that news takes to reach
+        Returns for how many seconds callers may still connect after a
+        lookup: its time to live, and the time that a change takes to reach
         other cells.
     bound_s
-        Longest drain; what is in flight then is cut off.
+        Maximum duration of the drain; requests in flight then are cut off.
     stop_requested_s
-        When the process was asked to stop, by the clock; now unless given.
+        Time of the request to stop, by the clock; now unless given.
     interrupted
-        Whether to give up waiting now, as an operator asks with SIGINT.
+        Whether to stop waiting now, as an operator requests with SIGINT.
     """
 
     announce: typing.Callable[[], None]
@@ -92,10 +92,10 @@
 
     def run(self) -> Outcome:
         """Drain; return how it ended."""
-        # Guard: whoever sent SIGTERM kills the process some seconds later.
-        # Counted from when it was noticed, as after a start or a suspension,
-        # the bound would come after that, and what is served until then
-        # would be lost.
+        # Guard: the supervisor that sent SIGTERM kills the process some
+        # seconds later.  A process that handles the signal late, after its
+        # start or a suspension, must not count the bound from then: it would
+        # be killed before the bound, with the requests in flight.
         started = (
             self.clock()
             if self.stop_requested_s is None
@@ -106,7 +106,7 @@
         self.wait(
             self.published, started + min(PUBLISH_TIMEOUT_S, self.bound_s)
         )
-        # A peer may have answered a lookup just before it was told.
+        # A peer may have answered a lookup just before it got the update.
         served_until = self.clock() + self.linger_s()
         end = started + self.bound_s
         self.wait(lambda: self.clock() >= served_until, end)
@@ -116,7 +116,13 @@
     def wait(
         self, condition: typing.Callable[[], bool], deadline: float
     ) -> bool:
-        """Wait for a condition until a time, or a hurry; tell if it held."""
+        """Wait for a condition until a deadline or an interrupt.
+
+        Returns
+        -------
+        bool
+            Whether the condition was met.
+        """
         while not condition():
             if self.clock() >= deadline or self.interrupted():
                 return False
--- a/src/briarseam/membership/endpoints.py
+++ b/src/briarseam/membership/endpoints.py
@@ -1,4 +1,4 @@
-"""Which endpoints are leaving, from all who may know."""
+"""The endpoints that are leaving, by list, peers and configuration."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class LeavingEndpoint:
-    """One endpoint that the instance list showed as leaving.
+    """An endpoint that the instance list showed as leaving.
 
     Attributes
     ----------
     name
-        Its name on the list.
+        Name on the instance list.
     address
         ``ip:port``.
     """
@@ -42,14 +42,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Report:
-    """What one peer last said.
+    """The last report of one peer.
 
     Attributes
     ----------
     leaving
-        What it read on the list itself.
+        Endpoints that the peer itself read on the list as leaving.
     at
-        Monotonic time in seconds at which it was last known to say so.
+        Monotonic time in seconds at which the report was last valid.
     """
 
     leaving: frozenset[LeavingEndpoint]
@@ -58,16 +58,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class CachedNames:
-    """The last answer, kept for a moment since each request asks.
+    """Names of leaving endpoints, cached because each request needs them.
 
     Attributes
     ----------
     names
         Configured names of leaving endpoints.
     offset
-        Configuration offset that it was worked out from.
+        Configuration offset that they were computed from.
     until
-        Monotonic time in seconds until which it holds.
+        Monotonic time in seconds until which they are valid.
     """
 
     names: frozenset[str]
@@ -79,17 +79,17 @@
     """Collects the endpoints that must get no new work.
 
     The instance list lags, and an agent may be unable to read it while
-    others can.  An agent that knew only its own reading would go on
-    sending work to an endpoint about to stop.  So agents tell each other
-    what they read themselves; never what they heard, since two agents
-    that echo each other would keep old news alive for ever.
+    others can; it would then go on sending work to an endpoint about to
+    stop.  Agents therefore report to each other what they read themselves.
+    They do not pass on reports: two agents that echo each other would keep
+    an outdated report for ever.
 
     Parameters
     ----------
     membership
-        Carries the reports; its list reader is followed.
+        Carries the reports, and reads the instance list.
     view
-        Present configuration.
+        Returns the current configuration.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         membership.add_section(SECTION, self.provide, self.consume)
 
     def apply_listing(self, rows: tuple[instances.Instance, ...]) -> None:
-        """Take in one reading of the list.
+        """Apply one read of the instance list.
 
         An endpoint that was leaving and is no longer on the list stays
         leaving until the list shows it live again.
@@ -142,25 +142,25 @@
         self.membership.publish_now()
 
     def provide(self) -> bytes:
-        """Return what this agent read itself."""
+        """Return the endpoints that this agent read as leaving."""
         ordered = sorted(
             self.listed_leaving, key=lambda endpoint: endpoint.name
         )
         return msgspec.msgpack.encode(ordered)
 
     def consume(self, member: str, data: bytes) -> None:
-        """Take in what a peer read."""
+        """Store a peer's report."""
         leaving = msgspec.msgpack.decode(data, type=frozenset[LeavingEndpoint])
         with self.lock:
             self.reports[member] = Report(leaving, self.membership.clock())
         self.invalidate()
 
     def invalidate(self) -> None:
-        """Work out the next answer anew."""
+        """Drop the cached names."""
         self.cached = CachedNames(frozenset(), -1, 0.0)
 
     def leaving_endpoints(self) -> frozenset[str]:
-        """Return the names, as configured, that get no new work."""
+        """Return the configured names of endpoints that get no new work."""
         view = self.view()
         now = self.membership.clock()
         cached = self.cached
@@ -184,10 +184,10 @@
         )
 
     def known_leaving(self) -> frozenset[LeavingEndpoint]:
-        """Return what this agent read and what its peers report.
+        """Return the endpoints that this agent read or its peers report.
 
-        A report holds while its member is there, and for ``HOLD_S`` after,
-        by when this agent's own reading is due.
+        A report is valid while its member is known and for
+        ``REPORT_HOLD_S`` after that, by when this agent's own read is due.
         """
         now = self.membership.clock()
         present = {member.name for member in self.membership.members()}
--- a/src/briarseam/membership/entries.py
+++ b/src/briarseam/membership/entries.py
@@ -1,4 +1,4 @@
-"""The entry processes of this instance, as its agent sees them."""
+"""The entry processes of an instance, tracked by its agent."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class EntryReport:
-    """The last word from one entry process.
+    """The last report of one entry process.
 
     Attributes
     ----------
     state
-        What it said.
+        State that it reported.
     at
-        Monotonic time in seconds.
+        Monotonic time in seconds at which the report was received.
     """
 
     state: messages.EntryState
@@ -39,26 +39,26 @@
 
 
 class LocalEntries:
-    """Keeps the agent's entry addresses to those that serve.
+    """Limits the agent's entry addresses to entries that serve.
 
-    An entry process that dies would stay in the lookups as long as its
-    agent lives, and callers would meet a closed port.  Each entry says
-    again and again that it is there; one that falls silent is taken out.
+    Without it an entry process that dies would stay in the lookups as long
+    as its agent is alive, and callers would find a closed port.  Each entry
+    reports at an interval; an entry that falls silent is removed.
 
     Parameters
     ----------
     membership
-        Told which entries serve.
+        Publishes the addresses of entries that serve.
     linger_s
-        For how long callers may come to an entry after all know that it
-        is leaving.
+        Seconds for which callers may still connect to an entry after all
+        peers know that it is leaving.
     ready
         Whether the agent can decide about requests.  Until it first can,
-        or for ``START_BOUND_S``, no entry is named: a fresh agent that has
-        not read the configuration or the endpoints' state would refuse
-        every caller that a lookup sends.
+        but at most for ``MAX_READY_WAIT_S``, no entry is published: an
+        agent that has just started and has not read the configuration or
+        the endpoints' state would refuse all callers.
     expire_s
-        Silence after which an entry counts as dead.
+        Silence in seconds after which an entry is considered dead.
     """
 
     def __init__(
@@ -81,21 +81,21 @@
         )
 
     def register(self, router: server.Router) -> None:
-        """Answer the entry processes' messages."""
+        """Register the handler of the entry processes' reports."""
         router.on(messages.EntryHere, self.on_entry_here)
 
     def start(self) -> None:
-        """Begin looking for silent entries."""
+        """Start the reviews."""
         self.reviews.start()
 
     def stop(self) -> None:
-        """Stop looking."""
+        """Stop the reviews."""
         self.reviews.stop()
 
     def on_entry_here(
         self, peer: connections.Identity, message: messages.EntryHere
     ) -> messages.EntryNoted:
-        """Note what an entry says of itself."""
+        """Handle an entry's report."""
         del peer
         with self.lock:
             previous = self.reports.get(message.address)
@@ -109,7 +109,7 @@
         )
 
     def review(self) -> None:
-        """Drop silent entries; tell the membership which ones serve."""
+        """Remove silent entries; publish those that serve."""
         ready = self.is_ready()
         with self.lock:
             cutoff = self.membership.clock() - self.expire_s
@@ -125,19 +125,19 @@
                     if report.state is messages.EntryState.SERVING and ready
                 )
             )
-            # Under the lock, so that a review with an older list never
-            # puts back an entry that has just begun to leave.
+            # Under the lock, so that a concurrent review with an older list
+            # does not publish an entry that has since started to leave.
             self.membership.set_entries(serving)
 
     def is_ready(self) -> bool:
-        """Tell whether the agent has ever been ready, or waited enough."""
+        """Tell whether the agent has been ready, or waited long enough."""
         if not self.was_ready:
             waited_s = self.membership.clock() - self.started_at
             self.was_ready = waited_s > MAX_READY_WAIT_S or self.ready()
         return self.was_ready
 
     def leaving(self) -> int:
-        """Return how many entries are leaving and not yet gone."""
+        """Return the number of entries that are leaving and not yet gone."""
         with self.lock:
             return sum(
                 report.state is messages.EntryState.LEAVING
--- a/src/briarseam/membership/freshness.py
+++ b/src/briarseam/membership/freshness.py
@@ -1,4 +1,4 @@
-"""Whether this agent's view of its cell is recent."""
+"""Freshness of the local agent's view of its cell."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class Freshness:
-    """When this process last ran, and last heard an answer.
+    """Times at which this process last ran and last received a reply.
 
     Parameters
     ----------
     limit_s
-        Longest time without an answer.
+        Maximum age of the last reply, in seconds.
     clock
         Monotonic clock.
     """
@@ -26,31 +26,31 @@
         self.replied_at: float | None = None
 
     def record_tick(self) -> None:
-        """Note that this process runs."""
+        """Record that this process runs."""
         self.ticked_at = self.clock()
 
     def record_reply(self, sent_at: float) -> None:
-        """Note that a heartbeat sent at ``sent_at`` was answered."""
+        """Record a reply to a heartbeat sent at ``sent_at``."""
         self.superseded = False
         if self.replied_at is None or sent_at > self.replied_at:
             self.replied_at = sent_at
 
     def record_superseded(self) -> None:
-        """Note that a peer hears a later start of this instance."""
+        """Record that a later incarnation of this instance is live."""
         self.superseded = True
 
     def is_fresh(self, has_peers: bool) -> bool:
         """Tell whether the view is recent.
 
-        A process that was frozen finds its old view on waking, with dead
-        members still alive in it.  The view counts only when a heartbeat
-        that this agent sent within the limit was answered; the time is
-        worked out at the call, so no thread has to run first.
+        A process that resumes after a suspension still has its former view,
+        in which dead members are alive.  The view is fresh only if a
+        heartbeat sent within the limit was answered.  The age is computed
+        at the call, so it does not depend on a thread that runs first.
 
         Parameters
         ----------
         has_peers
-            Whether there is anybody who could answer.
+            Whether there are peers that could reply.
         """
         if self.superseded or not self.is_recent(self.ticked_at):
             return False
--- a/src/briarseam/membership/gossip.py
+++ b/src/briarseam/membership/gossip.py
@@ -1,9 +1,9 @@
-"""The sparse exchange between cells.
+"""Exchange of summaries between cells.
 
-Each cell's first two agents by rank exchange summaries with those of other
-cells, one at random at a time; a change is passed on at once to a few.  The
-other agents of a cell ask one of the two when its digest changes, which
-they see on its heartbeats.
+The contacts of each cell, its first two members by hash, exchange summaries
+with a contact of one random other cell at a time; a change is sent at once
+to a few cells.  The other agents of a cell query a contact when the digest
+in its heartbeats changes.
 """
 
 from __future__ import annotations
@@ -38,18 +38,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class GossipParts:
-    """What the exchange needs, wired by ``membership.service``.
+    """Dependencies of the exchange, set up by ``membership.service``.
 
     Attributes
     ----------
     table
-        The other agents of this cell.
+        The other agents of the local cell.
     calling
-        How agents of other cells are called.
+        Creates clients of agents in other cells.
     about
-        Returns what this agent says of itself.
+        Returns the local agent's description of itself.
     review
-        Renews the view of all members once there is news.
+        Updates the view of all members after a change.
     interval_s
         Seconds between exchanges.
     """
@@ -62,12 +62,12 @@
 
 
 class Gossip:
-    """Keeps the directory of other cells current.
+    """Keeps the directory of other cells up to date.
 
     Parameters
     ----------
     parts
-        What it needs.
+        Dependencies.
     """
 
     def __init__(self, parts: GossipParts) -> None:
@@ -82,34 +82,34 @@
         self.stopping = threading.Event()
 
     def register(self, router: server.Router) -> None:
-        """Answer the exchange of other agents."""
+        """Register the handler of other agents' exchanges."""
         router.on_quick(messages.CellsAsked, self.on_cells_query)
 
     def start(self) -> None:
-        """Begin to exchange."""
+        """Start the thread."""
         threading.Thread(
             target=self.run, name="membership-cells", daemon=True
         ).start()
 
     def stop(self) -> None:
-        """Stop after the exchange under way."""
+        """Stop after the current exchange."""
         self.stopping.set()
         self.wake.set()
 
     def run(self) -> None:
-        """Exchange each interval, and at once when there is news."""
+        """Exchange at each interval, and at once after an update."""
         while not self.stopping.is_set():
             try:
                 self.step()
             except Exception:
-                # A fault of ours must not end the thread: other cells
-                # would stay as they were heard last.
+                # An unexpected error must not end the thread: the view of
+                # other cells would no longer change.
                 log.exception("exchange_failed")
             self.wake.wait(backoff.jittered(self.parts.interval_s, JITTER))
             self.wake.clear()
 
     def step(self) -> None:
-        """Do what this agent's rank in its cell asks for."""
+        """Exchange as a contact, or query a contact if out of date."""
         self.directory.forget()
         contacts = self.own_contacts()
         own_name = self.table.local_agent.name
@@ -125,19 +125,20 @@
                 self.exchange_with(about) for about in others
             )
 
-    # As one of the cell's contacts.
+    # Tasks of the cell's contacts.
 
     def update_own_summary(self) -> None:
-        """Renew the summary of this cell if its members changed."""
-        # The members must not change before they have their version: an
-        # older view with a later one would hide members from other cells.
+        """Update the summary of the local cell if its members changed."""
+        # The members must not change before the summary has its version:
+        # an older view with a later version would hide members from other
+        # cells.
         with self.table.lock:
             due = self.next_own_summary()
             updates = self.directory.apply(due)
         self.queue_updates(updates)
 
     def next_own_summary(self) -> tuple[messages.CellSummary, ...]:
-        """Return the next summary of this cell; nothing if none is due."""
+        """Return the next summary of the local cell; empty if none is due."""
         cell = self.table.own_cell()
         members = self.own_members()
         previous = self.directory.summary(cell)
@@ -146,8 +147,8 @@
             messages.CellStamp(0, 0) if previous is None else previous.stamp
         )
         if previous is None or previous.members != members:
-            # Above what is known, so that a clock that was set back does
-            # not keep this cell's news from being taken.
+            # Greater than the known version, so that other cells apply the
+            # summary even if the clock was set back.
             version = max(now_ms, stamp.version + 1)
             stamp = messages.CellStamp(version, version)
         elif now_ms - stamp.beat >= BEAT_INTERVAL_MS:
@@ -157,16 +158,16 @@
         return (messages.CellSummary(cell, stamp, members),)
 
     def own_members(self) -> tuple[messages.About, ...]:
-        """Return this cell's members that are heard, by name."""
+        """Return the local cell's live members, sorted by name."""
         abouts = [*self.table.live_abouts(), self.parts.about()]
         return tuple(sorted(abouts, key=lambda about: about.name))
 
     def own_contacts(self) -> list[messages.About]:
-        """Return this cell's contacts."""
+        """Return the local cell's contacts."""
         return contacts_of(self.own_members())
 
     def exchange(self) -> None:
-        """Exchange with one other cell, or with a few when there is news."""
+        """Exchange with one other cell, or with a few after an update."""
         with self.lock:
             updates, self.updates = tuple(self.updates.values()), {}
         partners = self.partners()
@@ -190,14 +191,14 @@
             if cell != own_cell and contacts
         ]
 
-    # As any agent.
+    # Tasks of all agents.
 
     def exchange_with(
         self,
         partner: messages.About,
         updates: tuple[messages.CellSummary, ...] = (),
     ) -> bool:
-        """Exchange with one agent; tell whether it answered."""
+        """Exchange with one agent; tell whether it replied."""
         client_factory = self.parts.client_factory
         client = client_factory.client(partner.address, max_idle=0)
         query = messages.CellsAsked(self.directory.stamps(), updates)
@@ -215,14 +216,14 @@
     def on_cells_query(
         self, peer: connections.Identity, query: messages.CellsAsked
     ) -> messages.CellsNews:
-        """Answer an exchange."""
+        """Handle another agent's exchange."""
         del peer
         self.queue_updates(self.directory.apply(query.news))
         self.directory.apply_stamps(query.stamps)
         return self.directory.updates_for(query)
 
     def queue_updates(self, updates: tuple[messages.CellSummary, ...]) -> None:
-        """Remember to pass news on, and do so at once."""
+        """Queue updates for other cells, and wake the exchange."""
         if not updates:
             return
         with self.lock:
@@ -233,14 +234,14 @@
         self.parts.review()
 
     def consume(self, member: str, digest: bytes) -> None:
-        """Take in a peer's digest of the directory."""
+        """Handle a peer's digest of its directory."""
         names = [about.name for about in self.own_contacts()]
         if member in names and digest != self.directory.digest():
             self.outdated = True
             self.wake.set()
 
     def apply_listing(self, rows: tuple[instances.Instance, ...]) -> None:
-        """Take in the listed agents of other cells."""
+        """Apply the agents on the instance list, by cell."""
         by_cell: dict[str, list[messages.About]] = {}
         for row in rows:
             if row.role != "agent" or row.state == "leaving":
@@ -256,10 +257,10 @@
 def contacts_of(
     members: typing.Iterable[messages.About],
 ) -> list[messages.About]:
-    """Return a cell's contacts: its first two by hash that are not leaving.
+    """Return a cell's contacts: its first members by hash that stay.
 
-    Agents with different views of the cell may name different contacts;
-    then a few more exchange than need to.
+    Agents with different views of the cell may choose different contacts;
+    then a few more agents exchange than necessary.
     """
     staying = [about for about in members if not about.leaving]
     staying.sort(key=lambda about: xxhash.xxh64_intdigest(about.name.encode()))
--- a/src/briarseam/membership/handlers.py
+++ b/src/briarseam/membership/handlers.py
@@ -1,4 +1,4 @@
-"""Answers to other agents' messages; none of them waits."""
+"""Handlers of other agents' messages; none of them blocks."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class HandlerParts:
-    """What answering needs, wired by ``membership.service``.
+    """Dependencies of the handlers, set up by ``membership.service``.
 
     Attributes
     ----------
     table
         The cell's other agents.
     sections
-        Takes what of other slices rides on heartbeats.
+        Hands the sections of heartbeats to their consumers.
     about
-        Returns what this agent says of itself.
+        Returns the local agent's description of itself.
     digest
-        Returns the digest of the agents heard.
+        Returns the digest of the live agents.
     review
-        Judges the table anew, so that a new peer counts at once.
+        Reviews the table, so that a new peer becomes live at once.
     """
 
     table: tables.Table
@@ -40,12 +40,12 @@
 
 
 class MessageHandlers:
-    """Answers heartbeats and questions about members.
+    """Handles heartbeats and queries about members.
 
     Parameters
     ----------
     parts
-        What it needs.
+        Dependencies.
     """
 
     def __init__(self, parts: HandlerParts) -> None:
@@ -53,7 +53,7 @@
         self.table = parts.table
 
     def register(self, router: server.Router) -> None:
-        """Answer the other agents' messages."""
+        """Register the handlers of the other agents' messages."""
         router.on_quick(messages.Introduction, self.on_introduction)
         router.on_quick(messages.Heartbeat, self.on_heartbeat)
         router.on_quick(messages.PeersAsked, self.on_peers_query)
@@ -62,12 +62,12 @@
     def on_introduction(
         self, peer: connections.Identity, introduction: messages.Introduction
     ) -> messages.Introduced | messages.Superseded:
-        """Take in what a peer says of itself."""
+        """Apply a peer's description of itself."""
         del peer
         about = introduction.about
         if about.name == self.table.local_agent.name:
-            # Only this instance has the name, so one of two starts of it
-            # has been replaced, whichever came first.
+            # Names are unique, so the sender is another incarnation of the
+            # local instance, and the earlier one of the two is replaced.
             current = about.incarnation >= self.parts.about().incarnation
         else:
             current = self.table.apply_about(about, self.table.clock())
@@ -80,7 +80,7 @@
     def on_heartbeat(
         self, peer: connections.Identity, heartbeat: messages.Heartbeat
     ) -> messages.Alive | messages.UnknownAgent:
-        """Take in that a peer lives."""
+        """Record a peer's heartbeat."""
         with self.table.lock:
             record = self.table.records.get(peer.name)
             if record is None or record.incarnation != heartbeat.incarnation:
@@ -93,7 +93,7 @@
     def apply_sections(
         self, name: str, content: typing.Mapping[str, bytes]
     ) -> None:
-        """Keep and hand on the sections of a heartbeat."""
+        """Store a heartbeat's sections and hand them to their consumers."""
         if not content:
             return
         with self.table.lock:
@@ -106,14 +106,14 @@
     def on_peers_query(
         self, peer: connections.Identity, query: messages.PeersAsked
     ) -> messages.Peers:
-        """Answer with the agents heard here."""
+        """Return the live agents."""
         del peer, query
         return messages.Peers((*self.table.live_abouts(), self.parts.about()))
 
     def on_contact_query(
         self, peer: connections.Identity, query: messages.HeardAsked
     ) -> messages.Heard:
-        """Answer how long ago an agent was heard here."""
+        """Return the time since the last contact with an agent."""
         del peer
         with self.table.lock:
             record = self.table.records.get(query.name)
--- a/src/briarseam/membership/heartbeat_sender.py
+++ b/src/briarseam/membership/heartbeat_sender.py
@@ -1,4 +1,4 @@
-"""One peer: a coroutine that sends heartbeats over one connection."""
+"""Heartbeats to one peer, sent by a coroutine over one connection."""
 
 from __future__ import annotations
 
@@ -30,24 +30,24 @@
 
 @dataclasses.dataclass(frozen=True)
 class SenderParts:
-    """What heartbeats need, wired by ``membership.service``.
+    """Dependencies of heartbeats, set up by ``membership.service``.
 
     Attributes
     ----------
     loop
-        Runs the heartbeats to all peers.
+        Event loop that sends the heartbeats to all peers.
     calling
-        How peers are called.
+        Identity, key and timeouts of connections to peers.
     address_of
-        Returns a peer's present address or raises ``WireError``.
+        Returns a peer's current address or raises ``WireError``.
     about
-        Returns what this agent says of itself.
+        Returns the local agent's description of itself.
     digest
-        Returns the digest of the agents heard.
+        Returns the digest of the live agents.
     sections
-        What of other slices rides along.
+        Sections that heartbeats carry.
     replies
-        Takes in the answers.
+        Applies the replies.
     interval_s
         Returns the seconds between two heartbeats.
     clock
@@ -66,14 +66,14 @@
 
 
 class HeartbeatSender:
-    """Heartbeats to one peer until stopped.
+    """Sends heartbeats to one peer until stopped.
 
     Parameters
     ----------
     name
-        The peer.
+        The peer's name.
     parts
-        What it needs.
+        Dependencies.
     """
 
     def __init__(self, name: str, parts: SenderParts) -> None:
@@ -94,21 +94,21 @@
         self.heartbeats_answered = 0
 
     def start(self) -> None:
-        """Begin sending."""
+        """Start sending."""
         self.parts.loop.call(self.start_in_loop)
 
     def start_in_loop(self) -> None:
-        """Begin sending; call it in the loop."""
+        """Start sending; must be called in the event loop."""
         if not self.stopped:
             loop = asyncio.get_running_loop()
             self.task = loop.create_task(self.run())
 
     def stop(self) -> None:
-        """Stop soon, also while the peer does not answer."""
+        """Stop soon, even if the peer does not reply."""
         self.parts.loop.call(self.stop_in_loop)
 
     def stop_in_loop(self) -> None:
-        """Stop now; call it in the loop."""
+        """Stop now; must be called in the event loop."""
         self.stopped = True
         if self.task is not None:
             self.task.cancel()
@@ -128,14 +128,14 @@
             self.disconnect()
 
     async def try_heartbeat(self) -> None:
-        """Send a heartbeat, and count how that went."""
+        """Send a heartbeat, and count it by its outcome."""
         try:
             await self.send_heartbeat()
         except connections.WireError:
             self.record_failure()
         except Exception:
-            # A fault of ours, or of what takes in an answer, must not end
-            # the heartbeats: the peer would take this agent for gone.
+            # An unexpected error, such as one while handling a reply, must
+            # not end the heartbeats: the peer would consider this agent gone.
             log.exception("heartbeat_failed", peer=self.name)
             self.record_failure()
         else:
@@ -144,13 +144,13 @@
             self.parts.replies.count_heartbeat(True)
 
     def record_failure(self) -> None:
-        """Begin anew with the next heartbeat."""
+        """Count a failure; the next heartbeat opens a new connection."""
         self.failures += 1
         self.parts.replies.count_heartbeat(False)
         self.disconnect()
 
     async def pause(self) -> None:
-        """Wait until the next heartbeat is due or asked for."""
+        """Wait until the next heartbeat is due or requested."""
         try:
             async with asyncio.timeout(self.pause_s()):
                 await self.wake.wait()
@@ -158,31 +158,30 @@
             return
 
     def is_introducing(self) -> bool:
-        """Tell whether an introduction is out and may have been read."""
+        """Tell whether the peer may have read the last introduction."""
         return self.introducing and not self.failures
 
     def pause_s(self) -> float:
         """Return the time to the next heartbeat.
 
-        Jitter keeps the agents' heartbeats from falling into step.
+        Jitter keeps the agents' heartbeats from synchronizing.
         """
         interval_s = self.parts.interval_s()
         backoff_s = min(interval_s * self.failures, MAX_BACKOFF_S)
         return backoff.jittered(max(interval_s, backoff_s), JITTER)
 
     async def send_heartbeat(self) -> None:
-        """Send one heartbeat and take in the reply.
+        """Send one heartbeat and handle the reply.
 
         Raises
         ------
         WireError
-            When the peer could not be reached or did not answer.
+            When the peer could not be reached or did not reply.
         """
         connection = await self.connect()
         heartbeat = self.compose()
-        # The peer was alive when the heartbeat went out.  Should this
-        # process be frozen between sending and reading, the reply it finds
-        # on waking is old, and so must the time be that it stands for.
+        # A reply only shows that the peer was alive when the heartbeat was
+        # sent: a process suspended in between reads the reply much later.
         sent_at = self.parts.clock()
         self.introducing = isinstance(heartbeat, messages.Introduction)
         connection.send(heartbeat)
@@ -198,7 +197,7 @@
         reply: codec.Message,
         sent_at: float,
     ) -> None:
-        """Take in the reply to a heartbeat sent at ``sent_at``."""
+        """Handle the reply to a heartbeat sent at ``sent_at``."""
         replies = self.parts.replies
         self.sent_sections.update(heartbeat.sections)
         if isinstance(heartbeat, messages.Introduction):
@@ -216,10 +215,10 @@
                 replies.apply_superseded()
                 self.full_sent_at = 0.0
             case _:
-                raise connections.WireError("expected a heartbeat's answer")
+                raise connections.WireError("unexpected reply to a heartbeat")
 
     async def connect(self) -> frames_module.Frames:
-        """Return the open connection, or a new one to the present address."""
+        """Return the open connection, or a new one to the current address."""
         address = self.parts.address_of(self.name)
         if self.connection is not None and address == self.address:
             return self.connection
@@ -235,19 +234,19 @@
         )
         if self.connection.peer.name != self.name:
             raise connections.WireError(
-                f"{self.connection.peer.name} answers at {address}"
+                f"agent {self.connection.peer.name} listens at {address}"
             )
         return self.connection
 
     def disconnect(self) -> None:
-        """Close the connection; the next heartbeat says everything anew."""
+        """Close the connection; the next heartbeat is a full one."""
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.close()
         self.full_sent_at = 0.0
 
     def compose(self) -> messages.Introduction | messages.Heartbeat:
-        """Return the next heartbeat: everything, or only what changed."""
+        """Return the next heartbeat: a full one, or only what changed."""
         now = self.parts.clock()
         about = self.parts.about()
         content = self.parts.sections.content()
@@ -271,7 +270,7 @@
     async def query_peers(
         self, connection: frames_module.Frames, digest: int
     ) -> None:
-        """Ask the peer whom it hears when its view differs from ours."""
+        """Query the peer's live agents if its digest differs."""
         now = self.parts.clock()
         if digest in (self.parts.digest(), self.queried_digest):
             return
--- a/src/briarseam/membership/listing.py
+++ b/src/briarseam/membership/listing.py
@@ -1,4 +1,4 @@
-"""Reading the instance list as often as its size allows."""
+"""Reads of the instance list, at an interval that its size allows."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 
 
 class ListReader:
-    """A thread that reads the list and hands it on.
+    """A thread that reads the instance list and passes on its rows.
 
-    The list names every instance, so at full size one read takes hundreds
+    The list holds every instance, so at full size one read takes hundreds
     of kilobytes.  The pause grows with the size so that an agent's reads
     stay within a budget; jitter spreads the reads of a cell's agents, and
-    what one of them learns reaches the others on heartbeats.
+    heartbeats carry what one of them reads to the others.
 
     Parameters
     ----------
     source
         The instance list.
     interval_s
-        Least time between two reads.
+        Minimum seconds between two reads.
     bytes_per_s
-        Budget of reads.
+        Budget of the reads.
     """
 
     def __init__(
@@ -52,17 +52,17 @@
         self.stopping = threading.Event()
 
     def add_callback(self, callback: ListingCallback) -> None:
-        """Call back with the rows of each read."""
+        """Add a callback that gets the rows of each read."""
         self.callbacks = (*self.callbacks, callback)
 
     def start(self) -> None:
-        """Begin reading."""
+        """Start reading."""
         threading.Thread(
             target=self.run, name="instance-list", daemon=True
         ).start()
 
     def stop(self) -> None:
-        """Stop after the read under way."""
+        """Stop after the current read."""
         self.stopping.set()
 
     def run(self) -> None:
@@ -71,8 +71,8 @@
             try:
                 size = self.read_once()
             except Exception:
-                # A fault of ours must not end the thread: no instance
-                # would be found any more.
+                # An unexpected error must not end the thread: no more
+                # instances would be found.
                 log.exception("listing_failed")
                 size = 0
             self.stopping.wait(self.pause_s(size))
@@ -87,7 +87,7 @@
         }
 
     def read_once(self) -> int:
-        """Read and hand on; return the size, 0 when it failed."""
+        """Read the list and call back; return its size, 0 on failure."""
         try:
             listing = self.source.read()
         except instances.InstanceListUnavailableError as error:
@@ -101,12 +101,12 @@
         return listing.size
 
     def pause_s(self, size: int) -> float:
-        """Return the time to the next read."""
+        """Return the seconds to the next read."""
         pause_s = max(self.interval_s, size / self.bytes_per_s)
         return backoff.jittered(pause_s, JITTER)
 
     def set_available(self, available: bool, detail: str) -> None:
-        """Log a change of the list's availability, once."""
+        """Log a change of the list's availability once."""
         if available == self.available:
             return
         self.available = available
--- a/src/briarseam/membership/messages.py
+++ b/src/briarseam/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages between agents about who is there."""
+"""Messages between agents about the members of cells."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 @codec.message("about")
 @dataclasses.dataclass(frozen=True)
 class About:
-    """What an agent says of itself; changes seldom.
+    """An agent's description of itself; changes rarely.
 
     Attributes
     ----------
     name, zone, address, entries
-        As its settings name it.
+        Name, availability zone, address for peers and addresses of entries,
+        from the agent's settings.
     incarnation
-        Higher after each start of the process.
+        Number that increases with each start of the process.
     leaving
-        Whether it will soon be gone and takes no new sessions.
+        Whether the agent is shutting down and accepts no new sessions.
     """
 
     name: str
@@ -34,16 +35,16 @@
 @codec.message("introduction")
 @dataclasses.dataclass(frozen=True)
 class Introduction:
-    """An agent tells a peer all about itself, as a heartbeat.
+    """A full heartbeat, which describes the sending agent.
 
-    It is sent on a new connection, after a change and now and then.
+    It is sent on a new connection, after a change and at a long interval.
 
     Attributes
     ----------
     about
-        What it says of itself.
+        The sender's description of itself.
     digest
-        Of the peers it knows to be there.
+        Digest of the members that the sender considers live.
     sections
         All sections, or those that changed.
     """
@@ -56,17 +57,17 @@
 @codec.message("heartbeat")
 @dataclasses.dataclass(frozen=True)
 class Heartbeat:
-    """An agent tells a peer that it lives, and nothing that is known.
+    """A short heartbeat, without what the peer already has.
 
-    Its name is the connection's.  This is most of the traffic within a
-    cell, so it has no field that is not needed each time.
+    The sender's name is known from the connection.  Heartbeats are most of
+    the traffic within a cell, so it has only fields that each one needs.
 
     Attributes
     ----------
     incarnation, digest
-        As in the introduction before it.
+        As in :class:`Introduction`.
     sections
-        Those that changed since the last heartbeat.
+        Sections that changed since the last heartbeat.
     """
 
     incarnation: int
@@ -77,7 +78,7 @@
 @codec.message("introduced")
 @dataclasses.dataclass(frozen=True)
 class Introduced:
-    """The peer's answer to an introduction: its own."""
+    """Reply to an introduction: the peer's description of itself."""
 
     about: About
     digest: int
@@ -86,7 +87,7 @@
 @codec.message("alive")
 @dataclasses.dataclass(frozen=True)
 class Alive:
-    """The peer's answer to a heartbeat."""
+    """Reply to a heartbeat."""
 
     incarnation: int
     digest: int
@@ -95,25 +96,25 @@
 @codec.message("unknown-agent")
 @dataclasses.dataclass(frozen=True)
 class UnknownAgent:
-    """The peer needs an introduction first."""
+    """Reply to a heartbeat whose sender the peer does not know."""
 
 
 @codec.message("superseded")
 @dataclasses.dataclass(frozen=True)
 class Superseded:
-    """The peer hears a later start of the same instance."""
+    """Reply to a sender whose instance has a later incarnation."""
 
 
 @codec.message("peers-asked")
 @dataclasses.dataclass(frozen=True)
 class PeersAsked:
-    """Ask which agents of the cell a peer hears."""
+    """Query for the agents of the cell that a peer considers live."""
 
 
 @codec.message("peers")
 @dataclasses.dataclass(frozen=True)
 class Peers:
-    """The agents of the cell that the answering one hears, with itself."""
+    """Reply with the live agents of the cell, the sender included."""
 
     members: tuple[About, ...]
 
@@ -121,7 +122,7 @@
 @codec.message("heard-asked")
 @dataclasses.dataclass(frozen=True)
 class HeardAsked:
-    """Ask whether a peer still hears the named agent."""
+    """Query for when a peer last received from the named agent."""
 
     name: str
 
@@ -129,14 +130,14 @@
 @codec.message("heard")
 @dataclasses.dataclass(frozen=True)
 class Heard:
-    """How long ago the answering agent heard the named one.
+    """Reply with the time since the sender received from the named agent.
 
     Attributes
     ----------
     silent_s
-        Seconds; ``None`` when it never did.
+        Seconds of silence; ``None`` if it never received anything.
     incarnation
-        Of the named agent when it was heard.
+        The named agent's incarnation at that time.
     """
 
     silent_s: float | None
@@ -144,7 +145,7 @@
 
 
 class EntryState(enum.StrEnum):
-    """What an entry process says of itself."""
+    """State that an entry process reports."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -154,14 +155,14 @@
 @codec.message("entry-here")
 @dataclasses.dataclass(frozen=True)
 class EntryHere:
-    """An entry process tells its agent that it lives.
+    """Report of an entry process to its agent.
 
     Attributes
     ----------
     address
-        ``ip:port`` where callers reach it.
+        ``ip:port`` where callers reach the entry.
     state
-        Whether callers may be sent to it.
+        Whether lookups may return the entry.
     """
 
     address: str
@@ -171,15 +172,15 @@
 @codec.message("entry-noted")
 @dataclasses.dataclass(frozen=True)
 class EntryNoted:
-    """The agent's answer to its entry process.
+    """The agent's reply to an entry process.
 
     Attributes
     ----------
     told
-        Whether all live peers know the entry's present state.
+        Whether all live peers have the entry's current state.
     linger_s
-        For how long callers may come to an entry after all know that it
-        is leaving.
+        Seconds for which callers may still connect to an entry after all
+        peers know that it is leaving.
     """
 
     told: bool
@@ -189,14 +190,14 @@
 @codec.message("cell-stamp")
 @dataclasses.dataclass(frozen=True)
 class CellStamp:
-    """How new a summary of a cell is.
+    """Version of a cell's summary.
 
     Attributes
     ----------
     version
-        Higher with each change of the members.
+        Number that increases with each change of the members.
     beat
-        Higher while the cell lives; milliseconds.
+        Time in milliseconds that advances while the cell is alive.
     """
 
     version: int
@@ -206,16 +207,16 @@
 @codec.message("cell-summary")
 @dataclasses.dataclass(frozen=True)
 class CellSummary:
-    """The members of one cell, as one of its agents saw them.
+    """The members of one cell, as one of its agents reports them.
 
     Attributes
     ----------
     cell
         ``ZONE/PART``.
     stamp
-        How new it is.
+        Version of the summary.
     members
-        Those that were heard.
+        The cell's live agents.
     """
 
     cell: str
@@ -226,14 +227,14 @@
 @codec.message("cells-asked")
 @dataclasses.dataclass(frozen=True)
 class CellsAsked:
-    """Ask for what the sender does not know of other cells.
+    """Query for newer summaries of other cells.
 
     Attributes
     ----------
     stamps
-        What the sender has, by cell.
+        Versions that the sender has, by cell.
     news
-        Summaries that the sender passes on.
+        Updated summaries that the sender passes on.
     """
 
     stamps: dict[str, CellStamp]
@@ -243,16 +244,16 @@
 @codec.message("cells-news")
 @dataclasses.dataclass(frozen=True)
 class CellsNews:
-    """What the answering agent has that is newer.
+    """Reply with what is newer than the query's versions.
 
     Attributes
     ----------
     summaries
-        Of cells whose members changed.
+        Summaries of cells whose members changed.
     stamps
-        Of cells that only went on living.
+        Versions of cells whose beat advanced with the members unchanged.
     lost
-        Cells that seem to have died or to be cut off.
+        Cells that seem to be dead or unreachable.
     """
 
     summaries: tuple[CellSummary, ...]
--- a/src/briarseam/membership/presence.py
+++ b/src/briarseam/membership/presence.py
@@ -1,4 +1,4 @@
-"""An entry process tells its agent that it is there."""
+"""Reports of an entry process to its agent."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class Presence:
-    """Reports this entry to its agent until closed.
+    """Reports an entry to its agent until closed.
 
     Parameters
     ----------
     client
-        Connections to the agent.
+        Client of the agent.
     address
-        ``ip:port`` where callers reach this entry.
+        ``ip:port`` where callers reach the entry.
     interval_s
         Seconds between reports.
     """
@@ -48,19 +48,19 @@
         self.stopping = threading.Event()
 
     def start(self) -> None:
-        """Begin reporting."""
+        """Start reporting."""
         threading.Thread(target=self.run, name="presence", daemon=True).start()
 
     def run(self) -> None:
-        """Report each interval until closed."""
+        """Report at each interval until closed."""
         while not self.stopping.is_set():
             self.report()
             self.stopping.wait(self.interval_s)
 
     def report(self) -> None:
-        """Tell the agent the present state, and note its answer."""
-        # One report at a time: an earlier "serving" that arrived after a
-        # "leaving" would bring callers back to an entry about to exit.
+        """Report the current state to the agent, and store its reply."""
+        # One report at a time: a "serving" that arrives after a later
+        # "leaving" would direct callers to an entry about to exit.
         with self.lock:
             state = self.state
             try:
@@ -77,18 +77,21 @@
                 )
 
     def leave(self) -> None:
-        """Tell the agent that callers must not be sent here any more."""
+        """Report that the entry must no longer be in lookups."""
         self.state = messages.EntryState.LEAVING
         self.report()
 
     def leaving_published(self) -> bool:
-        """Ask again whether all agents know that this entry is leaving."""
+        """Tell whether all agents know that the entry is leaving.
+
+        Reports again until they do.
+        """
         if not self.published:
             self.report()
         return self.published
 
     def close(self) -> None:
-        """Tell the agent that this entry is gone, and stop reporting."""
+        """Report that the entry is gone, and stop reporting."""
         self.stopping.set()
         self.state = messages.EntryState.GONE
         self.report()
--- a/src/briarseam/membership/replies.py
+++ b/src/briarseam/membership/replies.py
@@ -1,4 +1,4 @@
-"""Taking in what peers answer to heartbeats."""
+"""Handling of peers' replies to heartbeats."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class ReplyHandler:
-    """Takes in answers, each with when its heartbeat was sent.
+    """Applies replies, each with the time its heartbeat was sent at.
 
     Parameters
     ----------
     table
         The cell's other agents.
     freshness
-        Whether this agent's view is recent.
+        Freshness of the local agent's view.
     """
 
     def __init__(
@@ -32,12 +32,12 @@
         self.lock = threading.Lock()
 
     def apply_about(self, about: messages.About, sent_at: float) -> None:
-        """Take in a peer's answer to an introduction sent at ``sent_at``."""
+        """Apply the reply to an introduction sent at ``sent_at``."""
         self.table.apply_about(about, sent_at)
         self.freshness.record_reply(sent_at)
 
     def apply_alive(self, name: str, incarnation: int, sent_at: float) -> None:
-        """Take in a peer's answer to a heartbeat sent at ``sent_at``."""
+        """Apply the reply to a heartbeat sent at ``sent_at``."""
         with self.table.lock:
             record = self.table.records.get(name)
             if record is not None and record.incarnation == incarnation:
@@ -45,16 +45,16 @@
         self.freshness.record_reply(sent_at)
 
     def apply_superseded(self) -> None:
-        """Take in that a peer hears a later start of this instance."""
+        """Apply a reply that a later incarnation of this instance is live."""
         self.freshness.record_superseded()
 
     def apply_peers(self, answer: messages.Peers) -> None:
-        """Take in whom a peer hears."""
+        """Apply a peer's list of live agents."""
         for about in answer.members:
             self.table.apply_peer_report(about)
 
     def count_heartbeat(self, answered: bool) -> None:
-        """Count a heartbeat by whether it was answered."""
+        """Count a heartbeat as answered or failed."""
         with self.lock:
             if answered:
                 self.heartbeats_answered += 1
--- a/src/briarseam/membership/sections.py
+++ b/src/briarseam/membership/sections.py
@@ -1,4 +1,4 @@
-"""Sections that other slices let ride on heartbeats."""
+"""Sections of other packages that heartbeats carry."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     Attributes
     ----------
     name
-        Unique over all slices.
+        Unique over all packages.
     provide
-        Returns this agent's content; called for each heartbeat, so it
+        Returns the local agent's content; called for heartbeats, so it
         must be cheap.
     consume
-        Takes a member's name and its new content.
+        Called with a member's name and its content.
     """
 
     name: str
@@ -33,17 +33,17 @@
 
 
 class Sections:
-    """All sections of this agent.
+    """All sections of the local agent.
 
     Parameters
     ----------
-    keep_s
-        Seconds for which content is kept: each peer's thread asks for it
-        at each heartbeat, and slices need not work it out for each.
+    cache_s
+        Seconds for which content is cached, since it is the same for the
+        heartbeats to all peers.
     clock
         Monotonic clock.
-    tally
-        Notes content that can't be read.
+    malformed_counter
+        Counts content that can't be encoded or decoded.
     """
 
     def __init__(
@@ -61,19 +61,25 @@
         self.cached_until = 0.0
 
     def add(self, section: Section) -> None:
-        """Add one section; its name must be free."""
+        """Add one section.
+
+        Raises
+        ------
+        ValueError
+            When there is a section with this name.
+        """
         with self.lock:
             if section.name in self.by_name:
-                raise ValueError(f"section {section.name!r} is taken")
+                raise ValueError(f"section {section.name!r} already exists")
             self.by_name = {**self.by_name, section.name: section}
         self.invalidate()
 
     def invalidate(self) -> None:
-        """Ask the slices anew for the next heartbeat."""
+        """Drop the cached content, so that the next heartbeat has new."""
         self.cached_until = 0.0
 
     def content(self) -> dict[str, bytes]:
-        """Return this agent's content by section name."""
+        """Return the local agent's content by section name."""
         now = self.clock()
         if now >= self.cached_until:
             self.cached_until = now + self.cache_s
@@ -85,10 +91,11 @@
         return self.cached
 
     def provide(self, section: Section) -> tuple[bytes, ...]:
-        """Return a section's content, nothing if it can't be made.
+        """Return a section's content; nothing if it can't be encoded.
 
-        A number from elsewhere that no message carries would end the thread
-        that sends heartbeats, and peers would take this agent for dead.
+        For instance, an endpoint may report a number that is out of range
+        for messages.  Such an error must not end the heartbeats, or peers
+        would consider this agent dead.
         """
         try:
             return (section.provide(),)
@@ -103,7 +110,7 @@
     def consume(
         self, member: str, content: typing.Mapping[str, bytes]
     ) -> None:
-        """Hand a member's content to the slices that asked for it."""
+        """Pass a member's content to the consumers of its sections."""
         for name, data in content.items():
             section = self.by_name.get(name)
             if section is None:
@@ -111,8 +118,8 @@
             try:
                 section.consume(member, data)
             except Exception as error:
-                # One slice's bad content must not make the member look
-                # dead: its heartbeat still counts.
+                # Malformed content of one section must not make the member
+                # look dead: its heartbeat is still valid.
                 self.malformed_counter.note(
                     malformed.Kind.SECTION,
                     f"{name} of {member}",
--- a/src/briarseam/membership/seeds.py
+++ b/src/briarseam/membership/seeds.py
@@ -1,4 +1,4 @@
-"""Learning of peers from the addresses in the settings."""
+"""Discovery of peers from the seed addresses in the settings."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     client_factory: client_factories.ClientFactory,
     replies: reply_handlers.ReplyHandler,
 ) -> None:
-    """Ask each address whom it hears; one that is away is passed over."""
+    """Query each address for its live agents; skip unreachable ones."""
     for address in addresses:
         seed = clients.Client(
             address, client_factory.identity, client_factory.key, 0
--- a/src/briarseam/membership/service.py
+++ b/src/briarseam/membership/service.py
@@ -1,4 +1,4 @@
-"""Membership: heartbeats within the cell and what they tell."""
+"""Membership of the cell, maintained by heartbeats between its agents."""
 
 from __future__ import annotations
 
@@ -47,35 +47,35 @@
 
 
 class Membership:
-    """The view that an agent has of its cell.
+    """An agent's view of its cell.
 
     Parameters
     ----------
-    me
-        This agent.
+    local_agent
+        The local agent.
     instances
         The platform's instance list.
     key
         The shared key of the wire.
     seeds
-        Agent addresses to ask while the list shows no peer.
+        Addresses of agents to query while no peer is known.
     cell_of
         Returns the cell of an agent.
     heartbeat_interval_s
         Seconds between heartbeats to one peer.
     suspect_after_s
-        Silence after which a member becomes suspect, and after which this
-        agent's own view is no longer fresh.
+        Silence after which a member becomes suspect, and after which the
+        local agent's view is no longer fresh.
     list_interval_s
-        Least seconds between reads of the instance list.
+        Minimum seconds between reads of the instance list.
     clock
         Monotonic clock.
     stamps
-        The process's hybrid clock, which rides on every frame.
+        The process's hybrid clock, whose time is sent with every frame.
     malformed_counter
-        Notes what of heartbeats can't be read.
+        Counts sections of heartbeats that can't be decoded.
     loop
-        Runs the heartbeats; one of its own unless given.
+        Event loop that sends the heartbeats; a new one unless given.
     """
 
     def __init__(
@@ -102,8 +102,9 @@
         ]
         self.heartbeat_interval_s = heartbeat_interval_s
         self.suspect_after_s = suspect_after_s
-        # A change is pushed from cell to cell within a beat or less, and
-        # the agents there ask for it after the next; one spare.
+        # A change is pushed to the contacts of other cells within one
+        # heartbeat interval, and their peers query it after the next
+        # heartbeat; the third interval is a margin.
         self.propagation_s = PROPAGATION_HEARTBEATS * heartbeat_interval_s
         self.clock = clock
         self.identity = connections.Identity("agent", local_agent.name)
@@ -146,10 +147,10 @@
         self.gossip = self.build_gossip()
         self.review()
 
-    # The parts.
+    # Components.
 
     def build_gossip(self) -> gossip.Gossip:
-        """Return the exchange with other cells, fed by list and peers."""
+        """Return the exchange with other cells."""
         built = gossip.Gossip(
             gossip.GossipParts(
                 table=self.table,
@@ -164,7 +165,7 @@
         return built
 
     def build_handlers(self) -> handlers.MessageHandlers:
-        """Return what answers the other agents."""
+        """Return the handlers of other agents' messages."""
         return handlers.MessageHandlers(
             handlers.HandlerParts(
                 table=self.table,
@@ -178,7 +179,7 @@
     def build_heartbeat_sender(
         self, name: str
     ) -> heartbeat_sender.HeartbeatSender:
-        """Return the heartbeats to a peer."""
+        """Return the sender of heartbeats to a peer."""
         return heartbeat_sender.HeartbeatSender(
             name,
             heartbeat_sender.SenderParts(
@@ -194,11 +195,11 @@
             ),
         )
 
-    # What the other slices ask.
+    # Interface for other packages.
 
     @property
     def local_member(self) -> state.Member:
-        """Return this agent as a member."""
+        """Return the local agent as a member."""
         return state.Member(
             name=self.local_agent.name,
             zone=self.local_agent.zone,
@@ -212,19 +213,19 @@
         )
 
     def members(self) -> tuple[state.Member, ...]:
-        """Return this cell's members that are not gone, with this agent."""
+        """Return the cell's members that are not gone, including itself."""
         return self.snapshot
 
     def all_members(self) -> tuple[state.Member, ...]:
-        """Return the members of all cells, those of this one first.
+        """Return the members of all cells, those of the local cell first.
 
-        The same tuple is returned as long as nothing but the time since
-        they were heard has changed.
+        The same tuple is returned until a member changes in more than the
+        time since its last contact.
         """
         return self.view.members
 
     def live(self, include_leaving: bool = False) -> tuple[state.Member, ...]:
-        """Return the members that are alive, on request leaving ones too."""
+        """Return the members that are alive, optionally with leaving ones."""
         states = {state.MemberState.ALIVE}
         if include_leaving:
             states.add(state.MemberState.LEAVING)
@@ -233,11 +234,11 @@
         )
 
     def is_fresh(self) -> bool:
-        """Tell whether this agent's view is recent."""
+        """Tell whether the local agent's view is recent."""
         return self.freshness.is_fresh(bool(self.heartbeat_senders))
 
     def announce_leaving(self) -> None:
-        """Tell all peers now that this agent will be gone soon."""
+        """Publish to all peers that the local agent is leaving."""
         if self.leaving:
             return
         self.leaving = True
@@ -245,12 +246,13 @@
         self.publish_now()
 
     def is_published(self) -> bool:
-        """Tell whether all live peers have what this agent says of itself.
+        """Tell whether all live peers have the local agent's description.
 
-        A stopping instance's last lookups are given out before its peers
-        know that it is leaving; their time to live counts from then on.
-        A peer that has just been heard, or whose first answer is still
-        under way, may give them out as well as one in the snapshot.
+        Peers return a stopping instance in lookups until they know that it
+        is leaving, so the time to live of these lookups starts then.  This
+        includes peers that are not in the snapshot yet: one whose first
+        message has just been received, and one whose reply to an
+        introduction is outstanding.
         """
         about = self.about()
         now = self.clock()
@@ -270,7 +272,7 @@
         )
 
     def set_entries(self, addresses: tuple[str, ...]) -> None:
-        """Set the entry addresses that callers may use; tell the peers."""
+        """Set the entry addresses for callers; publish them to the peers."""
         if addresses == self.entry_addresses:
             return
         self.entry_addresses = addresses
@@ -279,17 +281,17 @@
     def add_section(
         self, name: str, provide: sections.Provide, consume: sections.Consume
     ) -> None:
-        """Let content of another slice ride on the heartbeats.
+        """Add a section of another package to the heartbeats.
 
         Parameters
         ----------
         name
-            Unique over all slices.
+            Unique over all packages.
         provide
-            Returns this agent's content; called for each heartbeat.
+            Returns the local agent's content; called for heartbeats.
         consume
-            Called with a member's name and content when it changed, and
-            now and then when it did not.
+            Called with a member's name and content after a change, and at
+            a long interval without one.
         """
         self.sections.add(sections.Section(name, provide, consume))
 
@@ -311,7 +313,7 @@
             return client
 
     def register(self, router: server.Router) -> None:
-        """Answer the other agents' messages."""
+        """Register the handlers of the other agents' messages."""
         self.build_handlers().register(router)
         self.gossip.register(router)
 
@@ -337,10 +339,10 @@
             for client in self.clients.values():
                 client.close()
 
-    # What the parts ask.
+    # Interface for the components.
 
     def about(self) -> messages.About:
-        """Return what this agent says of itself."""
+        """Return the local agent's description of itself."""
         return messages.About(
             name=self.local_agent.name,
             zone=self.local_agent.zone,
@@ -358,15 +360,15 @@
                 raise UnknownMemberError(f"no member {name}")
             return record.agent_address
 
-    # Threads.
+    # Periodic work.
 
     def run_review(self) -> None:
-        """Review the table, and send heartbeats to whom it names."""
+        """Review the table, and match the heartbeats to its records."""
         self.review()
         self.sync_heartbeat_senders()
 
     def review(self) -> None:
-        """Judge each member's silence anew and renew the snapshot."""
+        """Update each member's state and the snapshot of members."""
         with self.table.lock:
             suspicion.review(self.table)
             self.freshness.record_tick()
@@ -380,7 +382,7 @@
             self.gossip.wake.set()
 
     def sync_heartbeat_senders(self) -> None:
-        """Begin heartbeats to each new peer; end those to forgotten ones."""
+        """Start heartbeats to new peers; stop those to forgotten ones."""
         with self.table.lock:
             names = set(self.table.records)
         for name in names - set(self.heartbeat_senders):
@@ -398,7 +400,7 @@
             sender.send_now()
 
     def confirm_suspects(self) -> None:
-        """Ask others about suspects; ask seeds while no peer is heard."""
+        """Query others about suspects; query seeds while no peer is known."""
         suspicion.confirm(self.table, self.call)
         if len(self.snapshot) <= 1:
             seed_peers.query(self.seeds, self.client_factory, self.replies)
--- a/src/briarseam/membership/state.py
+++ b/src/briarseam/membership/state.py
@@ -1,4 +1,4 @@
-"""What is known about the agents of a cell."""
+"""State of the agents of a cell."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class MemberState(enum.StrEnum):
-    """How a member looks from here."""
+    """State of a member as the local agent sees it."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LocalAgent:
-    """The agent itself, as its settings name it.
+    """The local agent, as configured in its settings.
 
     Attributes
     ----------
@@ -35,7 +35,7 @@
     agent_address
         ``ip:port`` where other agents reach it.
     entry_addresses
-        ``ip:port`` of its entry processes towards callers.
+        ``ip:port`` of its entry processes, for callers.
     """
 
     name: str
@@ -55,13 +55,13 @@
     cell
         ``ZONE/PART``.
     state
-        How it looks from here.
+        Its state as the local agent sees it.
     silent_s
-        Seconds since it was last heard directly, as of the snapshot.
+        Seconds between its last direct contact and the snapshot.
     incarnation
-        Higher after each start of the process.
+        Number that increases with each start of the process.
     sections
-        What its heartbeats carry besides, by section name.
+        Content of its heartbeats' sections, by section name.
     """
 
     name: str
@@ -79,22 +79,23 @@
 
 @dataclasses.dataclass
 class PeerRecord:
-    """What the table holds about one peer.
+    """The table's record of one peer.
 
     Attributes
     ----------
     listed_address
-        Address on the instance list; empty when not on it.
+        Address on the instance list; empty when not on the list.
     listed_leaving
-        Whether the list says that it is leaving.
-    told_leaving
-        Whether it said so itself; holds for its incarnation.
-    heard_at
-        Monotonic time of the last word from it; ``None`` before the first.
+        Whether the instance list shows it as leaving.
+    announced_leaving
+        Whether it reported itself as leaving; valid for its incarnation.
+    last_contact_at
+        Monotonic time at which it was last known to be alive from direct
+        contact; ``None`` before the first contact.
     added_at
-        Monotonic time when it was first heard of.
-    vouched_at
-        Monotonic time when another peer last vouched for it.
+        Monotonic time when the record was added.
+    confirmed_at
+        Monotonic time when another peer last confirmed that it is alive.
     """
 
     name: str
@@ -113,7 +114,7 @@
     sections: dict[str, bytes] = dataclasses.field(default_factory=dict)
 
     def silent_s(self, now: float) -> float:
-        """Return the seconds since it was heard."""
+        """Return the seconds since the last direct contact."""
         return (
             NO_CONTACT_S
             if self.last_contact_at is None
@@ -121,11 +122,11 @@
         )
 
     def is_leaving(self) -> bool:
-        """Tell whether it said, or the list says, that it is leaving."""
+        """Tell whether the peer or the instance list reports it as leaving."""
         return self.announced_leaving or self.listed_leaving
 
     def to_member(self, now: float) -> Member:
-        """Return the immutable form."""
+        """Return an immutable copy."""
         return Member(
             name=self.name,
             zone=self.zone,
@@ -140,10 +141,10 @@
 
 
 def new_incarnation() -> int:
-    """Return a number that is higher after each start of the process.
+    """Return a number that increases with each start of the process.
 
-    The start time orders the starts of one instance; the random part tells
-    two starts within one millisecond, or a clock set back, from each other.
+    The start time orders the starts of one instance; the random part makes
+    two starts differ within one millisecond or after the clock was set back.
     """
     random_part = secrets.randbits(INCARNATION_RANDOM_BITS)
     return (time.time_ns() // 1_000_000 << INCARNATION_RANDOM_BITS) | (
--- a/src/briarseam/membership/suspicion.py
+++ b/src/briarseam/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""When a silent member becomes suspect, and when it is gone."""
+"""Failure detection: when a silent member is suspect, and when gone."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def review(table: tables.Table) -> None:
-    """Set each record's state from its silence."""
+    """Update each record's state from its silence."""
     now = table.clock()
     with table.lock:
         table.record_review(now)
@@ -35,10 +35,11 @@
 def state_for(
     record: state.PeerRecord, now: float, table: tables.Table
 ) -> state.MemberState:
-    """Return the state that a record's silence gives it.
+    """Return a record's state according to its silence.
 
-    Only :func:`confirm` makes a member gone that has not said that it is
-    leaving, since it asks others first.
+    A silent member that did not announce its leaving becomes suspect first,
+    since :func:`confirm` queries others about it; without their
+    confirmation it is gone after ``FORGET_FACTOR`` suspicion times.
     """
     if record.silent_s(now) <= table.suspect_after_s:
         if record.is_leaving():
@@ -57,10 +58,11 @@
 
 
 def silence_started_at(record: state.PeerRecord, table: tables.Table) -> float:
-    """Return since when its silence counts against it.
+    """Return the monotonic time from which a peer's silence is counted.
 
-    It was last heard, vouched for or first heard of then, or this process
-    woke from a freeze.
+    This is the last time at which the peer was in contact, was confirmed by
+    another peer or was added, or at which this process resumed after a
+    suspension.
     """
     times = [record.added_at, table.resumed_at]
     if record.last_contact_at is not None:
@@ -71,7 +73,7 @@
 
 
 def set_state(record: state.PeerRecord, new_state: state.MemberState) -> None:
-    """Set a record's state; a line in the log when it differs."""
+    """Set a record's state, and log a change."""
     if record.state is new_state:
         return
     log.info("member_state", peer=record.name, was=record.state, now=new_state)
@@ -83,8 +85,8 @@
 ) -> bool:
     """Tell whether a record may be dropped.
 
-    One that the list still shows is kept, and tried again, as long as the
-    list shows it.
+    A peer that is on the instance list is kept, and heartbeats to it are
+    retried.
     """
     if not table.in_cell(record.name, record.zone):
         return True
@@ -95,12 +97,12 @@
 
 
 def confirm(table: tables.Table, query: Query) -> None:
-    """Ask other members about each suspect; call it gone if none hears it.
+    """Query other members about each suspect; set it gone if none confirms it.
 
-    A cut between two agents makes each suspect the other while all the
-    rest still hear both; calling such a member gone would move its
-    sessions away for nothing.  Whoever hears nobody at all is probably cut
-    off itself and calls nobody gone.
+    If the path between two agents fails, they suspect each other while all
+    others still receive from both; setting such a member gone would move
+    its sessions without need.  An agent that gets no replies at all is
+    probably cut off itself, and sets no member gone.
     """
     for record in suspects(table):
         answers = query_others(table, record.name, query)
@@ -109,7 +111,7 @@
 
 
 def suspects(table: tables.Table) -> list[state.PeerRecord]:
-    """Return suspects silent for so long that others should be asked."""
+    """Return suspects that were silent long enough to query others."""
     now = table.clock()
     with table.lock:
         return [
@@ -124,7 +126,7 @@
 def query_others(
     table: tables.Table, name: str, query: Query
 ) -> list[messages.Heard]:
-    """Return what a few live members say about one."""
+    """Return the replies of a few live members about another one."""
     with table.lock:
         others = [
             record.name
@@ -147,7 +149,7 @@
     record: state.PeerRecord,
     answers: list[messages.Heard],
 ) -> None:
-    """Set a suspect's state from what others answered."""
+    """Update a suspect from the replies of others."""
     if not answers or record.state is not state.MemberState.SUSPECT:
         return
     if any(shows_alive(answer, record, table) for answer in answers):
@@ -159,7 +161,7 @@
 def shows_alive(
     answer: messages.Heard, record: state.PeerRecord, table: tables.Table
 ) -> bool:
-    """Tell whether an answer shows that the suspect lives."""
+    """Tell whether a reply shows that the suspect is alive."""
     if answer.silent_s is None or answer.incarnation < record.incarnation:
         return False
     return answer.silent_s <= table.suspect_after_s
--- a/src/briarseam/membership/table.py
+++ b/src/briarseam/membership/table.py
@@ -1,4 +1,4 @@
-"""The table of the cell's other agents, changed only under its lock."""
+"""The table of the cell's other agents, modified only under its lock."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class Table:
-    """Records of the other agents of this cell.
+    """Records of the other agents of the local cell.
 
     Parameters
     ----------
-    me
-        This agent.
+    local_agent
+        The local agent.
     cell_of
         Returns the cell of an agent, which may change at any time.
     suspect_after_s
@@ -51,11 +51,11 @@
         self.resumed_at = self.reviewed_at
 
     def own_cell(self) -> str:
-        """Return this agent's cell."""
+        """Return the local agent's cell."""
         return self.cell_of(self.local_agent.name, self.local_agent.zone)
 
     def in_cell(self, name: str, zone: str) -> bool:
-        """Tell whether the agent is another one of this cell."""
+        """Tell whether an agent is a peer in the local cell."""
         if name == self.local_agent.name or zone != self.local_agent.zone:
             return False
         return self.cell_of(name, zone) == self.own_cell()
@@ -63,7 +63,7 @@
     def get_or_add(
         self, name: str, zone: str, address: str
     ) -> state.PeerRecord:
-        """Return the record of a peer, added when there is none."""
+        """Return the record of a peer; add one if it is missing."""
         record = self.records.get(name)
         if record is None:
             record = state.PeerRecord(
@@ -80,7 +80,7 @@
     def apply_listing(
         self, listed: typing.Iterable[instances.Instance]
     ) -> None:
-        """Take in the agents on the instance list."""
+        """Apply the agents on the instance list."""
         with self.lock:
             rows = {
                 row.name: row
@@ -92,8 +92,8 @@
                 record.cell = self.cell_of(row.name, row.zone)
                 record.listed_address = row.address
                 record.listed_leaving = row.state == "leaving"
-                # The list lags: its address counts only for an agent that
-                # is not heard just now under another one.
+                # The list lags, so its address is used only for an agent that
+                # is not alive at another address.
                 if record.state is not state.MemberState.ALIVE:
                     record.agent_address = row.address
             for name, record in self.records.items():
@@ -102,7 +102,10 @@
                     record.listed_leaving = False
 
     def apply_peer_report(self, about: messages.About) -> None:
-        """Take in an agent that a peer hears; it is not yet heard here."""
+        """Apply an agent that a peer reports as live.
+
+        The agent becomes known; it is not live before direct contact.
+        """
         with self.lock:
             if not self.in_cell(about.name, about.zone):
                 return
@@ -113,14 +116,14 @@
                 record.agent_address = about.address
 
     def apply_about(self, about: messages.About, contact_at: float) -> bool:
-        """Take in what an agent says of itself.
+        """Apply an agent's description of itself.
 
         Returns
         -------
         bool
-            False when a later start of the same instance is heard: the
-            sender is superseded, for instance a frozen process that woke
-            after its replacement came up.
+            False when a later incarnation of the same instance is live: the
+            sender is superseded, for instance a suspended process that
+            resumed after its replacement started.
         """
         with self.lock:
             if not self.in_cell(about.name, about.zone):
@@ -129,7 +132,7 @@
             if self.supersedes(record, about.incarnation):
                 return False
             if about.incarnation != record.incarnation:
-                # A restarted instance keeps nothing of the earlier one.
+                # Nothing of an earlier incarnation applies to the new one.
                 record.sections = {}
                 record.last_contact_at = None
             record.incarnation = about.incarnation
@@ -140,10 +143,10 @@
             return True
 
     def supersedes(self, record: state.PeerRecord, incarnation: int) -> bool:
-        """Tell whether a record is of a later start and still heard.
+        """Tell whether a record is of a later incarnation and still live.
 
-        A clock set back would give a restarted instance a lower number, so
-        the number counts only while the higher one is being heard.
+        A restarted instance gets a lower number if its clock was set back,
+        so the number decides only while the higher incarnation is live.
         """
         silent_s = record.silent_s(self.clock())
         return (
@@ -152,12 +155,12 @@
         )
 
     def record_review(self, now: float) -> None:
-        """Note that the table is being reviewed; find out about a freeze.
+        """Record a review of the table; detect that the process was suspended.
 
-        A process that was frozen wakes with everybody silent for as long.
-        Judged by that, all would be gone at once, though it was this
-        process that did not listen.  Silence before the waking therefore
-        makes a member suspect and never gone.
+        After a suspension all peers look silent, although it is the local
+        process that did not receive.  Without this check it would remove all
+        of them at once.  Silence before the resumption makes a member
+        suspect, but never gone.
         """
         if now - self.reviewed_at > self.suspect_after_s:
             self.resumed_at = now
@@ -166,7 +169,7 @@
     def record_contact(
         self, record: state.PeerRecord, contact_at: float
     ) -> None:
-        """Move on the time of the last word from a peer, never back."""
+        """Advance the time of the last contact with a peer, never back."""
         if (
             record.last_contact_at is None
             or contact_at > record.last_contact_at
@@ -174,7 +177,7 @@
             record.last_contact_at = contact_at
 
     def digest(self, own_incarnation: int) -> int:
-        """Return a digest of the agents heard, with this one."""
+        """Return a digest of the live agents, the local one included."""
         with self.lock:
             live = [
                 f"{record.name}\0{record.incarnation}"
@@ -186,7 +189,7 @@
         return xxhash.xxh64_intdigest("\n".join(sorted(live)).encode())
 
     def live_abouts(self) -> tuple[messages.About, ...]:
-        """Return the peers that are heard, as they said of themselves."""
+        """Return the descriptions of the live peers."""
         with self.lock:
             return tuple(
                 messages.About(
--- a/src/briarseam/membership/view.py
+++ b/src/briarseam/membership/view.py
@@ -1,4 +1,4 @@
-"""The members of all cells as one tuple that changes only when they do."""
+"""The members of all cells as a tuple, replaced only when they change."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class MemberKey:
-    """What makes a member another one for lookups and routing."""
+    """The fields of a member whose change matters to lookups and routing."""
 
     name: str
     incarnation: int
@@ -23,14 +23,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class View:
-    """Members, and what tells this view from the next.
+    """Members of all cells, and the keys that detect a change.
 
     Attributes
     ----------
     members
-        Of this cell first, then of the others.
-    traits
-        Of this cell's members.
+        Members of the local cell first, then of the others.
+    keys
+        Keys of the local cell's members.
     others
         Members of the other cells, as the directory returned them.
     """
@@ -45,10 +45,10 @@
     own: tuple[state.Member, ...],
     others: tuple[state.Member, ...],
 ) -> View:
-    """Return the same view if nothing changed, else a new one.
+    """Return the same view if nothing changed, otherwise a new one.
 
-    The directory returns the same tuple until it changes, so thousands of
-    members need not be compared several times a second.
+    The directory returns the same tuple until it changes, which avoids
+    comparing thousands of members several times a second.
     """
     keys = tuple(map(key_of, own))
     if others is view.others and keys == view.keys:
@@ -59,7 +59,7 @@
 
 
 def key_of(member: state.Member) -> MemberKey:
-    """Return a member's trait."""
+    """Return a member's key."""
     return MemberKey(
         name=member.name,
         incarnation=member.incarnation,
