--- a/tests/membership/nodes.py
+++ b/tests/membership/nodes.py
@@ -12,14 +12,14 @@
 from briarseam.wire import connection as connections
 from briarseam.wire import server
 
-# Its own in each test process: an address may pass to a node of another.
+# A key for each test process: a port may be reused by another process.
 KEY = secrets.token_bytes(16)
 INTERVAL_S = 0.05
 SUSPECT_AFTER_S = 0.6
 
 
 class FakeInstanceList:
-    """An instance list in memory; the test edits ``rows``."""
+    """An instance list in memory; tests modify ``rows``."""
 
     def __init__(self) -> None:
         self.rows: dict[str, instances.Instance] = {}
@@ -44,7 +44,7 @@
 
 
 class SkippingClock:
-    """A clock that a test sets forward, as a freeze would."""
+    """A clock that a test sets forward to simulate a suspension."""
 
     def __init__(self, clock: typing.Callable[[], float]) -> None:
         self.clock = clock
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass
 class Node:
-    """One agent's membership behind its own server."""
+    """One agent's membership with its server."""
 
     membership: service.Membership
     server: server.Server
@@ -72,7 +72,7 @@
         return None
 
     def sender_to(self, name: str) -> heartbeat_sender.HeartbeatSender:
-        """Return the heartbeats to a peer, once they have begun.
+        """Return the sender of heartbeats to a peer, once it exists.
 
         A peer that sent its introduction first is a member before that.
         """
@@ -86,7 +86,7 @@
 
 
 class BlockingRouter(server.Router):
-    """A router that hangs up on peers the test has cut off."""
+    """A router that closes the connections of peers that a test blocks."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -94,17 +94,17 @@
 
     def answer(self, peer: connections.Identity, request: object) -> object:
         if peer.name in self.blocked:
-            raise connections.WireError("cut by the test")
+            raise connections.WireError("blocked by the test")
         return super().answer(peer, request)
 
 
 def block_between(one: Node, other: Node) -> None:
-    """Cut the path between two nodes in both directions."""
+    """Block the path between two nodes in both directions."""
     one.blocked.add(other.membership.local_agent.name)
     other.blocked.add(one.membership.local_agent.name)
 
 
 def unblock(*nodes: Node) -> None:
-    """Heal all cuts."""
+    """Unblock all paths."""
     for node in nodes:
         node.blocked.clear()
--- a/tests/membership/test_drain.py
+++ b/tests/membership/test_drain.py
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass
 class Daemon:
-    """A daemon under a clock that moves only when the drain sleeps."""
+    """A daemon with a clock that advances only when the drain sleeps."""
 
     published_at: float = 0.0
     idle_at: float = 0.0
@@ -40,8 +40,8 @@
 
 
 def test_serves_until_lookups_expire() -> None:
-    """A daemon is stopped while idle.  A caller asked for its address just
-    before a peer heard the news, and still finds it serving.
+    """A daemon is stopped while idle.  A caller that got its address in a
+    lookup just before a peer learned of it must still be served.
     """
     daemon = Daemon(published_at=2.0)
     outcome = daemon.drain()
@@ -51,15 +51,15 @@
 
 
 def test_serves_until_nothing_is_in_flight() -> None:
-    """A daemon is stopped while a long answer streams: it is not cut."""
+    """A long answer that streams while a daemon is stopped is not cut off."""
     outcome = Daemon(idle_at=50.0).drain()
     assert isinstance(outcome, drain.Drained)
     assert outcome.waited_s >= 50.0
 
 
 def test_unreachable_peer_does_not_block_stop() -> None:
-    """A peer can't be told since it is cut off: the stop goes on after a
-    bounded wait, and the lookups' time still passes.
+    """If the leaving can't be published to an unreachable peer, the drain
+    goes on after a timeout, and still waits until lookups expire.
     """
     outcome = Daemon(published_at=float("inf")).drain()
     assert isinstance(outcome, drain.Drained)
@@ -68,8 +68,8 @@
 
 
 def test_bound_cuts_off_and_reports_count() -> None:
-    """A caller never ends its stream: the stop has a bound and reports
-    what it cut.
+    """If a caller never ends its stream, the drain ends at its bound and
+    reports the requests that are cut off.
     """
     outcome = Daemon(idle_at=float("inf")).drain(bound_s=20.0)
     assert isinstance(outcome, drain.CutOff)
@@ -78,16 +78,16 @@
 
 
 def test_interrupt_ends_drain() -> None:
-    """An operator has no time and signals again: the daemon stops now."""
+    """A second signal of an operator ends the drain at once."""
     outcome = Daemon(idle_at=float("inf"), interrupted_at=3.0).drain()
     assert isinstance(outcome, drain.CutOff)
     assert outcome.waited_s < 4.0
 
 
 def test_bound_counts_from_stop_request() -> None:
-    """A process is told to stop while it starts, and notices it seconds
-    later.  Counted from then, its bound comes after its supervisor has
-    killed it, with all that it serves.
+    """A process gets SIGTERM during its start and handles it seconds later.
+    If the bound counted from then, the supervisor would kill the process
+    before the bound, with its requests in flight.
     """
     daemon = Daemon(now=5.0, stop_requested_s=1.0, idle_at=float("inf"))
     outcome = daemon.drain(bound_s=7.0)
@@ -96,7 +96,9 @@
 
 
 def test_overdue_stop_request_ends_drain_at_once() -> None:
-    """An instance was suspended; its supervisor's patience is over."""
+    """An instance that resumes from a suspension after its bound has passed
+    stops at once.
+    """
     daemon = Daemon(now=60.0, stop_requested_s=1.0, idle_at=float("inf"))
     daemon.drain(bound_s=7.0)
     assert daemon.now < 60.2
--- a/tests/membership/test_endpoints.py
+++ b/tests/membership/test_endpoints.py
@@ -58,8 +58,8 @@
 def test_endpoint_listed_as_leaving_is_leaving(
     leaving_endpoints: endpoints.LeavingEndpoints, listed: instances.Instance
 ) -> None:
-    """The platform will take an engine away and marks it on the list: it
-    gets no new work, under whatever name the list has it.
+    """An engine that the instance list shows as leaving gets no new work,
+    whether its name or only its address matches the configuration.
     """
     assert leaving_endpoints.leaving_endpoints() == frozenset()
     leaving_endpoints.apply_listing((listed, row("live", "two", OTHER)))
@@ -69,8 +69,8 @@
 def test_endpoint_is_leaving_until_listed_live(
     leaving_endpoints: endpoints.LeavingEndpoints,
 ) -> None:
-    """A leaving engine drops off the list while it still shuts down, then
-    comes back: it gets work only when the list shows it live.
+    """A leaving engine is removed from the list before it has stopped: it
+    gets no work until the list shows it live again.
     """
     leaving_endpoints.apply_listing((row("leaving"),))
     leaving_endpoints.apply_listing(())
@@ -80,8 +80,8 @@
 
 
 def test_endpoint_drained_by_configuration_is_leaving(start: Start) -> None:
-    """An operator sets an endpoint to draining: it counts as leaving with
-    the very change, whatever the list says.
+    """An endpoint that an operator sets to draining is leaving as soon as
+    the change is applied, whatever the list shows.
     """
     views = [view_of()]
     leaving = endpoints.LeavingEndpoints(
@@ -95,8 +95,8 @@
 def test_leaving_endpoint_is_learned_from_peers(
     start: Start, listing: helpers.FakeInstanceList
 ) -> None:
-    """One agent can't read the list any more, so it never sees that an
-    engine is leaving.  A peer that did tells it, and takes it back later.
+    """An agent that can't read the list learns from a peer's reports that an
+    engine is leaving, and later that it is live again.
     """
     a, b = start("a"), start("b")
     without_list = endpoints.LeavingEndpoints(a.membership, view_of)
@@ -114,8 +114,8 @@
 def test_report_of_dead_peer_expires(
     leaving_endpoints: endpoints.LeavingEndpoints,
 ) -> None:
-    """The only agent that saw an engine leave dies itself.  Its news holds
-    until others are sure to have read the list, and no longer.
+    """The only agent that read an engine as leaving dies.  Its report stays
+    valid until others must have read the list, and no longer.
     """
     clock = helpers.SkippingClock(leaving_endpoints.membership.clock)
     leaving_endpoints.membership.clock = clock
--- a/tests/membership/test_entries.py
+++ b/tests/membership/test_entries.py
@@ -45,8 +45,8 @@
 def test_entry_address_is_published_from_start_to_leaving(
     instance: Instance,
 ) -> None:
-    """An entry starts and is later stopped by an operator.  Callers are
-    sent to it in between only, and the agent waits until it has gone.
+    """The address of an entry is in lookups from its start until it leaves;
+    the agent counts it as leaving until it is gone.
     """
     instance.presence.start()
     waiting.until(lambda: instance.addresses() == (ADDRESS,))
@@ -61,8 +61,8 @@
 def test_leaving_is_confirmed_only_after_peers_have_it(
     instance: Instance, start: Start
 ) -> None:
-    """A leaving entry may stop only after every agent has ceased to name
-    it: it asks until its agent's peers have the news.
+    """A leaving entry may stop only after no agent has it in lookups: it
+    reports until all peers of its agent have its state.
     """
     peer = start("b")
     instance.presence.report()
@@ -78,8 +78,8 @@
 def test_leaving_is_unconfirmed_while_introduction_is_open(
     instance: Instance, start: Start, listing: helpers.FakeInstanceList
 ) -> None:
-    """An entry leaves just as a new agent has read its agent's first
-    introduction, the answer to which is still on its way back.
+    """An entry leaves while a new peer has read its agent's introduction and
+    the reply is outstanding: that peer has the former address.
     """
     instance.presence.report()
     published: list[bool] = []
@@ -111,8 +111,8 @@
 def test_leaving_is_unconfirmed_for_newly_received_peer(
     instance: Instance,
 ) -> None:
-    """An entry leaves just as its agent has first heard a new agent, to
-    which it has not sent anything itself.
+    """An entry leaves just after its agent got the first message of a new
+    peer, to which it has not sent an introduction.
     """
     instance.presence.report()
     membership = instance.node.membership
@@ -123,7 +123,7 @@
 
 
 def addresses_known_to(node: helpers.Node) -> set[str]:
-    """Return the addresses that a node names for the agent ``a``."""
+    """Return the entry addresses that a node has of the agent ``a``."""
     return {
         address
         for member in node.membership.live()
@@ -133,8 +133,9 @@
 
 
 def test_entry_of_unready_agent_is_not_published(instance: Instance) -> None:
-    """An agent was just started and knows no endpoints yet.  Callers are
-    sent to its entry once it does, or when it has waited enough.
+    """An agent that has just started and knows no endpoints would refuse all
+    callers, so its entry is published only once the agent is ready.  Later
+    the entry stays published while the agent is not ready.
     """
     ready: list[bool] = []
     instance.local.ready = lambda: bool(ready)
@@ -149,8 +150,8 @@
 
 
 def test_silent_entry_is_removed(instance: Instance) -> None:
-    """An entry process is killed while its agent lives on: callers are not
-    sent to its closed port for long.
+    """The entry of a killed process must not stay in lookups while its agent
+    is alive, since callers would find a closed port.
     """
     clock = helpers.SkippingClock(instance.node.membership.clock)
     instance.node.membership.clock = clock
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -20,14 +20,14 @@
 
 
 def states_of(node: helpers.Node) -> dict[str, state.MemberState]:
-    """Return the states of all members that a node knows."""
+    """Return the states of all members that a node knows, by name."""
     return {
         member.name: member.state for member in node.membership.all_members()
     }
 
 
 def start_two_zones(start: Start) -> list[helpers.Node]:
-    """Start two agents in one zone, three in another; wait for all."""
+    """Start two agents in one zone and three in another; wait for all."""
     nodes = [start(name, "rumoi") for name in ("a", "b")]
     nodes += [start(name, "ishikari") for name in ("c", "d", "e")]
     expected = dict.fromkeys("abcde", ALIVE)
@@ -38,9 +38,9 @@
 def summaries_agree(
     nodes: list[helpers.Node], cell: str, members: str
 ) -> bool:
-    """Tell whether all that exchange have one summary, of these members.
+    """Tell whether all contacts have the same summary, with these members.
 
-    Until then a contact of the cell may still be about to replace its own.
+    Until then a contact of the cell may still replace the summary.
     """
     directories = [
         node.membership.gossip.directory
@@ -60,8 +60,8 @@
 
 
 def test_members_of_other_cells_are_known(start: Start) -> None:
-    """Agents heartbeat only their own zone's.  A lookup answered in one
-    zone must still name the entries of the others.
+    """Agents exchange heartbeats only within their cell, but a lookup in one
+    zone must also return the entries of the others.
     """
     nodes = start_two_zones(start)
     for node in nodes:
@@ -75,8 +75,8 @@
 
 
 def test_leaving_reaches_other_cells(start: Start) -> None:
-    """An agent is stopped: agents of other zones stop sending callers to
-    it too.
+    """Agents of other zones learn that an agent is leaving, so that their
+    lookups no longer return it.
     """
     nodes = start_two_zones(start)
     nodes[2].membership.announce_leaving()
@@ -89,8 +89,8 @@
 def test_dead_zone_becomes_suspect(
     start: Start, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A whole zone goes down, so none of its agents is left to say who has
-    gone.  The others send callers there last, not first.
+    """If a whole zone fails, none of its agents is left to update its summary.
+    Its members must become suspect, so that lookups return them last.
     """
     monkeypatch.setattr(directory, "LOST_AFTER_S", 1.0)
     monkeypatch.setattr(gossip, "BEAT_INTERVAL_MS", 100)
@@ -108,8 +108,8 @@
 
 
 def test_zone_split_into_cells_keeps_all_members(start: Start) -> None:
-    """Configuration cuts a zone into two cells: each agent heartbeats only
-    its own, and still knows all.
+    """If a zone is divided into two cells, each agent sends heartbeats only
+    to peers in its own cell, and still knows all members.
     """
     names = "abcdef"
     nodes = [
@@ -121,8 +121,8 @@
     own_cells = [node.membership.local_member.cell for node in nodes]
     expected = [own_cells.count(cell) - 1 for cell in own_cells]
     assert all(peers < len(names) - 1 for peers in expected)
-    # A node may know all by an introduction while it still begins to send
-    # heartbeats to its peers.
+    # A node may know all members from introductions before it has started
+    # all heartbeats of its own.
     waiting.until(
         lambda: (
             [len(node.membership.heartbeat_senders) for node in nodes]
@@ -143,9 +143,7 @@
 
 
 def test_outdated_summary_is_ignored() -> None:
-    """An exchange was held up on its way and brings back a member that
-    has gone since.
-    """
+    """A delayed exchange must not restore a member that is gone."""
     summaries = directory.Directory(clocks.ManualClock())
     assert summaries.apply([summary("x/0", 2, "a")])
     assert not summaries.apply([summary("x/0", 1, "a", "b")])
@@ -153,7 +151,7 @@
 
 
 def test_cell_is_lost_until_its_beat_advances() -> None:
-    """A cell is cut off and later heard again with the same members."""
+    """A cell is unreachable for a while and then has the same members."""
     clock = clocks.ManualClock()
     summaries = directory.Directory(clock)
     summaries.apply([summary("x/0", 1, "a")])
@@ -167,8 +165,8 @@
 
 
 def test_agent_in_two_summaries_is_listed_once() -> None:
-    """A zone was cut anew: an agent stands in its old cell's last summary
-    and in its new cell's.
+    """After a zone was divided into other cells, an agent is in the last
+    summary of its former cell and in that of its new cell.
     """
     clock = clocks.ManualClock()
     summaries = directory.Directory(clock)
@@ -184,8 +182,8 @@
 def test_own_summary_supersedes_version_from_faster_clock(
     start: Start,
 ) -> None:
-    """All agents of a cell are replaced, and the new ones' clocks are
-    behind.  What they write must still replace their forerunners'.
+    """All agents of a cell are replaced, and the clocks of the new ones are
+    behind.  Their summary must still replace the former one.
     """
     node = start("a")
     future = 2**60
@@ -201,7 +199,9 @@
 def test_members_are_locked_while_summary_gets_its_version(
     start: Start, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An older view with a later version hides members from other cells."""
+    """An older view with a later version would hide members from other cells,
+    so the members must not change before the summary has its version.
+    """
     node = start("a")
     node.membership.gossip.stop()
     table = node.membership.gossip.table
--- a/tests/membership/test_handlers.py
+++ b/tests/membership/test_handlers.py
@@ -1,4 +1,4 @@
-"""Answers to other agents, without a network or threads."""
+"""Handlers of other agents' messages, without network or threads."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass
 class Fixture:
-    """Answering, and what it was seen to do."""
+    """The handlers, and what they called."""
 
     handlers: handlers.MessageHandlers
     table: tables.Table
@@ -77,8 +77,8 @@
 
 
 def test_introduced_peer_is_reviewed_at_once(fixture):
-    """An agent has just started.  Callers are told its address by all who
-    heard it, before their next look at the table.
+    """A peer that has just started must be live at once, not only after the
+    next periodic review.
     """
     assert introduce(fixture) == messages.Introduced(LOCAL, DIGEST)
     assert fixture.reviews
@@ -87,8 +87,8 @@
 
 
 def test_heartbeat_of_unknown_incarnation_is_not_counted(fixture):
-    """An instance was replaced under its name.  The new start's heartbeat
-    must not keep alive what the old one said of itself.
+    """An instance is replaced under its name.  Heartbeats of the new
+    incarnation must not keep the description of the former one valid.
     """
     introduce(fixture)
     fixture.clock.now_s += 1
@@ -116,8 +116,8 @@
     ],
 )
 def test_later_incarnation_of_own_name_wins(fixture, incarnation, answer):
-    """A frozen process wakes after its replacement came up and introduces
-    itself to it.  It must stop answering for the instance.
+    """A suspended process resumes after its replacement has started and
+    sends an introduction to it.  Only the later incarnation may go on.
     """
     other = dataclasses.replace(LOCAL, incarnation=incarnation)
     assert introduce(fixture, other) == answer
--- a/tests/membership/test_listing.py
+++ b/tests/membership/test_listing.py
@@ -9,8 +9,8 @@
 
 
 def test_reads_stay_within_the_budget() -> None:
-    """The list grows to thousands of rows: agents read it less often, so
-    that its size does not eat what a node may spend on control.
+    """Agents read a list of thousands of rows less often, so that the reads
+    stay within their budget.
     """
     reader = listing.ListReader(
         helpers.FakeInstanceList(), 2.0, bytes_per_s=1000
@@ -21,7 +21,7 @@
 
 
 def test_last_rows_are_kept_in_an_outage() -> None:
-    """The list is down for a while: what it said before still counts."""
+    """While the list is unavailable, the rows of the last read are used."""
     source = helpers.FakeInstanceList()
     source.put("a", "127.0.0.1:1")
     reader = listing.ListReader(source)
@@ -33,8 +33,8 @@
 
 
 def test_adapter_reads_list_over_http() -> None:
-    """The platform's own service shows one leaving agent; in an outage the
-    adapter says so instead of showing an empty list.
+    """The adapter returns a leaving agent; in an outage it raises an error
+    instead of returning an empty list.
     """
     service = instance_list.InstanceList()
     service.start()
--- a/tests/membership/test_many_peers.py
+++ b/tests/membership/test_many_peers.py
@@ -24,7 +24,7 @@
 
 
 class Peer:
-    """A peer that answers heartbeats, on a loop that all peers share."""
+    """A peer that replies to heartbeats, on an event loop shared by all."""
 
     def __init__(self, name, loop):
         self.name = name
@@ -67,11 +67,11 @@
 
 
 def test_threads_do_not_grow_with_peers(listing, peers, loop):
-    """An instance of a large deployment cannot be started.
+    """An instance must be able to start in a large deployment.
 
-    It had a thread for the heartbeats to each peer and one for each
-    connection from a peer; with those of all others the machine had no room
-    for more, and the thread that met peers died of that.
+    With a thread for the heartbeats to each peer and one for each connection
+    from a peer, the machine reaches its limit of threads, and the thread that
+    connects to peers fails.
     """
     before = threading.active_count()
     router = server.Router()
@@ -105,9 +105,8 @@
 def test_error_while_handling_reply_does_not_end_heartbeats(
     listing, start, monkeypatch
 ):
-    """Two instances take each other for gone after a fault of one section.
-
-    Whatever takes in an answer may have a fault; heartbeats go on.
+    """An unexpected error while handling a reply, such as one of a section,
+    must not end the heartbeats: two instances would consider each other gone.
     """
     failures = [ZeroDivisionError()]
     apply_about = replies.ReplyHandler.apply_about
--- a/tests/membership/test_replies.py
+++ b/tests/membership/test_replies.py
@@ -1,4 +1,4 @@
-"""What answers to heartbeats change."""
+"""Handling of replies to heartbeats."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 
 
 def test_reply_is_dated_by_when_its_heartbeat_was_sent(handler, clock):
-    """A process sends a heartbeat and is frozen.  On waking it finds the
-    answer: the peer lived then, and may be long gone now.
+    """A process that was suspended after sending a heartbeat reads the reply
+    when it resumes: the peer was alive then, and may be gone since.
     """
     sent_at = clock()
     clock.now_s += 60
@@ -50,8 +50,8 @@
 
 
 def test_superseded_process_is_not_fresh_until_next_reply(handler, clock):
-    """A frozen process wakes beside its replacement.  What it believes must
-    not decide about requests.
+    """A suspended process resumes after its replacement has started.  It must
+    not decide about requests by its outdated view.
     """
     handler.freshness.record_tick()
     handler.apply_about(PEER, clock())
--- a/tests/membership/test_sections.py
+++ b/tests/membership/test_sections.py
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def sections_with_failing_one():
-    """Two sections, the first of which can neither be made nor read."""
+    """Two sections, the first of which fails to encode and to decode."""
     consumed = []
 
     def fail(*_args):
@@ -35,9 +35,9 @@
 
 
 def test_failing_section_is_left_out_of_heartbeat(sections_with_failing_one):
-    """An engine tells a number that no message can carry.
+    """An engine may report a number that is out of range for messages.
 
-    The thread that sends heartbeats to a peer ended at it, and one
-    instance after the other took this one for dead.
+    Without the guard the error ends the heartbeats, and all peers consider
+    this instance dead.
     """
     assert sections_with_failing_one.content() == {"good": b"1"}
--- a/tests/membership/test_service.py
+++ b/tests/membership/test_service.py
@@ -19,15 +19,15 @@
 
 
 def start_all(start: Start, *names: str) -> list[helpers.Node]:
-    """Start nodes and wait until each hears all."""
+    """Start nodes and wait until each knows all as alive."""
     nodes = [start(name) for name in names]
     waiting.until(lambda: all(node.names() == set(names) for node in nodes))
     return nodes
 
 
 def test_listed_agents_find_each_other(start: Start) -> None:
-    """Three agents start and are on the list: each serves its callers
-    knowing the other two, with their entry addresses.
+    """Agents that are on the instance list know each other, with their entry
+    addresses.
     """
     nodes = start_all(start, "a", "b", "c")
     entries = {
@@ -41,8 +41,8 @@
 
 
 def test_unlisted_agent_is_found_through_seed(start: Start) -> None:
-    """A new agent is not on the lagging list yet.  It asks a seed, and
-    the agents that the seed never told of it still hear it.
+    """A new agent that is not on the lagging list yet queries a seed; agents
+    other than the seed get to know it, too.
     """
     nodes = start_all(start, "a", "b")
     seed = nodes[0].membership.local_agent.agent_address
@@ -54,8 +54,8 @@
 
 
 def test_leaving_is_published_at_once(start: Start) -> None:
-    """An operator stops an agent: its peers stop naming it to callers
-    before the next heartbeat is due, though the list still shows it live.
+    """The peers of a stopping agent remove it from lookups before the next
+    heartbeat is due, although the list still shows it live.
     """
     a, b = start_all(start, "a", "b")
     for node in (a, b):
@@ -72,8 +72,8 @@
 def test_listed_as_leaving_is_not_live(
     start: Start, listing: helpers.FakeInstanceList
 ) -> None:
-    """The platform marks an instance as leaving before the agent there
-    hears of it: callers are no longer sent to it.
+    """An instance that the list shows as leaving is no longer in lookups,
+    even if its agent has not announced it.
     """
     a, b = start_all(start, "a", "b")
     listing.put("b", b.membership.local_agent.agent_address, state="leaving")
@@ -82,8 +82,8 @@
 
 
 def test_dead_agent_is_gone_while_still_listed(start: Start) -> None:
-    """An agent is killed; the lagging list goes on showing it.  Its peers
-    find it silent, ask each other, and drop it.
+    """The peers of a killed agent find it silent, query each other and remove
+    it, although the lagging list still shows it.
     """
     a, b, c = start_all(start, "a", "b", "c")
     c.stop()
@@ -93,8 +93,8 @@
 
 
 def test_member_reachable_through_third_is_not_gone(start: Start) -> None:
-    """The path between two agents is cut while both reach a third.  Each
-    suspects the other, asks the third, and does not call it gone.
+    """The path between two agents fails while both reach a third.  Each
+    suspects the other, queries the third, and does not set it gone.
     """
     a, b, c = start_all(start, "a", "b", "c")
     helpers.block_between(a, b)
@@ -108,8 +108,8 @@
 
 
 def test_restarted_agent_replaces_former_incarnation(start: Start) -> None:
-    """An agent is replaced under the same name and another address while
-    the list still shows the old address: its peers hear the new one.
+    """An agent is replaced under the same name at another address while the
+    list still shows the former address: its peers use the new one.
     """
     a, b = start_all(start, "a", "b")
     old = b.membership.incarnation
@@ -128,8 +128,8 @@
 
 
 def test_superseded_agent_is_not_fresh(start: Start) -> None:
-    """A frozen agent was replaced and wakes beside its replacement.  It
-    is told so by its peers and stops counting its view as current.
+    """A suspended agent resumes after its replacement has started.  Its peers
+    reply that it is superseded, so its view is no longer fresh.
     """
     a, new = start_all(start, "a", "b")
     a_address = a.membership.local_agent.agent_address
@@ -141,9 +141,9 @@
     assert record.incarnation == new.membership.incarnation
 
 
-def test_agent_is_not_fresh_after_a_freeze(start: Start) -> None:
-    """An agent is frozen for a minute.  In its first moment awake its view
-    still shows dead peers alive; it must not count until a peer answered.
+def test_agent_is_not_fresh_after_suspension(start: Start) -> None:
+    """After a suspension an agent's view still shows dead peers as alive, so
+    it must not be fresh until a peer has replied.
     """
     clock = helpers.SkippingClock(time.monotonic)
     a = start("a", clock=clock)
@@ -159,12 +159,12 @@
     waiting.until(lambda: a.names() == {"a", "b"})
 
 
-def test_reply_read_after_a_freeze_does_not_renew_freshness(
+def test_reply_read_after_suspension_does_not_renew_freshness(
     start: Start,
 ) -> None:
-    """An agent is frozen while a reply is on its way to it, and the cell
-    is gone when it wakes.  The reply that it finds in its socket shows
-    that the peer lived when it was asked, not now.
+    """An agent is suspended while a reply is in transit, and the peer is gone
+    when it resumes.  The reply that it then reads shows that the peer was
+    alive when the heartbeat was sent, not now.
     """
     clock = helpers.SkippingClock(time.monotonic)
     a = start("a", clock=clock)
@@ -173,7 +173,7 @@
     handlers = b.server.router.handlers
     original = handlers[messages.Heartbeat]
 
-    def answer_before_the_freeze(
+    def reply_before_suspension(
         peer: connection.Identity, heartbeat: messages.Heartbeat
     ) -> object:
         reply = original(peer, heartbeat)
@@ -181,15 +181,15 @@
         b.blocked.add("a")
         return reply
 
-    handlers[messages.Heartbeat] = answer_before_the_freeze
+    handlers[messages.Heartbeat] = reply_before_suspension
     waiting.until(lambda: a.sender_to("b").failures)
     assert clock.skipped_s == 60
     assert not a.membership.is_fresh()
 
 
 def test_sections_are_carried_by_heartbeats(start: Start) -> None:
-    """A slice shares a number with the cell; peers get each change, and
-    one slice's fault does not make the member look dead.
+    """Peers get each change of a section's content; an error in another
+    section does not make the member look dead.
     """
     a, b = start_all(start, "a", "b")
     received: dict[str, bytes] = {}
@@ -213,7 +213,7 @@
 
 
 def test_client_reaches_a_member_by_name(start: Start) -> None:
-    """A slice calls a peer by name, wherever it runs now."""
+    """A client connects to the current address of a member."""
     a, b = start_all(start, "a", "b")
     assert a.membership.client("b").address == b.server.address
     with pytest.raises(service.UnknownMemberError):
@@ -223,8 +223,8 @@
 def test_half_of_a_cell_replaced_at_once(
     start: Start, listing: helpers.FakeInstanceList
 ) -> None:
-    """The platform replaces half of a cell in one go.  The rest drop the
-    old and hear the new, though no new one knows more than the list.
+    """If half of a cell is replaced at once, the others remove the former
+    agents and get to know the new ones.
     """
     nodes = start_all(start, "a", "b", "c", "d")
     for node in nodes[2:]:
--- a/tests/membership/test_split.py
+++ b/tests/membership/test_split.py
@@ -11,20 +11,20 @@
 
 
 def first_addresses(node: helpers.Node) -> set[str]:
-    """Return where a node sends callers first."""
+    """Return the addresses that a node's lookups return first."""
     lookup = lookups.Lookup(node.membership.all_members, lambda digest: None)
     return {lookup.where("org", name).addresses[0] for name in SESSIONS}
 
 
 def entry_addresses(names: str) -> set[str]:
-    """Return the entry addresses of some nodes."""
+    """Return the entry addresses of nodes."""
     return {f"entry-of-{name}" for name in names}
 
 
 def test_both_sides_of_a_network_partition_serve_callers(start: Start) -> None:
-    """A switch fails and parts a cell in two; callers reach both sides.
-    Each side goes on answering lookups with the agents that it reaches
-    first, and both are one again when the switch is back.
+    """A network partition divides a cell in two; callers reach both sides.
+    The lookups of each side return its own agents first, and those of all
+    agents again when the partition ends.
     """
     nodes = {name: start(name) for name in "abcd"}
     waiting.until(
--- a/tests/membership/test_table.py
+++ b/tests/membership/test_table.py
@@ -7,10 +7,10 @@
 
 
 def test_cell_of_known_peer_follows_configuration():
-    """A region grows, and is cut into cells.
+    """A growing region is divided into cells.
 
-    A peer that was known before kept the name of its former cell, and was
-    told of its own cell's work as if it were another one.
+    A peer known before must not keep its former cell's name: it would be
+    sent its own cell's load as that of another cell.
     """
     cells = {"a": "north", "b": "north"}
     table = tables.Table(
