--- a/src/briarseam/leases/__init__.py
+++ b/src/briarseam/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases on the log: one holder at a time, with a fencing number."""
+"""Leases on the log: a single holder at a time, with fencing numbers."""
--- a/src/briarseam/leases/fold.py
+++ b/src/briarseam/leases/fold.py
@@ -1,8 +1,8 @@
-"""The pure fold of the lease stream: who holds what, by offsets alone.
+"""Fold of the lease stream: determines holders from records alone.
 
-No clock enters here, so every reader of the same records comes to the same
-holders.  Time is the service's part: it decides when a lease that is not
-renewed may be asked for again.
+It uses no clock, so that all readers of the same records agree on the
+holders.  The service decides by time when a lease that is not renewed may
+be acquired by another process.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Lease:
-    """The present term of a lease.
+    """The current term of a lease.
 
     Attributes
     ----------
     name, holder, fence
-        Who holds it under which fencing number.
+        The lease, its holder and its fencing number.
     ttl_ms
-        How long the last record keeps it, in ms.
+        Time that the last record extends the lease by, in ms.
     released
-        Whether the holder gave it back.
+        Whether the holder released it.
     certain
-        False when the record that decides it had vanished from the log
-        before this reader began.
+        False if records that decide it had been removed from the log before
+        this reader started.
     """
 
     name: str
@@ -38,84 +38,84 @@
 
 
 class Fold:
-    """Folds records in order of offset.
+    """Folds records in the order of their offsets.
 
     Parameters
     ----------
     start
-        Offset of the first record that will be read; records before it
-        are unknown to this reader.
+        Offset of the first record to be read; earlier records are unknown
+        to this reader.
 
     Attributes
     ----------
     through
-        Offset of the last record folded in.
+        Offset of the last record applied.
     leases
-        Present terms by name.
-    touched
-        Offset of the last record about each lease, valid or not.
+        Current terms by name.
+    last_offsets
+        Offset of the last record of each lease, valid or void.
     bases
-        Newest configuration that a holder of each lease went by.
+        Offset of the newest configuration used by a holder of each lease.
     """
 
     def __init__(self, start: int = 1) -> None:
         self.start = start
         self.through = start - 1
         self.leases: dict[str, Lease] = {}
-        self.touched: dict[str, int] = {}
+        self.last_offsets: dict[str, int] = {}
         self.bases: dict[str, int] = {}
 
     def apply(
         self, offset: int, record: records.LeaseRecord
     ) -> tuple[Lease, ...]:
-        """Fold one record in.
+        """Apply one record.
 
         Parameters
         ----------
         offset
-            Its offset, above all before it.
+            Its offset; greater than all offsets before.
         record
             The record.
 
         Returns
         -------
         tuple of Lease
-            The leases it keeps for a ttl from now; empty when it is void.
+            The leases that it extends by a ttl; empty if it is void.
         """
         match record:
             case records.Acquire():
-                kept = self.take_acquire(offset, record)
+                extended = self.apply_acquire(offset, record)
             case records.Renew():
-                kept = tuple(
+                extended = tuple(
                     lease
                     for term in record.terms
-                    if (lease := self.take_renewal(record, term))
+                    if (lease := self.apply_renewal(record, term))
                 )
             case records.Release():
                 for term in record.terms:
-                    self.take_release(record, term)
-                kept = ()
+                    self.apply_release(record, term)
+                extended = ()
         for name in records.names(record):
-            self.touched[name] = offset
+            self.last_offsets[name] = offset
         self.through = offset
-        return kept
+        return extended
 
     def skip(self, offset: int) -> None:
-        """Pass over a malformed record."""
+        """Skip a malformed record."""
         self.through = offset
 
-    def take_acquire(
+    def apply_acquire(
         self, offset: int, record: records.Acquire
     ) -> tuple[Lease, ...]:
-        """Grant a lease unless somebody came in between.
+        """Grant a lease unless another record of it came in between.
 
-        Two instances that both saw the lease run out append at once; the
-        second one's ``seen`` lies before the first one's record, which
-        voids it for every reader alike.
+        If two instances see the lease expire and both append, the ``seen``
+        of the second lies before the record of the first, so every reader
+        treats the second record as void.
         """
         if record.seen >= offset:
             return ()
-        if self.touched.get(record.name, 0) > record.seen:
+        if self.last_offsets.get(record.name, 0) > record.seen:
             return ()
         lease = Lease(
             name=record.name,
@@ -129,10 +129,10 @@
         self.bases[record.name] = basis
         return (lease,)
 
-    def take_renewal(
+    def apply_renewal(
         self, record: records.Renew, term: records.Term
     ) -> Lease | None:
-        """Keep a lease if its present holder asks under its number."""
+        """Extend a lease if its current holder renews its fencing number."""
         known = self.leases.get(term.name)
         renewed = Lease(
             name=term.name,
@@ -140,29 +140,30 @@
             fence=term.fence,
             ttl_ms=record.ttl_ms,
         )
-        if self.doubtful(known, term.fence):
+        if self.is_uncertain(known, term.fence):
             renewed = dataclasses.replace(renewed, certain=False)
         elif known is None or not is_holder(known, record.holder, term):
             return None
         self.leases[term.name] = renewed
         return renewed
 
-    def take_release(
+    def apply_release(
         self, record: records.Release, term: records.Term
     ) -> None:
-        """Free a lease if its present holder gives it back."""
+        """Release a lease if the record is of its current holder."""
         known = self.leases.get(term.name)
         if known is None or not known.certain:
             return
         if is_holder(known, record.holder, term):
             self.leases[term.name] = dataclasses.replace(known, released=True)
 
-    def doubtful(self, known: Lease | None, fence: int) -> bool:
-        """Tell whether a renewal rests on records that are unknown here.
+    def is_uncertain(self, known: Lease | None, fence: int) -> bool:
+        """Return whether a renewal depends on records unknown to the reader.
 
-        A reader that begins after the acquiring record has vanished would
-        take a live holder's renewals for void and acquire beside it; so
-        it counts them, at the cost of waiting for a ttl more.
+        A reader that starts after the acquiring record was removed would
+        treat the renewals of a live holder as void, and acquire the lease
+        as well.  Renewals therefore count without it, at the cost of
+        another ttl of waiting.
         """
         if known is None:
             return fence < self.start
@@ -170,7 +171,7 @@
 
 
 def is_holder(lease: Lease, holder: str, term: records.Term) -> bool:
-    """Tell whether ``holder`` has the lease under the term's number."""
+    """Return whether ``holder`` holds the lease under the term's fence."""
     return (
         lease.holder == holder
         and lease.fence == term.fence
--- a/src/briarseam/leases/outcomes.py
+++ b/src/briarseam/leases/outcomes.py
@@ -1,4 +1,4 @@
-"""What asking for a lease can come to."""
+"""Outcomes of an attempt to acquire a lease."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class Held:
-    """The lease is ours under this fencing number."""
+    """The caller holds the lease under this fencing number."""
 
     fence: int
 
 
 @dataclasses.dataclass(frozen=True)
 class NotHeld:
-    """Somebody else has it, or was faster.
+    """Another process holds the lease, or acquired it first.
 
     Attributes
     ----------
     holder
-        Who has it; empty when that is not known.
+        The holder; empty if unknown.
     retry_after_s
-        Seconds after which it may be free.
+        Seconds after which the lease may be free.
     """
 
     holder: str
@@ -30,14 +30,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class LogUnavailable:
-    """The log does not answer, so no lease can be had.
+    """No lease can be acquired, since the log is unavailable.
 
     Attributes
     ----------
     detail
         One sentence for the operators.
     retry_after_s
-        Seconds after which to ask again.
+        Seconds after which to retry.
     """
 
     detail: str
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Outdated:
-    """A holder has gone by a newer configuration than the caller has.
+    """A holder of the lease has used a newer configuration than the caller.
 
     Attributes
     ----------
--- a/src/briarseam/leases/records.py
+++ b/src/briarseam/leases/records.py
@@ -9,7 +9,7 @@
 import msgspec
 
 RECORD_VERSION = 1
-# A stray record must not be able to block a lease for hours.
+# Keeps a faulty record from blocking a lease for hours.
 MAX_TTL_MS = 60_000
 TtlMs = typing.Annotated[int, msgspec.Meta(gt=0, le=MAX_TTL_MS)]
 Offset = typing.Annotated[int, msgspec.Meta(ge=0)]
@@ -18,11 +18,11 @@
 
 
 class RecordError(Exception):
-    """Bytes that are no lease record of any release."""
+    """The bytes are not a valid lease record."""
 
 
 class NewerRecordError(Exception):
-    """A record of a later release, which this one cannot judge."""
+    """A record of a later release, which this release can't interpret."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -35,24 +35,24 @@
 
 @dataclasses.dataclass(frozen=True)
 class Acquire:
-    """Ask for a lease; the record's offset becomes the fencing number.
+    """Acquires a lease; the record's offset becomes the fencing number.
 
     Attributes
     ----------
     record_id
-        Unique name of this attempt, to find it again when the answer to
-        the append was lost.
+        Unique id of this attempt, by which the writer recognises the record
+        when the reply to the append was lost.
     holder
-        Who asks; another one after each restart.
+        The acquiring process; differs after each restart.
     name
         The lease.
     ttl_ms
-        How long each record keeps the lease, in ms.
+        Time that each record extends the lease by, in ms.
     seen
         Offset up to which the writer had read the stream.  The record is
-        void when any other record of the lease lies in between.
+        void if another record of the lease lies in between.
     basis
-        Offset of the configuration that the holder goes by.
+        Offset of the configuration that the holder uses.
     """
 
     record_id: str
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Renew:
-    """Keep leases for another ttl; one record for all of a holder's."""
+    """Extends all leases of a holder by another ttl."""
 
     record_id: str
     holder: Name
@@ -75,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Release:
-    """Give leases back."""
+    """Releases leases."""
 
     record_id: str
     holder: Name
@@ -92,21 +92,21 @@
 
 
 def encode(record: LeaseRecord) -> bytes:
-    """Return a record's bytes."""
+    """Return the encoded record."""
     body = msgspec.to_builtins(record)
     packed = msgpack.packb([RECORD_VERSION, TAGS[type(record)], body])
     return typing.cast("bytes", packed)
 
 
 def decode(data: bytes) -> LeaseRecord:
-    """Return the record of some bytes.
+    """Return the decoded record.
 
     Raises
     ------
     NewerRecordError
-        When a later release wrote it.
+        If a later release wrote it.
     RecordError
-        When it is malformed; every release agrees on that.
+        If it is malformed for every release.
     """
     try:
         version, tag, body = msgpack.unpackb(data, raw=False)
@@ -123,7 +123,7 @@
 
 
 def names(record: LeaseRecord) -> tuple[str, ...]:
-    """Return the leases that a record is about."""
+    """Return the names of the leases that a record refers to."""
     match record:
         case Acquire():
             return (record.name,)
--- a/src/briarseam/leases/service.py
+++ b/src/briarseam/leases/service.py
@@ -1,9 +1,9 @@
-"""Holding leases: acquire, renew, give back, and know when to stop.
+"""Acquires, renews and releases leases, and ends them in time.
 
-A holder counts a lease from before the append that keeps it and stops a
-margin early; a successor counts the whole ttl from when it read the last
-record.  Reading comes after appending, so the holder always stops first,
-whatever any wall clock says.
+A holder counts the ttl from before the append that extends the lease, and
+stops a margin early; a successor counts the complete ttl from when it read
+the last record.  A record is read after it is appended, so the holder
+always stops first, independently of wall clocks.
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
 
 STREAM = "leases"
 DEFAULT_TTL_S = 6.0
-# Clock drift and the longest order on its way fit into the margin.
+# The margin covers clock drift and the longest order in transit.
 MARGIN_SHARE = 0.25
 RENEWALS_PER_TTL = 4
-SETTLE_S = 2.0
+READ_BACK_S = 2.0
 POLL_MS = 1000
-# The follower returns at least once a poll while the log answers.
-CURRENT_S = 3.0
+# The follower returns at least once per poll while the log is available.
+MAX_READ_LAG_S = 3.0
 NOT_READ_RETRY_S = 0.2
 log = structlog.get_logger("briarseam.leases")
 
 
 @dataclasses.dataclass(frozen=True)
-class Tenure:
-    """A lease that is ours until a time on our clock."""
+class HeldLease:
+    """A lease that this process holds until a time on its clock."""
 
     fence: int
-    until_s: float
+    valid_until_s: float
 
 
 class Leases:
@@ -48,28 +48,28 @@
     Parameters
     ----------
     client
-        The log.
-    me
-        Name of this process; a restart makes another holder of it.
+        Client of the log.
+    process_name
+        Name of this process; after a restart it is a different holder.
     ttl_s
-        How long a lease lasts without renewal, in seconds; the same for
+        Time that a lease lasts without renewal, in seconds; the same for
         all processes of a deployment.
     clock
-        Seconds; must go on while this process is frozen.
+        Seconds; must advance while this process is frozen.
     stream
-        Stream on the log.
+        Name of the log's stream.
     """
 
     def __init__(
         self,
         client: platform_log.LogClient,
-        me: str,
+        process_name: str,
         ttl_s: float = DEFAULT_TTL_S,
         clock: typing.Callable[[], float] = clocks.boot_clock,
         stream: str = STREAM,
     ) -> None:
         self.client = client
-        self.holder = f"{me}/{uuid.uuid4().hex[:12]}"
+        self.holder = f"{process_name}/{uuid.uuid4().hex[:12]}"
         self.ttl_s = ttl_s
         self.margin_s = ttl_s * MARGIN_SHARE
         self.clock = clock
@@ -77,69 +77,69 @@
         self.fold = folds.Fold()
         self.changed = threading.Condition()
         self.sent_s: dict[str, float] = {}
-        self.tenures: dict[str, Tenure] = {}
-        self.busy_until_s: dict[str, float] = {}
-        self.current_s = float("-inf")
-        self.quiet_until_s = float("-inf")
+        self.held_leases: dict[str, HeldLease] = {}
+        self.expires_s: dict[str, float] = {}
+        self.caught_up_s = float("-inf")
+        self.no_acquire_until_s = float("-inf")
         self.newer_release = False
         self.stopping = threading.Event()
         self.appends = 0
         self.follower = platform_log.Follower(
-            client, stream, 0, self.take_batch, POLL_MS
+            client, stream, 0, self.apply_batch, POLL_MS
         )
         self.renewer = threading.Thread(
             target=self.renew_until_stopped, name="leases-renew", daemon=True
         )
 
     def start(self) -> None:
-        """Begin following the stream and renewing."""
+        """Start following the stream and renewing leases."""
         self.follower.start()
         self.renewer.start()
 
     def stop(self) -> None:
-        """Give all leases back and stop."""
+        """Release all leases and stop."""
         self.stopping.set()
         self.release(*self.held())
         self.follower.stop()
 
     def holds(self, name: str) -> int | None:
-        """Return the fencing number if the lease is ours right now.
+        """Return the fencing number if this process holds the lease.
 
-        Ask right before each order.  A process that is frozen between
-        this check and its order still sends it after the lease has run
-        out; that order carries the old number, see ``orders``.
+        Call it immediately before each order.  A process that is frozen
+        between this check and its order still sends it after the lease has
+        expired; that order carries the old fencing number, see ``orders``.
         """
         with self.changed:
-            tenure = self.tenures.get(name)
-        if tenure is None or self.clock() >= tenure.until_s:
+            lease = self.held_leases.get(name)
+        if lease is None or self.clock() >= lease.valid_until_s:
             return None
-        return tenure.fence
+        return lease.fence
 
     def held(self) -> tuple[str, ...]:
-        """Return the names of all leases that are ours right now."""
+        """Return the names of all leases that this process holds."""
         with self.changed:
-            names = tuple(self.tenures)
+            names = tuple(self.held_leases)
         return tuple(name for name in names if self.holds(name) is not None)
 
     def holder_of(self, name: str) -> str:
-        """Return who holds a lease as far as the log tells, or ``""``."""
+        """Return the holder of a lease, or ``""`` if free or unknown."""
         with self.changed:
             lease = self.fold.leases.get(name)
             if lease is None or lease.released:
                 return ""
-            if self.clock() >= self.busy_until_s.get(name, 0.0):
+            if self.clock() >= self.expires_s.get(name, 0.0):
                 return ""
             return lease.holder
 
     def acquire(self, name: str, basis: int = 0) -> outcomes.Outcome:
-        """Take a lease if it is free; waits for the log's answer.
+        """Acquire a lease if it is free; waits until the log confirms it.
 
         Parameters
         ----------
         name
             The lease.
         basis
-            Offset of the configuration that its holder will go by.
+            Offset of the configuration that the holder will use.
         """
         fence = self.holds(name)
         if fence is not None:
@@ -147,15 +147,15 @@
         return self.reacquire(name, basis)
 
     def reacquire(self, name: str, basis: int = 0) -> outcomes.Outcome:
-        """Take a lease, also one of ours, under a new fencing number.
+        """Acquire a lease, even if held, under a new fencing number.
 
-        Whatever was ordered under the old number and is still on its way
-        is refused afterwards, where numbers are checked.
+        Orders in transit under the old number are then refused by endpoints
+        that check fencing numbers.
         """
         with self.changed:
-            refusal = self.why_not(name, basis)
-            if refusal is not None:
-                return refusal
+            blocked = self.check_acquire(name, basis)
+            if blocked is not None:
+                return blocked
             request = records.Acquire(
                 record_id=uuid.uuid4().hex,
                 holder=self.holder,
@@ -165,48 +165,48 @@
                 basis=basis,
             )
             self.sent_s[request.record_id] = self.clock()
-        refused = self.append(request)
-        if refused is not None:
-            return refused
+        failed = self.append(request)
+        if failed is not None:
+            return failed
         fence = self.holds(name)
         if fence is not None and fence > request.seen:
             return outcomes.Held(fence)
         with self.changed:
-            return self.why_not(name, basis) or outcomes.NotHeld("", 0.0)
+            return self.check_acquire(name, basis) or outcomes.NotHeld("", 0.0)
 
-    def why_not(self, name: str, basis: int) -> outcomes.Outcome | None:
-        """Return why the lease cannot be asked for now, if so."""
+    def check_acquire(self, name: str, basis: int) -> outcomes.Outcome | None:
+        """Return why the lease can't be acquired now, else ``None``."""
         now_s = self.clock()
         if self.newer_release:
             return outcomes.LogUnavailable(
                 "a newer release writes the lease stream", self.ttl_s
             )
-        if now_s - self.current_s > CURRENT_S:
+        if now_s - self.caught_up_s > MAX_READ_LAG_S:
             return outcomes.LogUnavailable(
-                "the lease stream is not read", NOT_READ_RETRY_S
+                "the lease stream has not been read recently", NOT_READ_RETRY_S
             )
-        if now_s < self.quiet_until_s:
-            return outcomes.NotHeld("", self.quiet_until_s - now_s)
-        # An instance that lags behind the configuration would undo what
-        # another has just done, and the two would alternate for ever.
+        if now_s < self.no_acquire_until_s:
+            return outcomes.NotHeld("", self.no_acquire_until_s - now_s)
+        # An instance with an older configuration would undo the orders of
+        # one with a newer configuration, and the two would alternate.
         newest = self.fold.bases.get(name, 0)
         if basis < newest:
             return outcomes.Outdated(newest)
         lease = self.fold.leases.get(name)
         if lease is None or lease.released or lease.holder == self.holder:
             return None
-        left_s = self.busy_until_s.get(name, 0.0) - now_s
-        if left_s <= 0:
+        remaining_s = self.expires_s.get(name, 0.0) - now_s
+        if remaining_s <= 0:
             return None
-        return outcomes.NotHeld(lease.holder, left_s)
+        return outcomes.NotHeld(lease.holder, remaining_s)
 
     def append(
         self, record: records.LeaseRecord
     ) -> outcomes.LogUnavailable | None:
-        """Append a record and wait until it was read back.
+        """Append a record and wait until it is read back.
 
-        An append whose answer was lost may be in the stream now or later;
-        it is settled by reading on, never by sending it again.
+        A record whose append got no reply may be in the stream now or
+        later.  Reading on settles this; the record is never sent again.
         """
         self.appends += 1
         outcome = self.client.append(self.stream, records.encode(record))
@@ -220,20 +220,20 @@
                 with self.changed:
                     read_back = self.changed.wait_for(
                         lambda: record.record_id not in self.sent_s,
-                        SETTLE_S,
+                        READ_BACK_S,
                     )
         if read_back:
             return None
         return outcomes.LogUnavailable("the append was not read back", 1.0)
 
     def release(self, *names: str) -> None:
-        """Stop using leases at once and tell the others."""
+        """Stop using leases immediately and append their release."""
         terms = []
         with self.changed:
             for name in names:
-                tenure = self.tenures.pop(name, None)
-                if tenure is not None:
-                    terms.append(records.Term(name, tenure.fence))
+                lease = self.held_leases.pop(name, None)
+                if lease is not None:
+                    terms.append(records.Term(name, lease.fence))
         if not terms:
             return
         record = records.Release(uuid.uuid4().hex, self.holder, tuple(terms))
@@ -241,23 +241,23 @@
         self.client.append(self.stream, records.encode(record))
 
     def step_down(self, name: str) -> None:
-        """Stop using a lease that an endpoint says is superseded."""
+        """Stop using a lease that an endpoint reports as superseded."""
         with self.changed:
-            self.tenures.pop(name, None)
+            self.held_leases.pop(name, None)
         log.warning("lease_superseded", lease=name)
 
     def renew_until_stopped(self) -> None:
-        """Keep all held leases with one record a period."""
+        """Renew all held leases with one record per period."""
         period_s = self.ttl_s / RENEWALS_PER_TTL
         while not self.stopping.wait(period_s):
             try:
                 self.renew()
             except Exception:
                 log.exception("renewal_failed")
-            self.forget_old_attempts()
+            self.drop_expired_sends()
 
-    def forget_old_attempts(self) -> None:
-        """Forget attempts that are too old to give a tenure."""
+    def drop_expired_sends(self) -> None:
+        """Drop send times that are too old for a valid lease."""
         with self.changed:
             oldest_s = self.clock() - self.ttl_s
             self.sent_s = {
@@ -267,12 +267,12 @@
             }
 
     def renew(self) -> None:
-        """Append one renewal of all that is held."""
+        """Append one renewal for all held leases."""
         with self.changed:
             terms = tuple(
-                records.Term(name, tenure.fence)
-                for name, tenure in self.tenures.items()
-                if self.clock() < tenure.until_s
+                records.Term(name, lease.fence)
+                for name, lease in self.held_leases.items()
+                if self.clock() < lease.valid_until_s
             )
             if not terms:
                 return
@@ -285,23 +285,23 @@
             self.sent_s[request.record_id] = self.clock()
         self.append(request)
 
-    def take_batch(self, batch: platform_log.Batch) -> None:
-        """Fold in what was read."""
+    def apply_batch(self, batch: platform_log.Batch) -> None:
+        """Apply a batch of records read from the stream."""
         with self.changed:
             now_s = self.clock()
             self.check_continuity(batch)
             for record in batch.records:
-                self.take_record(record, now_s)
+                self.apply_record(record, now_s)
             if self.fold.through >= batch.next - 1:
-                self.current_s = now_s
+                self.caught_up_s = now_s
             self.changed.notify_all()
 
     def check_continuity(self, batch: platform_log.Batch) -> None:
-        """Begin anew where records were missed.
+        """Reset all state if records were missed.
 
-        Records that vanished unread may have given our leases to others,
-        so nothing that was held or known stays, and a ttl passes before
-        anything is asked for.
+        Records that were removed unread may have granted leases of this
+        process to others.  All state is therefore dropped, and no lease is
+        acquired for a ttl.
         """
         missed = batch.first > self.fold.through + 1
         reset = batch.next - 1 < self.fold.through
@@ -309,13 +309,13 @@
             return
         if self.fold.through:
             log.warning("lease_stream_gap", first=batch.first)
-            self.quiet_until_s = self.clock() + self.ttl_s
+            self.no_acquire_until_s = self.clock() + self.ttl_s
         self.fold = folds.Fold(batch.first)
-        self.tenures.clear()
+        self.held_leases.clear()
         self.follower.after = self.fold.through
 
-    def take_record(self, entry: platform_log.Record, now_s: float) -> None:
-        """Fold one record in and draw what follows for us."""
+    def apply_record(self, entry: platform_log.Record, now_s: float) -> None:
+        """Apply one record and update the held leases."""
         try:
             record = records.decode(entry.data)
         except records.NewerRecordError as error:
@@ -325,44 +325,44 @@
         except records.RecordError:
             self.fold.skip(entry.offset)
             return
-        kept = self.fold.apply(entry.offset, record)
-        for lease in kept:
-            self.busy_until_s[lease.name] = now_s + lease.ttl_ms / 1000
+        extended = self.fold.apply(entry.offset, record)
+        for lease in extended:
+            self.expires_s[lease.name] = now_s + lease.ttl_ms / 1000
         sent_s = self.sent_s.pop(record.record_id, None)
         renewal = isinstance(record, records.Renew)
         for name in records.names(record):
-            self.update_tenure(name, kept, sent_s, renewal)
+            self.update_held(name, extended, sent_s, renewal)
 
-    def update_tenure(
+    def update_held(
         self,
         name: str,
-        kept: tuple[folds.Lease, ...],
+        extended: tuple[folds.Lease, ...],
         sent_s: float | None,
         renewal: bool,
     ) -> None:
-        """Extend or end our tenure of one lease after a record."""
+        """Extend or drop a lease of this process after a record."""
         lease = self.fold.leases.get(name)
         if lease is None or lease.holder != self.holder or lease.released:
-            if self.tenures.pop(name, None) is not None:
+            if self.held_leases.pop(name, None) is not None:
                 log.warning("lease_lost", lease=name)
             return
-        if sent_s is None or lease not in kept or not lease.certain:
+        if sent_s is None or lease not in extended or not lease.certain:
             return
-        # A renewal that was under way while the lease was given back must
-        # not bring it to life here: others may have it already.
-        tenure = self.tenures.get(name)
-        if renewal and (tenure is None or tenure.fence != lease.fence):
+        # A renewal that was in transit while the lease was released must
+        # not restore it: another process may have acquired it already.
+        held = self.held_leases.get(name)
+        if renewal and (held is None or held.fence != lease.fence):
             return
-        until_s = sent_s + self.ttl_s - self.margin_s
-        self.tenures[name] = Tenure(lease.fence, until_s)
+        valid_until_s = sent_s + self.ttl_s - self.margin_s
+        self.held_leases[name] = HeldLease(lease.fence, valid_until_s)
 
     def stop_for_newer_release(self, detail: str) -> None:
-        """Give up leases when the stream cannot be judged any more.
+        """Drop all leases once the stream has a record of a later release.
 
-        A later release may have granted a lease by rules unknown here;
-        orders stop, serving goes on, until this instance is replaced.
+        A later release may grant leases by rules unknown to this one.  This
+        process gives no more orders but keeps serving until it is upgraded.
         """
         if not self.newer_release:
             log.error("lease_stream_newer", detail=detail)
         self.newer_release = True
-        self.tenures.clear()
+        self.held_leases.clear()
--- a/tests/leases/conftest.py
+++ b/tests/leases/conftest.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass
-class HandClock:
+class ManualClock:
     now_s: float = 100.0
 
     def __call__(self) -> float:
@@ -19,25 +19,25 @@
 
 
 class MemoryLog:
-    """A log whose readers get each record at once, unless paused."""
+    """A log that delivers records to its readers at once, unless paused."""
 
     def __init__(self) -> None:
         self.entries: list[bytes] = []
         self.first = 1
         self.readers: list[service.Leases] = []
         self.paused: set[str] = set()
-        self.lose_answer = False
+        self.lose_reply = False
         self.before_append = lambda: None
-        self.down = False
+        self.unavailable = False
 
     def append(self, stream, data) -> platform_log.AppendOutcome:
-        if self.down:
-            return platform_log.AppendRefused("down", 1.0)
+        if self.unavailable:
+            return platform_log.AppendRefused("unavailable", 1.0)
         self.before_append()
         self.entries.append(data)
         self.deliver()
-        if self.lose_answer:
-            return platform_log.AppendUnknown("answer lost")
+        if self.lose_reply:
+            return platform_log.AppendUnknown("reply lost")
         return platform_log.Appended(len(self.entries))
 
     def read(self, after: int) -> platform_log.Batch:
@@ -52,13 +52,13 @@
         )
 
     def deliver(self) -> None:
-        if self.down:
+        if self.unavailable:
             return
         for reader in self.readers:
             if reader.holder.split("/")[0] not in self.paused:
-                reader.take_batch(self.read(reader.fold.through))
+                reader.apply_batch(self.read(reader.fold.through))
 
-    def join(self, name: str, clock: HandClock) -> service.Leases:
+    def join(self, name: str, clock: ManualClock) -> service.Leases:
         leases = service.Leases(self, name, TTL_S, clock)
         self.readers.append(leases)
         self.deliver()
@@ -71,5 +71,5 @@
 
 
 @pytest.fixture
-def clock() -> HandClock:
-    return HandClock()
+def clock() -> ManualClock:
+    return ManualClock()
--- a/tests/leases/test_fold.py
+++ b/tests/leases/test_fold.py
@@ -21,51 +21,57 @@
     return records.Release("id", holder, (records.Term(NAME, fence),))
 
 
-def folded(history: list[records.LeaseRecord], start: int = 1) -> fold.Fold:
-    table = fold.Fold(start)
+def fold_history(
+    history: list[records.LeaseRecord], start: int = 1
+) -> fold.Fold:
+    state = fold.Fold(start)
     for offset, record in enumerate(history, start=1):
         if offset >= start:
-            table.apply(offset, record)
-    return table
+            state.apply(offset, record)
+    return state
 
 
 def test_offset_of_the_acquiring_record_is_the_fencing_number():
-    table = folded([renew("x", 9), acquire("a", 1)])
-    assert table.leases[NAME].fence == 2
-    assert table.leases[NAME].holder == "a"
+    state = fold_history([renew("x", 9), acquire("a", 1)])
+    assert state.leases[NAME].fence == 2
+    assert state.leases[NAME].holder == "a"
 
 
 def test_second_of_two_racing_acquires_is_void():
-    """Two agents see a lease run out and append at the same moment."""
-    table = folded([acquire("a", 0), acquire("b", 0)])
-    assert table.leases[NAME].holder == "a"
+    """Two agents see a lease expire and append at the same time."""
+    state = fold_history([acquire("a", 0), acquire("b", 0)])
+    assert state.leases[NAME].holder == "a"
 
 
 def test_acquire_is_void_when_the_holder_renewed_in_between():
-    """A slow renewal arrives just before a successor's record.
+    """Guards against two holders after a slow renewal.
 
-    The successor had not read it, so both would hold the lease.
+    The renewal arrives just before the record of a successor that has not
+    read it.
     """
-    table = folded([acquire("a", 0), renew("a", 1), acquire("b", 1)])
-    assert table.leases[NAME].holder == "a"
+    state = fold_history([acquire("a", 0), renew("a", 1), acquire("b", 1)])
+    assert state.leases[NAME].holder == "a"
 
 
-def test_old_holder_cannot_renew_or_release_after_its_successor():
-    """A frozen holder wakes and renews, then gives back, what it lost."""
+def test_former_holder_cannot_renew_or_release():
+    """A frozen holder resumes, then renews and releases a lost lease."""
     history = [acquire("a", 0), acquire("b", 1), renew("a", 1)]
-    table = folded([*history, release("a", 1)])
-    assert table.leases[NAME].holder == "b"
-    assert not table.leases[NAME].released
+    state = fold_history([*history, release("a", 1)])
+    assert state.leases[NAME].holder == "b"
+    assert not state.leases[NAME].released
 
 
-def test_reader_that_begins_late_counts_renewals_it_cannot_judge():
-    """The acquiring record aged out of the log before a new agent began.
+def test_renewal_counts_if_the_acquiring_record_is_unknown():
+    """Guards against a second holder beside a live one.
 
-    Were the live holder's renewals void to it, it would acquire beside it.
+    The acquiring record was removed from the log before the reader started.
+    If renewals were void without it, the reader would acquire the lease.
     """
-    table = folded([acquire("a", 0), renew("a", 1), renew("a", 1)], start=2)
-    assert table.leases[NAME].holder == "a"
-    assert not table.leases[NAME].certain
+    state = fold_history(
+        [acquire("a", 0), renew("a", 1), renew("a", 1)], start=2
+    )
+    assert state.leases[NAME].holder == "a"
+    assert not state.leases[NAME].certain
 
 
 HOLDERS = strategies.sampled_from("abc")
@@ -84,21 +90,21 @@
 @hypothesis.settings(deadline=None)
 @hypothesis.given(HISTORIES, strategies.integers(1, 12))
 def test_readers_that_are_certain_agree(history, start):
-    """A reader that began late never differs from one that knows all."""
-    whole = folded(history).leases.get(NAME)
-    late = folded(history, start).leases.get(NAME)
+    """A late reader that is certain agrees with one that read all records."""
+    complete = fold_history(history).leases.get(NAME)
+    late = fold_history(history, start).leases.get(NAME)
     if late is not None and late.certain:
-        assert late == whole
+        assert late == complete
 
 
 @hypothesis.settings(deadline=None)
 @hypothesis.given(HISTORIES)
-def test_fencing_numbers_of_a_lease_only_grow(history):
-    table = fold.Fold()
+def test_fencing_numbers_of_a_lease_never_decrease(history):
+    state = fold.Fold()
     highest = 0
     for offset, record in enumerate(history, start=1):
-        table.apply(offset, record)
-        lease = table.leases.get(NAME)
+        state.apply(offset, record)
+        lease = state.leases.get(NAME)
         if lease is not None:
             assert lease.fence >= highest
             highest = lease.fence
--- a/tests/leases/test_records.py
+++ b/tests/leases/test_records.py
@@ -13,7 +13,7 @@
 @pytest.mark.parametrize(
     "record", [ACQUIRE, RENEW, RELEASE], ids=["acquire", "renew", "release"]
 )
-def test_record_survives_the_wire(record):
+def test_record_is_decoded_as_encoded(record):
     assert records.decode(records.encode(record)) == record
 
 
@@ -28,13 +28,21 @@
         msgpack.packb([1, "acquire", {"record_id": 4}]),
         records.encode(records.Acquire("id", "a", "m", 10**9, 3)),
     ],
-    ids=["empty", "junk", "number", "kind", "no-kind", "field", "ttl"],
+    ids=[
+        "empty",
+        "junk",
+        "number",
+        "unknown-kind",
+        "invalid-kind",
+        "field",
+        "ttl",
+    ],
 )
-def test_malformed_record_is_told(data):
+def test_malformed_record_raises_record_error(data):
     with pytest.raises(records.RecordError):
         records.decode(data)
 
 
-def test_later_release_is_told_apart_from_junk():
+def test_record_of_a_later_release_raises_newer_record_error():
     with pytest.raises(records.NewerRecordError):
         records.decode(msgpack.packb([2, "borrow", {}]))
--- a/tests/leases/test_service.py
+++ b/tests/leases/test_service.py
@@ -9,7 +9,7 @@
 TTL_S = conftest.TTL_S
 
 
-def test_lease_is_held_by_one_and_given_back(log, clock):
+def test_lease_has_one_holder_until_it_is_released(log, clock):
     first = log.join("a", clock)
     second = log.join("b", clock)
     assert first.acquire(NAME) == outcomes.Held(1)
@@ -20,45 +20,46 @@
     assert second.acquire(NAME) == outcomes.Held(3)
 
 
-def test_holder_stops_before_a_successor_may_begin(log, clock):
-    """The holder can no longer renew; its lease must end first for itself.
+def test_lease_ends_for_its_holder_before_a_successor_acquires_it(log, clock):
+    """A holder that can't renew must stop before a successor starts.
 
-    At every moment at most one of the two believes to hold it.
+    At any time at most one of the two holds the lease.
     """
     first = log.join("a", clock)
     second = log.join("b", clock)
     first.acquire(NAME)
-    taken_over = None
-    while taken_over is None:
+    acquired_s = None
+    while acquired_s is None:
         clock.now_s += 0.1
         log.deliver()
         if isinstance(second.acquire(NAME), outcomes.Held):
-            taken_over = clock.now_s
+            acquired_s = clock.now_s
             assert first.holds(NAME) is None
         elif first.holds(NAME) is None:
             assert second.holds(NAME) is None
-    assert taken_over >= 100 + TTL_S
+    assert acquired_s >= 100 + TTL_S
 
 
-def test_validity_counts_from_before_the_append(log, clock):
-    """The append takes half a ttl; a successor read it when it arrived.
+def test_lease_is_valid_from_before_the_append(log, clock):
+    """Guards against a lease that ends too late after a slow append.
 
-    Counted from the answer, the holder would outlive its lease.
+    The append takes half a ttl, and a successor counts from when it reads
+    the record, which is before the holder gets the reply.
     """
     first = log.join("a", clock)
 
-    def slow():
+    def advance_clock():
         clock.now_s += TTL_S / 2
 
-    log.before_append = slow
+    log.before_append = advance_clock
     first.acquire(NAME)
     log.before_append = lambda: None
     clock.now_s = 100 + 0.76 * TTL_S
     assert first.holds(NAME) is None
 
 
-def test_successor_waits_the_whole_ttl_from_its_own_reading(log, clock):
-    """The successor reads the last renewal late, as the log was slow."""
+def test_successor_waits_a_ttl_from_its_own_read(log, clock):
+    """The successor reads the last renewal late, since the log is slow."""
     first = log.join("a", clock)
     first.acquire(NAME)
     clock.now_s += TTL_S - 1
@@ -73,11 +74,11 @@
             raise AssertionError(other)
 
 
-def test_frozen_holder_no_longer_holds_when_it_wakes(log, clock):
-    """SIGSTOP for longer than the ttl; the clock went on meanwhile.
+def test_frozen_holder_does_not_hold_the_lease_when_resumed(log, clock):
+    """A process is stopped by SIGSTOP for longer than the ttl.
 
-    Before it reads anything it must not give orders, and after reading
-    it must know that it was succeeded; a late renewal changes nothing.
+    It must give no orders before it reads the stream, and must see its
+    successor after reading; a late renewal has no effect.
     """
     first = log.join("a", clock)
     second = log.join("b", clock)
@@ -94,7 +95,7 @@
     assert second.holds(NAME) == 2
 
 
-def test_renewal_keeps_all_leases_with_one_append(log, clock):
+def test_all_leases_are_renewed_with_one_append(log, clock):
     first = log.join("a", clock)
     for name in ("x", "y", "z"):
         first.acquire(name)
@@ -107,33 +108,33 @@
     assert set(first.held()) == {"x", "y", "z"}
 
 
-def test_renewal_under_way_does_not_revive_a_released_lease(log, clock):
-    """The lease is given back while a renewal is on its way.
+def test_renewal_in_transit_does_not_restore_a_released_lease(log, clock):
+    """The lease is released while a renewal is in transit.
 
-    The renewal is read back first; another process may already have
-    acquired after the release, so it must not count.
+    The renewal is read back before the release.  It must not count, since
+    another process may acquire the lease after the release.
     """
     first = log.join("a", clock)
     first.acquire(NAME)
     log.paused.add("a")
-    log.before_append = lambda: first.tenures.pop(NAME, None)
+    log.before_append = lambda: first.held_leases.pop(NAME, None)
     first.renew()
     log.paused.clear()
     log.deliver()
     assert first.holds(NAME) is None
 
 
-def test_lost_answer_is_settled_by_reading(log, clock):
+def test_append_with_lost_reply_is_settled_by_reading(log, clock):
     first = log.join("a", clock)
-    log.lose_answer = True
+    log.lose_reply = True
     assert first.acquire(NAME) == outcomes.Held(1)
     assert len(log.entries) == 1
 
 
-def test_log_down_gives_no_lease_and_ends_the_held_one(log, clock):
+def test_unavailable_log_ends_held_lease_and_prevents_acquiring(log, clock):
     first = log.join("a", clock)
     first.acquire(NAME)
-    log.down = True
+    log.unavailable = True
     clock.now_s += TTL_S / 2
     first.renew()
     assert first.holds(NAME) == 1
@@ -143,19 +144,19 @@
 
 
 def test_restarted_process_is_another_holder(log, clock):
-    """An agent is replaced under its old name within the ttl.
+    """An agent is replaced under its name within the ttl.
 
-    Its former self may only be frozen, so the new one waits as well.
+    The former process may only be frozen, so the new one has to wait.
     """
     log.join("a", clock).acquire(NAME)
-    again = log.join("a", clock)
-    assert isinstance(again.acquire(NAME), outcomes.NotHeld)
+    restarted = log.join("a", clock)
+    assert isinstance(restarted.acquire(NAME), outcomes.NotHeld)
 
 
-def test_records_missed_end_every_lease_for_a_ttl(log, clock):
-    """While this agent was away the log dropped records it had not read.
+def test_missed_records_end_every_lease_for_a_ttl(log, clock):
+    """The log removes records that an agent has not read yet.
 
-    They may have given its lease to another.
+    They may have granted the agent's lease to another.
     """
     first = log.join("a", clock)
     first.acquire(NAME)
@@ -172,10 +173,10 @@
     assert isinstance(first.acquire(NAME), outcomes.Held)
 
 
-def test_log_that_was_set_up_anew_ends_every_lease_for_a_ttl(log, clock):
-    """The platform replaced the log and its records are gone.
+def test_replaced_log_ends_every_lease_for_a_ttl(log, clock):
+    """The platform replaces the log by an empty one.
 
-    A lease from before must not stand beside one from the new log.
+    A lease of the former log must not be held beside one of the new log.
     """
     first = log.join("a", clock)
     first.reacquire(NAME)
@@ -189,7 +190,7 @@
     assert first.acquire(NAME) == outcomes.Held(1)
 
 
-def test_record_of_a_newer_release_ends_and_stops_leases(log, clock):
+def test_record_of_a_newer_release_ends_and_prevents_leases(log, clock):
     first = log.join("a", clock)
     first.acquire(NAME)
     log.append("leases", msgpack.packb([2, "borrow", {}]))
@@ -197,16 +198,17 @@
     assert isinstance(first.acquire(NAME), outcomes.LogUnavailable)
 
 
-def test_malformed_record_changes_nothing(log, clock):
+def test_malformed_record_is_ignored(log, clock):
     first = log.join("a", clock)
     log.append("leases", b"\xc1junk")
     assert first.acquire(NAME) == outcomes.Held(2)
 
 
-def test_lagging_configuration_gets_no_lease(log, clock):
-    """One agent acts on a change that another has not read yet.
+def test_process_with_older_configuration_gets_no_lease(log, clock):
+    """Guards against undoing a change that an agent has not read yet.
 
-    Were the second to take the lease next, it would undo the change.
+    Another agent has given orders under the changed configuration; the one
+    that acquires the lease next would revert them.
     """
     first = log.join("a", clock)
     second = log.join("b", clock)
@@ -216,7 +218,7 @@
     assert isinstance(second.acquire(NAME, basis=7), outcomes.Held)
 
 
-def test_new_number_voids_the_old_one(log, clock):
+def test_reacquired_lease_has_a_new_fencing_number(log, clock):
     first = log.join("a", clock)
     second = log.join("b", clock)
     first.acquire(NAME)
