--- a/src/briarseam/leases/service.py
+++ b/src/briarseam/leases/service.py
@@ -26,7 +26,7 @@
 # The margin covers clock drift and the longest order in transit.
 MARGIN_SHARE = 0.25
 RENEWALS_PER_TTL = 4
-READ_BACK_S = 2.0
+READ_BACK_TIMEOUT_S = 2.0
 POLL_MS = 1000
 # The follower returns at least once per poll while the log is available.
 MAX_READ_LAG_S = 3.0
@@ -220,7 +220,7 @@
                 with self.changed:
                     read_back = self.changed.wait_for(
                         lambda: record.record_id not in self.sent_s,
-                        READ_BACK_S,
+                        READ_BACK_TIMEOUT_S,
                     )
         if read_back:
             return None
