--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -161,7 +161,7 @@
         self.view = view_of(size)
         self.random = random.Random(7)
         self.kept = kept_cache.KeptCache(lambda: self.view, KEY)
-        self.kept.take_stores()
+        self.kept.update_stores()
         for store in self.kept.stores.by_name.values():
             store.alive = True
             store.boot_id = "boot"
@@ -196,7 +196,7 @@
         chain = chain_of(session, self.size.pieces)
         keys = names.keys(organisation, MODEL, "", VERSION, chain)
         for depth, key in enumerate(keys):
-            packed = names.pack(names.fresh(group, variant, depth, key))
+            packed = names.pack(names.new_name(group, variant, depth, key))
             block = cache.Block(
                 packed,
                 BLOCK_BYTES,
--- a/bench/kept_cache_cost.py
+++ b/bench/kept_cache_cost.py
@@ -60,7 +60,7 @@
     before, _ = tracemalloc.get_traced_memory()
     for number in range(REMEMBERED):
         group = (number % 10).to_bytes(4, "big") + secrets.token_bytes(8)
-        model.wanted(group, 4 + number % 50, float(number))
+        model.record_use(group, 4 + number % 50, float(number))
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return (after - before) / REMEMBERED
@@ -103,7 +103,7 @@
         group = kept.planner.group(asked)
         keys = kept.planner.keys(asked, asked.chain)
         for depth, key in enumerate(keys):
-            name = kept.names.fresh(group, variant, depth, key)
+            name = kept.names.new_name(group, variant, depth, key)
             block = state.Block(
                 kept.names.pack(name),
                 65536 + number % 7,
--- a/bench/kept_cache_links.py
+++ b/bench/kept_cache_links.py
@@ -220,7 +220,7 @@
 
     The engine runs in this process too, so its own part is in it.
     """
-    resident = residents.Resident(
+    resident = residents.EngineCacheFollower(
         "engine-0",
         bench.engine.address,
         engine_events.EventClient(),
--- a/bench/retention.py
+++ b/bench/retention.py
@@ -199,7 +199,7 @@
 
     def put(self, visit: Visit) -> None:
         """Keep a session's pieces if the policy wants them."""
-        self.model.wanted(visit.group, visit.pieces, visit.at)
+        self.model.record_use(visit.group, visit.pieces, visit.at)
         if self.policy == "off":
             return
         before = self.find(visit.group)
@@ -232,7 +232,7 @@
         """Return the session to free first."""
         if self.policy == "furthest":
             return self.furthest_away()
-        names = retention.sampled(self.order, self.chance)
+        names = retention.sample_groups(self.order, self.chance)
         found = self.ranker.victim(self.candidate(name, now) for name in names)
         assert found is not None
         return found.group
@@ -249,7 +249,7 @@
     def candidate(self, name: bytes, now: float) -> retention.Candidate:
         """Return what the kept cache knows of a session."""
         kept = self.kept[name]
-        kind = self.model.kind(name, kept.pieces)
+        kind = self.model.group_class(name, kept.pieces)
         return retention.Candidate(name, kind, now - kept.used_at)
 
 
--- a/bench/state_memory.py
+++ b/bench/state_memory.py
@@ -66,7 +66,7 @@
     for number in range(count):
         session, depth = divmod(number, per_session)
         group = maker.group("kitchen", str(session))
-        name = maker.fresh(
+        name = maker.new_name(
             group, b"vers", depth, secrets.token_bytes(names.KEY_BYTES)
         )
         checksum = secrets.token_bytes(HASH_BYTES)
--- a/src/briarseam/cache/exporting.py
+++ b/src/briarseam/cache/exporting.py
@@ -205,7 +205,7 @@
         self.wait_for(lambda: self.store.link.reserve_idle(size), job)
         if not self.store.alive:
             raise Stop("refused")
-        name = tools.names.fresh(
+        name = tools.names.new_name(
             job.group, job.variant, piece.depth, piece.key
         )
         packed = tools.names.pack(name)
--- a/src/briarseam/cache/index.py
+++ b/src/briarseam/cache/index.py
@@ -286,7 +286,7 @@
                 if reading.count <= 0:
                     del self.readings[block.packed]
 
-    def wanted(self, group: bytes, now: float) -> None:
+    def record_use(self, group: bytes, now: float) -> None:
         """Note that a group was wanted."""
         with self.lock:
             known = self.groups.get(group)
--- a/src/briarseam/cache/keeping.py
+++ b/src/briarseam/cache/keeping.py
@@ -185,7 +185,7 @@
         with self.tools.index.lock:
             return [
                 self.candidate(name, now)
-                for name in retention.sampled(groups, self.chance)
+                for name in retention.sample_groups(groups, self.chance)
                 if name in self.tools.index.groups and holders(name).mine
             ]
 
@@ -193,11 +193,13 @@
         """Return what is known of a group."""
         group = self.tools.index.groups[name]
         model = self.ranker().model
-        kind = model.kind(name, len(group.blocks))
+        group_class = model.group_class(name, len(group.blocks))
         cost = 1.0
         if group.blocks[-1].variant not in self.sweeper.current_variants():
             cost = 0.0
-        return retention.Candidate(name, kind, now - group.used_at, cost)
+        return retention.Candidate(
+            name, group_class, now - group.used_at, cost
+        )
 
     def organisations_over(self) -> set[bytes]:
         """Return organisations that fill more than their share."""
--- a/src/briarseam/cache/names.py
+++ b/src/briarseam/cache/names.py
@@ -150,7 +150,7 @@
                 digest, digest_size=KEY_BYTES, key=secret
             ).digest()
 
-    def fresh(
+    def new_name(
         self, group: bytes, variant: bytes, depth: int, key: bytes
     ) -> BlockName:
         """Return a name that has never been used."""
--- a/src/briarseam/cache/planning.py
+++ b/src/briarseam/cache/planning.py
@@ -36,11 +36,11 @@
         self.view = view
         self.salt = salt
 
-    def plan(self, prompt: state.Prompt, have: int) -> state.Plan:
-        """Return what could be imported behind the first ``have`` pieces."""
-        wanted = prompt.chain[have:]
+    def plan(self, prompt: state.Prompt, cached_pieces: int) -> state.Plan:
+        """Return what can be imported after the cached pieces."""
+        wanted = prompt.chain[cached_pieces:]
         if not wanted or self.view().kept_cache.policy == "off":
-            return state.Plan(prompt.model, prompt.version, have)
+            return state.Plan(prompt.model, prompt.version, cached_pieces)
         tools = self.tools
         group = self.group(prompt)
         variant = tools.names.variant(
@@ -58,9 +58,9 @@
                 wanted, self.readable(found), strict=False
             )
         )
-        until_s = self.predict(blocks)
+        arrival_s = self.predict(blocks)
         return state.Plan(
-            prompt.model, prompt.version, have, blocks, until_s, now
+            prompt.model, prompt.version, cached_pieces, blocks, arrival_s, now
         )
 
     def keys(
@@ -102,7 +102,7 @@
         """
         lanes: dict[str, Lane] = {}
         total_s = 0.0
-        until_s = []
+        arrival_s = []
         for planned in blocks:
             block = planned.block
             lane = lanes.get(block.store)
@@ -112,8 +112,8 @@
                     break
                 lane = lanes[block.store] = Lane(store.link.outlook())
             total_s += lane.add(block.size)
-            until_s.append(total_s)
-        return tuple(until_s)
+            arrival_s.append(total_s)
+        return tuple(arrival_s)
 
 
 @dataclasses.dataclass(slots=True)
@@ -137,7 +137,7 @@
     def add(self, size: int) -> float:
         """Add a block; return the seconds that it takes longer."""
         self.size += size
-        until_s = self.outlook.after_s(self.size)
-        longer_s = until_s - self.spent_s
-        self.spent_s = until_s
+        arrival_s = self.outlook.after_s(self.size)
+        longer_s = arrival_s - self.spent_s
+        self.spent_s = arrival_s
         return longer_s
--- a/src/briarseam/cache/residents.py
+++ b/src/briarseam/cache/residents.py
@@ -36,7 +36,7 @@
         """Take in that nothing is known of an engine any more."""
 
 
-class Resident:
+class EngineCacheFollower:
     """Follows one engine.
 
     Parameters
@@ -133,7 +133,7 @@
         self.boot_id = ""
 
 
-class Residents:
+class EngineCacheFollowers:
     """Follows configured engines, of this zone first; a thread for each.
 
     Where there are more than ``MAX_FOLLOWED``, nothing is learned of the
@@ -168,7 +168,7 @@
         self.poll_s = poll_s
         self.stopping = threading.Event()
         self.client = engine_events.EventClient()
-        self.by_name: dict[str, Resident] = {}
+        self.by_name: dict[str, EngineCacheFollower] = {}
         self.thread = threading.Thread(
             target=self.match, name="cache-events", daemon=True
         )
@@ -196,7 +196,7 @@
             known = self.by_name.get(name)
             if known is None or known.address != address:
                 self.follow(
-                    Resident(
+                    EngineCacheFollower(
                         name, address, self.client, self.sink, self.metrics
                     )
                 )
@@ -211,7 +211,7 @@
         followed = sorted(engines)[:MAX_FOLLOWED]
         return {name: address for _, name, address in followed}
 
-    def follow(self, resident: Resident) -> None:
+    def follow(self, resident: EngineCacheFollower) -> None:
         """Follow one engine's events in a thread of its own."""
         self.by_name[resident.name] = resident
         threading.Thread(
@@ -221,7 +221,7 @@
             daemon=True,
         ).start()
 
-    def work(self, resident: Resident) -> None:
+    def work(self, resident: EngineCacheFollower) -> None:
         """Read an engine's events until it is not configured any more."""
         idle_s = max(IDLE_POLL_S, self.poll_s)
         wait_s = self.poll_s
--- a/src/briarseam/cache/retention.py
+++ b/src/briarseam/cache/retention.py
@@ -64,7 +64,7 @@
     ----------
     group
         Its hash.
-    kind
+    group_class
         Its class.
     age_s
         Seconds since it was last wanted.
@@ -73,7 +73,7 @@
     """
 
     group: bytes
-    kind: GroupClass
+    group_class: GroupClass
     age_s: float
     cost_per_byte: float = 1.0
 
@@ -84,13 +84,13 @@
 
     Attributes
     ----------
-    kind
+    group_class
         Its class.
     since
         When it was last wanted.
     """
 
-    kind: GroupClass
+    group_class: GroupClass
     since: float
 
 
@@ -201,7 +201,7 @@
             collections.OrderedDict()
         )
 
-    def wanted(self, group: bytes, pieces: int, now: float) -> None:
+    def record_use(self, group: bytes, pieces: int, now: float) -> None:
         """Note that a group was wanted, for the first time or again.
 
         Parameters
@@ -218,43 +218,47 @@
             before = self.waiting.pop(group, None)
             uses = 1
             if before is not None:
-                self.note(before.kind, now - before.since, returned=True)
-                uses = before.kind.uses + 1
-            kind = class_of(organisation, pieces, uses)
-            self.waiting[group] = Waiting(kind, now)
+                self.note(
+                    before.group_class, now - before.since, returned=True
+                )
+                uses = before.group_class.uses + 1
+            group_class = class_of(organisation, pieces, uses)
+            self.waiting[group] = Waiting(group_class, now)
             while len(self.waiting) > self.max_waiting:
                 _, old = self.waiting.popitem(last=False)
-                self.note(old.kind, now - old.since, returned=False)
+                self.note(old.group_class, now - old.since, returned=False)
 
-    def note(self, kind: GroupClass, age_s: float, returned: bool) -> None:
+    def note(
+        self, group_class: GroupClass, age_s: float, returned: bool
+    ) -> None:
         """Count one end of a wait, for the class and over all."""
         self.everything.note(age_s, returned)
-        ages = self.classes.get(kind)
+        ages = self.classes.get(group_class)
         if ages is None:
             if len(self.classes) >= self.max_classes:
                 return
-            ages = self.classes[kind] = Ages()
+            ages = self.classes[group_class] = Ages()
         ages.note(age_s, returned)
 
-    def density(self, kind: GroupClass, age_s: float) -> float:
+    def density(self, group_class: GroupClass, age_s: float) -> float:
         """Return hits per second of keeping such a group.
 
         A class seen seldom leans on what all groups do.
         """
         with self.lock:
             common = self.everything.density(age_s)
-            ages = self.classes.get(kind)
+            ages = self.classes.get(group_class)
             if ages is None:
                 return common
             weight = ages.total / (ages.total + PRIOR_EVENTS)
             return weight * ages.density(age_s) + (1.0 - weight) * common
 
-    def kind(self, group: bytes, pieces: int) -> GroupClass:
+    def group_class(self, group: bytes, pieces: int) -> GroupClass:
         """Return the class of a group, by what is remembered of it."""
         with self.lock:
             known = self.waiting.get(group)
         if known is not None:
-            return known.kind
+            return known.group_class
         return class_of(group[:4], pieces, 1)
 
 
@@ -279,7 +283,9 @@
             case Policy.LRU:
                 return -candidate.age_s
             case Policy.VALUE:
-                density = self.model.density(candidate.kind, candidate.age_s)
+                density = self.model.density(
+                    candidate.group_class, candidate.age_s
+                )
                 return density * candidate.cost_per_byte
 
     def victim(
@@ -296,7 +302,7 @@
         )
 
 
-def sampled(
+def sample_groups(
     groups: typing.Sequence[bytes], chance: random.Random
 ) -> list[bytes]:
     """Return a bounded random part of the groups."""
--- a/src/briarseam/cache/saving.py
+++ b/src/briarseam/cache/saving.py
@@ -61,8 +61,8 @@
             return
         now = tools.clock()
         group = self.planner.group(prompt)
-        self.returns.wanted(group, length, now)
-        tools.index.wanted(group, now)
+        self.returns.record_use(group, length, now)
+        tools.index.record_use(group, now)
         missing = self.missing(prompt)
         if not missing:
             return
@@ -70,7 +70,9 @@
         variant = tools.names.variant(
             prompt.model, prompt.adapter, prompt.version
         )
-        worth = self.returns.density(self.returns.kind(group, length), 0.0)
+        worth = self.returns.density(
+            self.returns.group_class(group, length), 0.0
+        )
         exporter = self.exporter_for(group, variant, worth)
         if exporter is None:
             tools.metrics.count("exports_refused", len(missing))
--- a/src/briarseam/cache/service.py
+++ b/src/briarseam/cache/service.py
@@ -169,11 +169,11 @@
 
     def refresh(self) -> None:
         """Take over the configured stores; one thread pair for each."""
-        for store in self.take_stores():
+        for store in self.update_stores():
             self.keepers[store.name].thread.start()
             self.exporters[store.name].thread.start()
 
-    def take_stores(self) -> list[store_state.Store]:
+    def update_stores(self) -> list[store_state.Store]:
         """Take over the configured stores; return the new ones."""
         new = self.stores.refresh()
         for store in new:
@@ -223,7 +223,7 @@
         adapter: str,
         version: str,
         chain: typing.Sequence[bytes],
-        have: int,
+        cached_pieces: int,
         session: str = "",
     ) -> state.Plan:
         """Return what could be imported for a prompt.
@@ -234,7 +234,7 @@
             Of the request; blocks of any other never match.
         chain
             Plain chain digests of the prompt's whole pieces.
-        have
+        cached_pieces
             Pieces that the endpoint has already.
         session
             The caller's session, may be empty.
@@ -249,7 +249,7 @@
             state.Prompt(
                 organisation, session, model, adapter, version, tuple(chain)
             ),
-            have,
+            cached_pieces,
         )
 
     def import_to(
--- a/src/briarseam/cache/state.py
+++ b/src/briarseam/cache/state.py
@@ -91,11 +91,11 @@
     ----------
     model, version
         What the blocks were computed with.
-    have
+    cached_pieces
         Pieces the endpoint has already; the blocks follow on them.
     blocks
         In order of the prompt.
-    until_s
+    arrival_s
         Predicted seconds until each block is in, by the budget and the
         observed rate of its link; as long as ``blocks``.
     made_at
@@ -104,9 +104,9 @@
 
     model: str = ""
     version: str = ""
-    have: int = 0
+    cached_pieces: int = 0
     blocks: tuple[Planned, ...] = ()
-    until_s: tuple[float, ...] = ()
+    arrival_s: tuple[float, ...] = ()
     made_at: float = 0.0
 
     @property
@@ -117,7 +117,7 @@
     @property
     def predicted_s(self) -> float:
         """Predicted seconds for the whole import."""
-        return self.until_s[-1] if self.until_s else 0.0
+        return self.arrival_s[-1] if self.arrival_s else 0.0
 
     @property
     def store(self) -> str:
@@ -127,7 +127,7 @@
     def cut(self, count: int) -> Plan:
         """Return the plan of the first ``count`` blocks."""
         return dataclasses.replace(
-            self, blocks=self.blocks[:count], until_s=self.until_s[:count]
+            self, blocks=self.blocks[:count], arrival_s=self.arrival_s[:count]
         )
 
     def best(self, prefill_s_per_piece: float) -> Plan:
@@ -140,8 +140,8 @@
         """
         best_count = 0
         best_saved_s = 0.0
-        for count, until_s in enumerate(self.until_s, start=1):
-            saved_s = count * prefill_s_per_piece - until_s
+        for count, arrival_s in enumerate(self.arrival_s, start=1):
+            saved_s = count * prefill_s_per_piece - arrival_s
             if saved_s > best_saved_s:
                 best_count, best_saved_s = count, saved_s
         return self.cut(best_count)
--- a/src/briarseam/compose/noting.py
+++ b/src/briarseam/compose/noting.py
@@ -93,12 +93,18 @@
         adapter: str,
         version: str,
         chain: typing.Sequence[bytes],
-        have: int,
+        cached_pieces: int,
         session: str = "",
     ) -> cache.Plan:
         """Return what could be imported for a prompt."""
         return self.inner.plan(
-            organisation, model, adapter, version, chain, have, session
+            organisation,
+            model,
+            adapter,
+            version,
+            chain,
+            cached_pieces,
+            session,
         )
 
     def engine_salt(self, organisation: str, adapter: str) -> str:
--- a/src/briarseam/compose/serving.py
+++ b/src/briarseam/compose/serving.py
@@ -46,7 +46,7 @@
     dispatcher: dispatch.Dispatcher
     loads: loads.Loads
     kept: kept_cache.KeptCache
-    cache_events: residents.Residents
+    cache_events: residents.EngineCacheFollowers
 
     def start(self) -> None:
         """Start the parts with threads."""
@@ -118,7 +118,7 @@
             own_runs=own_runs,
         )
     )
-    cache_events = residents.Residents(
+    cache_events = residents.EngineCacheFollowers(
         view, chooser.prefixes, sources.kept.metrics, members.local_member.zone
     )
     schedule = retry_schedule.RetrySchedule(
--- a/src/briarseam/routing/predict.py
+++ b/src/briarseam/routing/predict.py
@@ -174,13 +174,13 @@
         return plan
     if cached_pieces >= len(plan.blocks):
         return dataclasses.replace(
-            plan, have=cached_pieces, blocks=(), until_s=()
+            plan, cached_pieces=cached_pieces, blocks=(), arrival_s=()
         )
-    before_s = plan.until_s[cached_pieces - 1]
-    until_s = tuple(at - before_s for at in plan.until_s[cached_pieces:])
+    before_s = plan.arrival_s[cached_pieces - 1]
+    arrival_s = tuple(at - before_s for at in plan.arrival_s[cached_pieces:])
     return dataclasses.replace(
         plan,
-        have=cached_pieces,
+        cached_pieces=cached_pieces,
         blocks=plan.blocks[cached_pieces:],
-        until_s=until_s,
+        arrival_s=arrival_s,
     )
--- a/src/briarseam/routing/service.py
+++ b/src/briarseam/routing/service.py
@@ -35,7 +35,7 @@
         adapter: str,
         version: str,
         chain: typing.Sequence[bytes],
-        have: int,
+        cached_pieces: int,
         session: str = "",
     ) -> cache.Plan:
         """Return the blocks that could be imported for a prompt."""
--- a/tests/cache/random_world.py
+++ b/tests/cache/random_world.py
@@ -114,7 +114,7 @@
         kept = service.KeptCache(
             self.site.view, sites.KEY, sites.Counts(), ports, rest_s=0.0
         )
-        kept.take_stores()
+        kept.update_stores()
         write = kept.tools.engine.export
         kept.tools.engine.export = lambda *given: self.exporting(write, given)
         for exporter in kept.exporters.values():
--- a/tests/cache/site.py
+++ b/tests/cache/site.py
@@ -174,10 +174,16 @@
         )
 
     def plan(
-        self, kept, organisation, chain, version="v1", have=0, session="s"
+        self,
+        kept,
+        organisation,
+        chain,
+        version="v1",
+        cached_pieces=0,
+        session="s",
     ) -> state.Plan:
         return kept.plan(
-            organisation, "draft", "", version, chain, have, session
+            organisation, "draft", "", version, chain, cached_pieces, session
         )
 
     def kept(self, kept, organisation, chain, session="s", count=None):
--- a/tests/cache/test_index.py
+++ b/tests/cache/test_index.py
@@ -14,7 +14,7 @@
     group = NAMES.group("kitchen", session)
     variant = NAMES.variant("draft", "", "v1")
     key = bytes([depth]) * block_names.KEY_BYTES
-    name = NAMES.fresh(group, variant, depth, key)
+    name = NAMES.new_name(group, variant, depth, key)
     return state.Block(NAMES.pack(name), 100, b"c" * 16, store, boot_id)
 
 
--- a/tests/cache/test_keeping.py
+++ b/tests/cache/test_keeping.py
@@ -47,7 +47,7 @@
             wall_clock=lambda: self.now,
         )
         self.kept = service.KeptCache(self.view, b"key", ports=ports)
-        self.kept.take_stores()
+        self.kept.update_stores()
         self.store = self.kept.stores.by_name["keep-a"]
         self.store.alive = True
         self.store.boot_id = "boot"
@@ -83,7 +83,7 @@
         variant = names.variant("draft", "", prompt.version)
         keys = self.kept.planner.keys(prompt, prompt.chain)
         packed = [
-            names.pack(names.fresh(group, variant, depth, key))
+            names.pack(names.new_name(group, variant, depth, key))
             for depth, key in enumerate(keys)
         ]
         return [
@@ -142,7 +142,7 @@
     """After a rollout the store is full of blocks nobody can ask for."""
     bench.policy = dataclasses.replace(bench.policy, policy="value")
     for _ in range(50):
-        bench.kept.returns.wanted(b"g" * 12, 5, bench.now)
+        bench.kept.returns.record_use(b"g" * 12, 5, bench.now)
         bench.now += 10.0
     current = bench.put("kitchen", "current")
     replaced = bench.put("kitchen", "replaced", version="v1")
@@ -233,9 +233,9 @@
     model = retention.ReturnModel()
     for number in range(60):
         group = b"hist" + bytes([number]) * 8
-        model.wanted(group, 40, 0.0)
-        model.wanted(group, 40, 90_000.0)
-        model.wanted(b"logs" + bytes([number]) * 8, 4, 90_000.0)
+        model.record_use(group, 40, 0.0)
+        model.record_use(group, 40, 90_000.0)
+        model.record_use(b"logs" + bytes([number]) * 8, 4, 90_000.0)
     for number in range(60):
         model.waiting.pop(b"logs" + bytes([number]) * 8)
         model.note(retention.class_of(b"logs", 4, 1), 500_000.0, False)
--- a/tests/cache/test_names.py
+++ b/tests/cache/test_names.py
@@ -33,7 +33,7 @@
 def test_a_name_is_never_made_twice_and_reads_back():
     """A late write under an old name must not hit a new block."""
     made = [
-        NAMES.fresh(NAMES.group("k", "s"), b"v" * 4, 7, DIGEST)
+        NAMES.new_name(NAMES.group("k", "s"), b"v" * 4, 7, DIGEST)
         for _ in range(1000)
     ]
     texts = {NAMES.text(NAMES.pack(name)) for name in made}
@@ -53,6 +53,6 @@
 def test_a_name_made_with_another_secret_is_not_ours():
     """Somebody writes a block under a name that looks like ours."""
     forger = block_names.Names(b"guess")
-    name = forger.fresh(NAMES.group("k", "s"), b"v" * 4, 0, DIGEST)
+    name = forger.new_name(NAMES.group("k", "s"), b"v" * 4, 0, DIGEST)
 
     assert NAMES.parse(forger.text(forger.pack(name))) is None
--- a/tests/cache/test_residents.py
+++ b/tests/cache/test_residents.py
@@ -52,7 +52,7 @@
 
 @pytest.fixture
 def resident(engine, clock, known):
-    made = residents.Resident(
+    made = residents.EngineCacheFollower(
         "engine-0",
         engine.address,
         engine_events.EventClient(),
@@ -150,7 +150,7 @@
         for number in range(1000)
     }
     view = schema.View(offset=1, endpoints=endpoints)
-    following = residents.Residents(
+    following = residents.EngineCacheFollowers(
         lambda: view, known, state.NoMetrics(), "ours"
     )
 
--- a/tests/cache/test_service.py
+++ b/tests/cache/test_service.py
@@ -34,7 +34,7 @@
     chain = sites.chain(4)
     site.kept(kept, "kitchen", chain)
 
-    plan = site.plan(kept, "kitchen", chain, have=2)
+    plan = site.plan(kept, "kitchen", chain, cached_pieces=2)
 
     assert [planned.block.depth for planned in plan.blocks] == [2, 3]
 
--- a/tests/cache/test_sharing.py
+++ b/tests/cache/test_sharing.py
@@ -24,7 +24,7 @@
 
 def block(depth=0):
     key = bytes([depth]) * block_names.KEY_BYTES
-    name = NAMES.fresh(GROUP, VARIANT, depth, key)
+    name = NAMES.new_name(GROUP, VARIANT, depth, key)
     return state.Block(NAMES.pack(name), 100, b"c" * 16, "keep-a", "boot")
 
 
--- a/tests/routing/test_service.py
+++ b/tests/routing/test_service.py
@@ -111,8 +111,8 @@
     blocks = tuple(
         cache.Planned(bytes([number]) * 16, block) for number in range(4)
     )
-    until_s = tuple(seconds * number for number in range(1, 5))
-    return cache.Plan("draft", "v1", 0, blocks, until_s)
+    arrival_s = tuple(seconds * number for number in range(1, 5))
+    return cache.Plan("draft", "v1", 0, blocks, arrival_s)
 
 
 @pytest.mark.parametrize(
