--- a/src/briarseam/orders/goals.py
+++ b/src/briarseam/orders/goals.py
@@ -84,7 +84,7 @@
     max_loading: int
     weights: str | None
 
-    def of_model(self, model: str) -> tuple[Target, ...]:
+    def targets_of_model(self, model: str) -> tuple[Target, ...]:
         """Return the engines that are to serve a model."""
         return tuple(
             target for target in self.targets if model in target.models
@@ -103,9 +103,9 @@
     weights = view.weights
     limit = weights.max_loading if weights else DEFAULT_MAX_LOADING
     parts = max(1, min(math.ceil(len(targets) / SCOPE_ENGINES), limit))
-    members: list[list[Target]] = [[] for _ in range(parts)]
+    parts_targets: list[list[Target]] = [[] for _ in range(parts)]
     for target in targets:
-        members[part_of(target.name, parts)].append(target)
+        parts_targets[part_number_of(target.name, parts)].append(target)
     return tuple(
         Scope(
             lease=f"engines/{number + 1}-of-{parts}",
@@ -114,7 +114,7 @@
             max_loading=(limit + number) // parts,
             weights=weights.address if weights else None,
         )
-        for number, chosen in enumerate(members)
+        for number, chosen in enumerate(parts_targets)
     )
 
 
@@ -139,7 +139,7 @@
     )
 
 
-def part_of(name: str, parts: int) -> int:
+def part_number_of(name: str, parts: int) -> int:
     """Return which part an engine belongs to."""
     if parts == 1:
         return 0
@@ -154,9 +154,9 @@
     """Return what is wanted of each model that ``chosen`` serve."""
     goals = {}
     for name, model in view.models.items():
-        here = sum(name in target.models for target in chosen)
-        everywhere = sum(name in target.models for target in targets)
-        if here:
-            floor = math.ceil(model.floor * here / everywhere)
+        in_scope = sum(name in target.models for target in chosen)
+        in_total = sum(name in target.models for target in targets)
+        if in_scope:
+            floor = math.ceil(model.floor * in_scope / in_total)
             goals[name] = ModelGoal(name, model.version, model.adapter, floor)
     return goals
--- a/src/briarseam/orders/giver.py
+++ b/src/briarseam/orders/issuer.py
@@ -19,11 +19,11 @@
 MAX_BACKOFF_S = 10.0
 
 Clock = typing.Callable[[], float]
-Note = typing.Callable[..., None]
+EventRecorder = typing.Callable[..., None]
 
 
 @dataclasses.dataclass(frozen=True)
-class Tools:
+class Context:
     """What every rollout of a process uses.
 
     Attributes
@@ -44,9 +44,9 @@
     engines: engine_orders.EngineOrders
     engine_reports: state.EngineReports
     clock: Clock
-    note: Note
+    record_event: EventRecorder
     precedence: typing.Callable[[str], int]
-    given: labels.Family[instruments.Counter]
+    orders_given: labels.Family[instruments.Counter]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -57,16 +57,16 @@
     attempts: int
 
 
-class After(enum.Enum):
+class IssueResult(enum.Enum):
     """What follows from the attempt to give an order."""
 
-    GO_ON = "go on"
-    RAN_OUT = "the lease ran out"
+    CONTINUE = "go on"
+    LEASE_EXPIRED = "the lease ran out"
     SUPERSEDED = "superseded"
-    LOST = "an order was lost"
+    ORDER_LOST = "an order was lost"
 
 
-class Giver:
+class Issuer:
     """Gives the orders of one scope; used by one thread only.
 
     Attributes
@@ -77,30 +77,30 @@
         What engines last said against an order, by name.
     """
 
-    def __init__(self, tools: Tools) -> None:
-        self.tools = tools
-        self.errands: dict[tuple[str, str], state.Errand] = {}
+    def __init__(self, context: Context) -> None:
+        self.context = context
+        self.load_orders: dict[tuple[str, str], state.LoadOrder] = {}
         self.backoffs: dict[tuple[str, engine_orders.Order], Backoff] = {}
         self.refusals: dict[str, str] = {}
-        self.serial = 0
+        self.order_number = 0
 
-    def forget_pauses(self) -> None:
+    def reset_backoffs(self) -> None:
         """Begin anew with pauses and refusals."""
         self.backoffs.clear()
         self.refusals.clear()
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Forget all that was given."""
-        self.errands.clear()
-        self.forget_pauses()
+        self.load_orders.clear()
+        self.reset_backoffs()
 
-    def give(
+    def issue(
         self,
         lease: str,
         fence: int,
         target: goals.Target,
         order: engine_orders.Order,
-    ) -> After:
+    ) -> IssueResult:
         """Give one order unless it is too early to repeat it.
 
         Parameters
@@ -112,61 +112,61 @@
         order
             What should be so.
         """
-        now_s = self.tools.clock()
+        now_s = self.context.clock()
         backoff = self.backoffs.get((target.name, order))
         if backoff is not None and now_s < backoff.not_before_s:
-            return After.GO_ON
+            return IssueResult.CONTINUE
         # The lease may have run out since the last order, for instance
         # while this process was frozen: then a successor gives the orders.
-        if self.tools.leases.holds(lease) != fence:
-            return After.RAN_OUT
-        self.serial += 1
-        outcome = self.tools.engines.give(
-            target.address, order, f"{fence}-{self.serial}", fence
+        if self.context.leases.holds(lease) != fence:
+            return IssueResult.LEASE_EXPIRED
+        self.order_number += 1
+        outcome = self.context.engines.give(
+            target.address, order, f"{fence}-{self.order_number}", fence
         )
-        self.backoffs[target.name, order] = longer(backoff, now_s)
-        self.note_given(target, order, fence, outcome)
-        return self.take_outcome(lease, target, order, outcome)
+        self.backoffs[target.name, order] = next_backoff(backoff, now_s)
+        self.record_order(target, order, fence, outcome)
+        return self.handle_outcome(lease, target, order, outcome)
 
-    def take_outcome(
+    def handle_outcome(
         self,
         lease: str,
         target: goals.Target,
         order: engine_orders.Order,
         outcome: engine_orders.Outcome,
-    ) -> After:
+    ) -> IssueResult:
         """Draw what follows from an engine's answer."""
         match outcome:
             case engine_orders.Taken():
                 self.refusals.pop(target.name, None)
-                self.note_errand(target, order, settled=True)
-                return After.GO_ON
+                self.record_load_order(target, order, confirmed=True)
+                return IssueResult.CONTINUE
             case engine_orders.Refused(detail):
                 self.refusals[target.name] = detail
-                return After.GO_ON
+                return IssueResult.CONTINUE
             case engine_orders.Superseded(fence):
                 self.refusals[target.name] = f"has taken number {fence}"
-                self.tools.leases.step_down(lease)
-                return After.SUPERSEDED
+                self.context.leases.step_down(lease)
+                return IssueResult.SUPERSEDED
             case engine_orders.Lost(detail):
                 self.refusals[target.name] = detail
-                self.note_errand(target, order, settled=False)
-                return After.LOST
+                self.record_load_order(target, order, confirmed=False)
+                return IssueResult.ORDER_LOST
 
-    def note_errand(
+    def record_load_order(
         self,
         target: goals.Target,
         order: engine_orders.Order,
-        settled: bool,
+        confirmed: bool,
     ) -> None:
         """Remember a load that was or may have been taken."""
         if not isinstance(order, engine_orders.Load):
             return
-        self.errands[target.name, order.model] = state.Errand(
-            order.version, self.tools.clock(), settled
+        self.load_orders[target.name, order.model] = state.LoadOrder(
+            order.version, self.context.clock(), confirmed
         )
 
-    def note_given(
+    def record_order(
         self,
         target: goals.Target,
         order: engine_orders.Order,
@@ -176,9 +176,9 @@
         """Count an order and put it on the time line."""
         kind = type(order).__name__.lower()
         result = type(outcome).__name__.lower()
-        self.tools.given.labelled(kind, result).add()
+        self.context.orders_given.labelled(kind, result).add()
         path = "" if isinstance(order, engine_orders.TakeRole) else order.model
-        self.tools.note(
+        self.context.record_event(
             "order-given",
             path=f"models/{path}" if path else "",
             endpoint=target.name,
@@ -188,7 +188,7 @@
         )
 
 
-def longer(backoff: Backoff | None, now_s: float) -> Backoff:
+def next_backoff(backoff: Backoff | None, now_s: float) -> Backoff:
     """Return when an order may be given once more."""
     attempts = backoff.attempts if backoff else 0
     wait_s = min(FIRST_BACKOFF_S * 2**attempts, MAX_BACKOFF_S)
--- a/src/briarseam/orders/offers.py
+++ b/src/briarseam/orders/offers.py
@@ -27,7 +27,7 @@
 
 def offers_of(
     model: str,
-    wanted: values.Model,
+    desired: values.Model,
     targets: typing.Sequence[goals.Target],
     reports: planner.Reports,
     former_adapter: str | None,
@@ -49,8 +49,8 @@
     former_adapter
         Adapter wanted before the present one, if that is known.
     """
-    enough = max(1, wanted.floor)
-    versions = state.Offer(wanted.version, wanted.adapter)
+    enough = max(1, desired.floor)
+    versions = state.Offer(desired.version, desired.adapter)
     up_to_date: dict[str, state.Offer] = {}
     behind: dict[str, state.Offer] = {}
     for target in targets:
@@ -59,7 +59,7 @@
         if loaded is None or loaded.version is None:
             continue
         adapter = usable_adapter(
-            wanted.adapter, former_adapter, loaded.adapters
+            desired.adapter, former_adapter, loaded.adapters
         )
         if adapter is None:
             continue
@@ -72,11 +72,11 @@
 
 
 def usable_adapter(
-    wanted: str, former: str | None, loaded: tuple[str, ...]
+    desired: str, former: str | None, loaded: tuple[str, ...]
 ) -> str | None:
     """Return the adapter to ask an engine for; ``None`` when none fits."""
-    if not wanted or wanted in loaded:
-        return wanted
+    if not desired or desired in loaded:
+        return desired
     if former is not None and (not former or former in loaded):
         return former
     return None
--- a/src/briarseam/orders/planner.py
+++ b/src/briarseam/orders/planner.py
@@ -16,11 +16,11 @@
 from briarseam.orders import state
 
 
-class Wait(enum.StrEnum):
+class WaitReason(enum.StrEnum):
     """Why an engine that differs gets no order now."""
 
     FLOOR = "floor"
-    LIMIT = "loading-limit"
+    LOADING_LIMIT = "loading-limit"
     LOADING = "loading"
     UNREACHABLE = "unreachable"
     FENCE_AHEAD = "fence-ahead"
@@ -42,7 +42,7 @@
 
     target: goals.Target
     order: engine_orders.Order
-    lowers: bool = False
+    interrupts_serving: bool = False
 
 
 @dataclasses.dataclass(frozen=True)
@@ -51,7 +51,7 @@
 
     target: goals.Target
     model: str
-    why: Wait
+    reason: WaitReason
 
 
 @dataclasses.dataclass(frozen=True)
@@ -63,7 +63,7 @@
 
 
 Reports = typing.Mapping[str, state.Report]
-Errands = typing.Mapping[tuple[str, str], state.Errand]
+LoadOrders = typing.Mapping[tuple[str, str], state.LoadOrder]
 
 
 class Planner:
@@ -86,17 +86,17 @@
         self,
         scope: goals.Scope,
         reports: Reports,
-        errands: Errands,
+        load_orders: LoadOrders,
         fence: int | None = None,
     ) -> None:
         self.scope = scope
         self.reports = reports
-        self.errands = errands
+        self.load_orders = load_orders
         self.fence = fence
         self.steps: list[Step] = []
         self.waiting: list[Waiting] = []
         self.loading = {
-            target.name for target in scope.targets if self.loads(target)
+            target.name for target in scope.targets if self.is_loading(target)
         }
 
     def plan(self) -> Plan:
@@ -107,16 +107,18 @@
         self.plan_roles()
         return Plan(tuple(self.steps), tuple(self.waiting))
 
-    def standing(self, target: goals.Target, model: str) -> state.Standing:
+    def status_of(
+        self, target: goals.Target, model: str
+    ) -> state.VersionStatus:
         """Return how an engine stands to what is wanted of a model."""
-        return state.standing_of(
+        return state.version_status_of(
             model,
             self.scope.goals[model].version,
             self.reports.get(target.name),
-            self.errands.get((target.name, model)),
+            self.load_orders.get((target.name, model)),
         )
 
-    def loads(self, target: goals.Target) -> bool:
+    def is_loading(self, target: goals.Target) -> bool:
         """Tell whether an engine loads anything as far as we know."""
         report = self.reports.get(target.name)
         if report is not None and any(
@@ -124,42 +126,44 @@
         ):
             return True
         return any(
-            self.standing(target, model) in state.COUNTED_LOADING
+            self.status_of(target, model) in state.COUNT_AS_LOADING
             for model in target.models
         )
 
     def plan_loads(self, goal: goals.ModelGoal) -> None:
         """Plan the weight loads of one model."""
-        targets = self.scope.of_model(goal.model)
-        standings = {
-            target.name: self.standing(target, goal.model)
+        targets = self.scope.targets_of_model(goal.model)
+        statuses = {
+            target.name: self.status_of(target, goal.model)
             for target in targets
         }
         serving = [
             target
             for target in targets
-            if standings[target.name] in state.COUNTED_SERVING
+            if statuses[target.name] in state.COUNT_AS_SERVING
         ]
         for target in targets:
-            match standings[target.name]:
-                case state.Standing.UNREACHABLE:
-                    self.wait(target, goal, Wait.UNREACHABLE)
-                case state.Standing.LOADING:
-                    self.wait(target, goal, Wait.LOADING)
-                case state.Standing.ORDERED:
-                    self.repeat(target, goal)
-                case state.Standing.LOADING_OTHER:
-                    self.load(target, goal, lowers=False)
-                case state.Standing.EMPTY:
-                    self.load_within_limit(target, goal, lowers=False)
+            match statuses[target.name]:
+                case state.VersionStatus.UNREACHABLE:
+                    self.add_waiting(target, goal, WaitReason.UNREACHABLE)
+                case state.VersionStatus.LOADING:
+                    self.add_waiting(target, goal, WaitReason.LOADING)
+                case state.VersionStatus.ORDERED:
+                    self.plan_repeat(target, goal)
+                case state.VersionStatus.LOADING_OTHER:
+                    self.add_load(target, goal, interrupts_serving=False)
+                case state.VersionStatus.EMPTY:
+                    self.add_load_within_limit(
+                        target, goal, interrupts_serving=False
+                    )
         behind = [
             target
             for target in serving
-            if standings[target.name] is state.Standing.OTHER
+            if statuses[target.name] is state.VersionStatus.OTHER_VERSION
         ]
-        self.replace(goal, serving, behind)
+        self.plan_replacements(goal, serving, behind)
 
-    def replace(
+    def plan_replacements(
         self,
         goal: goals.ModelGoal,
         serving: list[goals.Target],
@@ -171,72 +175,86 @@
         does not empty a zone.
         """
         spare = len(serving) - goal.floor
-        left = collections.Counter(target.zone for target in serving)
+        serving_by_zone = collections.Counter(
+            target.zone for target in serving
+        )
         while behind:
             target = min(
-                behind, key=lambda target: (-left[target.zone], target.name)
+                behind,
+                key=lambda target: (
+                    -serving_by_zone[target.zone],
+                    target.name,
+                ),
             )
             behind.remove(target)
             # Taking out one more engine would leave fewer than the floor;
             # it shows as requests refused for want of an endpoint.
             if spare <= 0:
-                self.wait(target, goal, Wait.FLOOR)
-            elif self.load_within_limit(target, goal, lowers=True):
+                self.add_waiting(target, goal, WaitReason.FLOOR)
+            elif self.add_load_within_limit(
+                target, goal, interrupts_serving=True
+            ):
                 spare -= 1
-                left[target.zone] -= 1
+                serving_by_zone[target.zone] -= 1
 
-    def load_within_limit(
-        self, target: goals.Target, goal: goals.ModelGoal, lowers: bool
+    def add_load_within_limit(
+        self,
+        target: goals.Target,
+        goal: goals.ModelGoal,
+        interrupts_serving: bool,
     ) -> bool:
         """Plan a load unless too many load already."""
         # More loads at once than the weight store carries make every one
         # of them slower.  A second model on a loading engine waits too.
         if target.name in self.loading:
-            self.wait(target, goal, Wait.LOADING)
+            self.add_waiting(target, goal, WaitReason.LOADING)
             return False
         if len(self.loading) >= self.scope.max_loading:
-            self.wait(target, goal, Wait.LIMIT)
+            self.add_waiting(target, goal, WaitReason.LOADING_LIMIT)
             return False
-        if not self.load(target, goal, lowers):
+        if not self.add_load(target, goal, interrupts_serving):
             return False
         self.loading.add(target.name)
         return True
 
-    def repeat(self, target: goals.Target, goal: goals.ModelGoal) -> None:
+    def plan_repeat(self, target: goals.Target, goal: goals.ModelGoal) -> None:
         """Plan an order again whose answer was lost."""
-        errand = self.errands[target.name, goal.model]
+        load_order = self.load_orders[target.name, goal.model]
         report = self.reports[target.name]
-        if errand.settled or report.requested_s < errand.ended_s:
-            self.wait(target, goal, Wait.LOADING)
+        if load_order.confirmed or report.requested_s < load_order.ended_s:
+            self.add_waiting(target, goal, WaitReason.LOADING)
         else:
-            self.load(target, goal, lowers=False)
+            self.add_load(target, goal, interrupts_serving=False)
 
-    def load(
-        self, target: goals.Target, goal: goals.ModelGoal, lowers: bool
+    def add_load(
+        self,
+        target: goals.Target,
+        goal: goals.ModelGoal,
+        interrupts_serving: bool,
     ) -> bool:
         """Plan a load; tell whether the engine would take it."""
         if self.fence_ahead(target):
-            self.wait(target, goal, Wait.FENCE_AHEAD)
+            self.add_waiting(target, goal, WaitReason.FENCE_AHEAD)
             return False
         order = engine_orders.Load(
             goal.model, goal.version, self.scope.weights
         )
-        self.steps.append(Step(target, order, lowers))
+        self.steps.append(Step(target, order, interrupts_serving))
         return True
 
     def plan_adapters(self, goal: goals.ModelGoal) -> None:
         """Plan the adapters of one model."""
         if not goal.adapter:
             return
-        for target in self.scope.of_model(goal.model):
+        for target in self.scope.targets_of_model(goal.model):
             report = self.reports.get(target.name)
             if report is None:
                 continue
-            known = report.state.models.get(goal.model)
-            if known is None or goal.adapter in known.adapters:
+            model_state = report.state.models.get(goal.model)
+            if model_state is None or goal.adapter in model_state.adapters:
                 continue
             if self.fence_ahead(target):
-                self.wait(target, goal, Wait.FENCE_AHEAD)
+                self.add_waiting(target, goal, WaitReason.FENCE_AHEAD)
                 continue
             order = engine_orders.LoadAdapter(goal.model, goal.adapter)
             self.steps.append(Step(target, order))
@@ -264,8 +282,8 @@
             return False
         return report.state.fencing and report.state.fence > self.fence
 
-    def wait(
-        self, target: goals.Target, goal: goals.ModelGoal, why: Wait
+    def add_waiting(
+        self, target: goals.Target, goal: goals.ModelGoal, reason: WaitReason
     ) -> None:
         """Note that an engine has to wait."""
-        self.waiting.append(Waiting(target, goal.model, why))
+        self.waiting.append(Waiting(target, goal.model, reason))
--- a/src/briarseam/orders/pollers.py
+++ b/src/briarseam/orders/pollers.py
@@ -11,7 +11,7 @@
 
 # Engines of which nobody reports are polled by everybody; were it all of a
 # large deployment at a start, it would be thousands of threads.
-MAX_UNKNOWN = 64
+MAX_UNREPORTED_POLLED = 64
 IDLE_INTERVAL_S = 1.0
 BUSY_INTERVAL_S = 0.2
 
@@ -58,32 +58,32 @@
         while not self.stopping.is_set():
             self.read()
             self.stopping.wait(self.interval_s())
-        self.engine_reports.drop(self.name)
+        self.engine_reports.remove(self.name)
 
     def read(self) -> None:
         """Read once; forget the engine when it is silent for too long."""
         requested_s = self.clock()
         try:
-            found = self.engines.state(self.address)
+            engine_state = self.engines.state(self.address)
         except engine_orders.StateUnavailableError:
-            self.engine_reports.drop_older(
+            self.engine_reports.remove_older(
                 self.name, requested_s - state.MAX_AGE_S
             )
             return
         if not self.stopping.is_set():
             self.engine_reports.put(
-                self.name, state.Report(found, requested_s)
+                self.name, state.Report(engine_state, requested_s)
             )
 
 
 @dataclasses.dataclass(frozen=True)
-class Basis:
+class PollerInputs:
     """What the choice of pollers follows from."""
 
     addresses: typing.Mapping[str, str]
     ordered: frozenset[str]
     members: frozenset[str]
-    told: frozenset[str]
+    reported: frozenset[str]
 
 
 class Pollers:
@@ -113,14 +113,14 @@
         self.clock = clock
         self.owns = owns
         self.busy = False
-        self.basis: Basis | None = None
+        self.inputs: PollerInputs | None = None
         self.pollers: dict[str, Poller] = {}
 
     def interval_s(self) -> float:
         """Return the time between two reads, in seconds."""
         return BUSY_INTERVAL_S if self.busy else IDLE_INTERVAL_S
 
-    def match(
+    def update(
         self,
         addresses: typing.Mapping[str, str],
         ordered: frozenset[str],
@@ -140,28 +140,28 @@
         members
             Those that share the polling.
         """
-        told = frozenset(self.engine_reports.told())
-        basis = Basis(addresses, ordered, members, told)
-        if basis == self.basis:
+        reported = frozenset(self.engine_reports.shared_names())
+        inputs = PollerInputs(addresses, ordered, members, reported)
+        if inputs == self.inputs:
             return
-        self.basis = basis
-        unknown = [name for name in addresses if name not in told]
-        wanted = ordered.union(unknown[:MAX_UNKNOWN])
-        self.follow(
+        self.inputs = inputs
+        unreported = [name for name in addresses if name not in reported]
+        desired = ordered.union(unreported[:MAX_UNREPORTED_POLLED])
+        self.poll_only(
             {
                 name: address
                 for name, address in addresses.items()
-                if name in wanted or self.owns(name)
+                if name in desired or self.owns(name)
             }
         )
 
-    def follow(self, addresses: typing.Mapping[str, str]) -> None:
+    def poll_only(self, addresses: typing.Mapping[str, str]) -> None:
         """Poll these engines and no others."""
         for name, poller in list(self.pollers.items()):
             if addresses.get(name) != poller.address:
                 poller.stopping.set()
                 del self.pollers[name]
-                self.engine_reports.drop(name)
+                self.engine_reports.remove(name)
         for name, address in addresses.items():
             if name not in self.pollers:
                 self.pollers[name] = self.start(name, address)
@@ -181,4 +181,4 @@
 
     def stop(self) -> None:
         """Stop all."""
-        self.follow({})
+        self.poll_only({})
--- a/src/briarseam/orders/reporting.py
+++ b/src/briarseam/orders/reporting.py
@@ -10,8 +10,8 @@
 
 if typing.TYPE_CHECKING:
     from briarseam.leases import service as leases_service
-    from briarseam.orders import giver as givers
     from briarseam.orders import goals
+    from briarseam.orders import issuer as issuer_module
     from briarseam.orders import peers as peers_module
     from briarseam.orders import planner
     from briarseam.orders import rollout as rollouts
@@ -21,19 +21,19 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Work:
+class ScopeRollout:
     """One scope and what is done about it here."""
 
     scope: goals.Scope
     rollout: rollouts.Rollout
 
 
-class Picture(typing.NamedTuple):
+class ModelProgress(typing.NamedTuple):
     """How one model of a scope stands."""
 
     scope: goals.Scope
     goal: goals.ModelGoal
-    standings: dict[str, state.Standing]
+    statuses: dict[str, state.VersionStatus]
     rollout: rollouts.Rollout
 
 
@@ -56,45 +56,50 @@
 
     def __init__(
         self,
-        me: str,
+        own_name: str,
         leases: leases_service.Leases,
         engine_reports: state.EngineReports,
         peers: peers_module.Peers,
-        clock: givers.Clock,
+        clock: issuer_module.Clock,
     ) -> None:
-        self.me = me
+        self.own_name = own_name
         self.leases = leases
         self.engine_reports = engine_reports
         self.peers = peers
         self.clock = clock
         self.offset = 0
-        self.work: tuple[Work, ...] = ()
-        self.watch = status.Watch()
+        self.scope_rollouts: tuple[ScopeRollout, ...] = ()
+        self.watch = status.ProgressWatch()
 
     def register(self, router: server.Router) -> None:
         """Answer operators' questions."""
         router.on(messages.AskRollouts, self.answer)
 
-    def look(self) -> None:
+    def update(self) -> None:
         """Note which models have moved."""
         reports = self.engine_reports.all()
         now_s = self.clock()
-        for scope, goal, standings, _ in self.pictures(reports):
+        for scope, goal, statuses, _ in self.model_progress(reports):
             progress = status.progress_of(goal.model, reports)
-            done = status.is_done(standings)
-            picture = None if done else (standings, progress)
-            self.watch.look(watched(scope, goal), picture, now_s)
+            done = status.is_done(statuses)
+            observed = None if done else (statuses, progress)
+            self.watch.update(watch_key(scope, goal), observed, now_s)
 
-    def pictures(self, reports: planner.Reports) -> typing.Iterator[Picture]:
+    def model_progress(
+        self, reports: planner.Reports
+    ) -> typing.Iterator[ModelProgress]:
         """Yield how each model of each scope stands."""
-        for work in self.work:
-            scope = work.scope
-            errands = dict(work.rollout.giver.errands)
+        for part in self.scope_rollouts:
+            scope = part.scope
+            load_orders = dict(part.rollout.issuer.load_orders)
             for goal in scope.goals.values():
-                standings = status.picture_of(
-                    goal, scope.of_model(goal.model), reports, errands
+                statuses = status.statuses_of(
+                    goal,
+                    scope.targets_of_model(goal.model),
+                    reports,
+                    load_orders,
                 )
-                yield Picture(scope, goal, standings, work.rollout)
+                yield ModelProgress(scope, goal, statuses, part.rollout)
 
     def status(self) -> tuple[messages.ModelRollout, ...]:
         """Return how far each model is, as this process sees it."""
@@ -102,12 +107,12 @@
         return tuple(
             status.model_rollout(
                 goal,
-                standings,
+                statuses,
                 self.leases.holder_of(scope.lease),
-                self.watch.unchanged_s(watched(scope, goal), now_s),
-                status.reason_of(goal.model, work, standings),
+                self.watch.unchanged_s(watch_key(scope, goal), now_s),
+                status.reason_of(goal.model, rollout, statuses),
             )
-            for scope, goal, standings, work in self.pictures(
+            for scope, goal, statuses, rollout in self.model_progress(
                 self.engine_reports.all()
             )
         )
@@ -125,14 +130,15 @@
             if model.holder == self.leases.holder
             or (
                 model.holder.partition("/")[0] not in known
-                and self.first_in_line()
+                and self.is_first_candidate()
             )
         )
 
-    def first_in_line(self) -> bool:
+    def is_first_candidate(self) -> bool:
         """Tell whether this process is first for any lease."""
         return any(
-            self.peers.precedence(work.scope.lease) == 0 for work in self.work
+            self.peers.precedence(part.scope.lease) == 0
+            for part in self.scope_rollouts
         )
 
     def count_stuck(self) -> float:
@@ -144,9 +150,9 @@
     ) -> messages.Rollouts:
         """Tell an operator how far the rollouts are."""
         del peer, request
-        return messages.Rollouts(self.me, self.offset, self.status())
+        return messages.Rollouts(self.own_name, self.offset, self.status())
 
 
-def watched(scope: goals.Scope, goal: goals.ModelGoal) -> str:
+def watch_key(scope: goals.Scope, goal: goals.ModelGoal) -> str:
     """Return the name under which a scope's model is watched."""
     return f"{scope.lease} {goal.model}"
--- a/src/briarseam/orders/service.py
+++ b/src/briarseam/orders/service.py
@@ -9,8 +9,8 @@
 
 from briarseam import clocks
 from briarseam.configuration import schema
-from briarseam.orders import giver as givers
 from briarseam.orders import goals
+from briarseam.orders import issuer as issuer_module
 from briarseam.orders import messages
 from briarseam.orders import offers
 from briarseam.orders import peers as peers_module
@@ -28,7 +28,7 @@
 
 TICK_S = 0.2
 # Enough that not all of them are lost or cut off from the log at once.
-CANDIDATES = 8
+CANDIDATES_PER_SCOPE = 8
 NO_OFFERS: state.Offers = {}
 NO_COUNTS: typing.Mapping[state.Offer, int] = {}
 log = structlog.get_logger("briarseam.orders")
@@ -59,36 +59,36 @@
 
     def __init__(
         self,
-        me: str,
+        own_name: str,
         view: typing.Callable[[], schema.View],
         leases: leases_service.Leases,
         engines: engine_orders.EngineOrders,
         metrics: registry.Registry,
-        note: givers.Note,
+        record_event: issuer_module.EventRecorder,
         peers: peers_module.Peers = peers_module.NO_PEERS,
-        clock: givers.Clock = clocks.boot_clock,
+        clock: issuer_module.Clock = clocks.boot_clock,
     ) -> None:
-        self.me = me
+        self.own_name = own_name
         self.view = view
         self.leases = leases
         self.clock = clock
         self.engine_reports = state.EngineReports()
         self.peers = peers
         self.reporting = reporting.Reporting(
-            me, leases, self.engine_reports, peers, clock
+            own_name, leases, self.engine_reports, peers, clock
         )
         self.pollers = pollers.Pollers(
             engines, self.engine_reports, clock, peers.owns
         )
         self.sharing = sharing.Sharing(self.engine_reports, clock)
-        self.tools = givers.Tools(
+        self.context = issuer_module.Context(
             leases=leases,
             engines=engines,
             engine_reports=self.engine_reports,
             clock=clock,
-            note=note,
+            record_event=record_event,
             precedence=peers.precedence,
-            given=metrics.counters(
+            orders_given=metrics.counters(
                 "orders_given_total",
                 "Orders given to engines, by kind and outcome.",
                 ("kind", "outcome"),
@@ -104,14 +104,14 @@
             "Leases held by this process.",
             lambda: len(leases.held()),
         )
-        self.seen = schema.View(offset=-1)
+        self.current_view = schema.View(offset=-1)
         self.scopes: tuple[goals.Scope, ...] = ()
         self.addresses: dict[str, str] = {}
         self.rollouts: dict[str, rollout.Rollout] = {}
         self.former_adapters: dict[str, str] = {}
         self.reports: dict[str, state.Report] = {}
         self.versions: dict[str, dict[str, str]] = {}
-        self.offered: dict[str, state.Offers] = {}
+        self.offers_by_model: dict[str, state.Offers] = {}
         self.counts: dict[str, dict[state.Offer, int]] = {}
         self.stopping = threading.Event()
         self.thread = threading.Thread(
@@ -146,7 +146,7 @@
         Each with the version and adapter that the request has to name, so
         that an engine which has changed meanwhile refuses it.
         """
-        return self.offered.get(model, NO_OFFERS)
+        return self.offers_by_model.get(model, NO_OFFERS)
 
     def offer_counts(self, model: str) -> typing.Mapping[state.Offer, int]:
         """Return how many engines make each offer for a model."""
@@ -181,41 +181,41 @@
         while something is left to do.
         """
         view = self.view()
-        self.engine_reports.keep_members(self.peers.reporting())
-        if view is not self.seen:
-            self.take_view(view)
+        self.engine_reports.retain_members(self.peers.reporting())
+        if view is not self.current_view:
+            self.apply_view(view)
         elif (
             not self.engine_reports.changed.is_set() and not self.pollers.busy
         ):
-            self.match_pollers()
+            self.update_pollers()
             return
         self.engine_reports.changed.clear()
         self.update_offers()
         busy = False
         for scope in self.scopes:
-            if self.takes_part(scope):
+            if self.is_candidate(scope):
                 work = self.rollouts[scope.lease]
                 busy = work.step(scope, view.offset) or busy
         self.pollers.busy = busy
-        self.match_pollers()
-        self.reporting.look()
+        self.update_pollers()
+        self.reporting.update()
 
-    def take_view(self, view: schema.View) -> None:
+    def apply_view(self, view: schema.View) -> None:
         """Take in a change of the configuration."""
-        for name, model in self.seen.models.items():
-            wanted = view.models.get(name)
-            if wanted is not None and wanted.adapter != model.adapter:
+        for name, model in self.current_view.models.items():
+            desired = view.models.get(name)
+            if desired is not None and desired.adapter != model.adapter:
                 self.former_adapters[name] = model.adapter
-        self.seen = view
+        self.current_view = view
         self.scopes = goals.scopes_of(view)
         self.rollouts = {
             scope.lease: self.rollouts.get(scope.lease)
-            or rollout.Rollout(self.tools)
+            or rollout.Rollout(self.context)
             for scope in self.scopes
         }
         self.reporting.offset = view.offset
-        self.reporting.work = tuple(
-            reporting.Work(scope, self.rollouts[scope.lease])
+        self.reporting.scope_rollouts = tuple(
+            reporting.ScopeRollout(scope, self.rollouts[scope.lease])
             for scope in self.scopes
         )
         self.addresses = {
@@ -224,16 +224,16 @@
             for target in scope.targets
         }
 
-    def takes_part(self, scope: goals.Scope) -> bool:
+    def is_candidate(self, scope: goals.Scope) -> bool:
         """Tell whether this process may have to give a scope's orders.
 
         Of many scopes each is compared by a few processes only.
         """
         if len(self.scopes) == 1 or self.leases.holds(scope.lease):
             return True
-        return self.peers.precedence(scope.lease) < CANDIDATES
+        return self.peers.precedence(scope.lease) < CANDIDATES_PER_SCOPE
 
-    def match_pollers(self) -> None:
+    def update_pollers(self) -> None:
         """Poll the engines that this process has to know itself."""
         ordered = frozenset(
             target.name
@@ -241,16 +241,16 @@
             if self.leases.holds(scope.lease) is not None
             for target in scope.targets
         )
-        self.pollers.match(
+        self.pollers.update(
             self.addresses, ordered, frozenset(self.peers.live())
         )
 
     def update_offers(self) -> None:
         """Work out anew what engines offer."""
         reports = self.reports = self.engine_reports.all()
-        targets = goals.targets_of(self.seen)
+        targets = goals.targets_of(self.current_view)
         self.versions = offers.serving_versions(reports)
-        self.offered = {
+        self.offers_by_model = {
             name: offers.offers_of(
                 name,
                 model,
@@ -258,9 +258,9 @@
                 reports,
                 self.former_adapters.get(name),
             )
-            for name, model in self.seen.models.items()
+            for name, model in self.current_view.models.items()
         }
         self.counts = {
             name: offers.count_offers(offered)
-            for name, offered in self.offered.items()
+            for name, offered in self.offers_by_model.items()
         }
--- a/src/briarseam/orders/sharing.py
+++ b/src/briarseam/orders/sharing.py
@@ -17,7 +17,7 @@
 
 # How long a report may have been under way; it must not look younger than
 # an order that it does not know of.
-SLACK_S = 2.0
+MAX_TRANSIT_S = 2.0
 States = dict[str, engine_orders.EngineState]
 
 
@@ -51,11 +51,11 @@
     def consume(self, member: str, data: bytes) -> None:
         """Take in another member's section."""
         states = msgspec.msgpack.decode(data, type=States)
-        requested_s = self.clock() - SLACK_S
+        requested_s = self.clock() - MAX_TRANSIT_S
         self.engine_reports.put_shared(
             member,
             {
-                name: state.Report(found, requested_s)
-                for name, found in states.items()
+                name: state.Report(engine_state, requested_s)
+                for name, engine_state in states.items()
             },
         )
--- a/src/briarseam/orders/state.py
+++ b/src/briarseam/orders/state.py
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Errand:
+class LoadOrder:
     """The last load ordered of an engine for a model.
 
     Attributes
@@ -45,14 +45,14 @@
 
     version: str
     ended_s: float
-    settled: bool
+    confirmed: bool
 
 
-class Standing(enum.StrEnum):
+class VersionStatus(enum.StrEnum):
     """How an engine stands to what is wanted of a model."""
 
     SERVING = "serving"
-    OTHER = "other-version"
+    OTHER_VERSION = "other-version"
     EMPTY = "empty"
     LOADING = "loading"
     LOADING_OTHER = "loading-other"
@@ -60,18 +60,20 @@
     UNREACHABLE = "unreachable"
 
 
-COUNTED_SERVING = frozenset({Standing.SERVING, Standing.OTHER})
-COUNTED_LOADING = frozenset(
-    {Standing.LOADING, Standing.LOADING_OTHER, Standing.ORDERED}
+COUNT_AS_SERVING = frozenset(
+    {VersionStatus.SERVING, VersionStatus.OTHER_VERSION}
+)
+COUNT_AS_LOADING = frozenset(
+    {VersionStatus.LOADING, VersionStatus.LOADING_OTHER, VersionStatus.ORDERED}
 )
 
 
-def standing_of(
+def version_status_of(
     model: str,
     version: str,
     report: Report | None,
-    errand: Errand | None,
-) -> Standing:
+    load_order: LoadOrder | None,
+) -> VersionStatus:
     """Return how an engine stands, by its reports and not by hopes.
 
     An engine that was given a load counts as loading until a report asked
@@ -80,33 +82,33 @@
     and would take another engine out while one is out already.
     """
     if report is None:
-        return Standing.UNREACHABLE
+        return VersionStatus.UNREACHABLE
     state = report.state.models.get(model, engine_orders.ModelState())
-    if errand is not None and pending(errand, report, state):
-        return Standing.ORDERED
+    if load_order is not None and is_pending(load_order, report, state):
+        return VersionStatus.ORDERED
     if state.loading is not None:
         if state.loading == version:
-            return Standing.LOADING
-        return Standing.LOADING_OTHER
+            return VersionStatus.LOADING
+        return VersionStatus.LOADING_OTHER
     if state.version is None:
-        return Standing.EMPTY
+        return VersionStatus.EMPTY
     if state.version == version:
-        return Standing.SERVING
-    return Standing.OTHER
+        return VersionStatus.SERVING
+    return VersionStatus.OTHER_VERSION
 
 
-def pending(
-    errand: Errand, report: Report, state: engine_orders.ModelState
+def is_pending(
+    load_order: LoadOrder, report: Report, state: engine_orders.ModelState
 ) -> bool:
     """Tell whether a given load may not show in the report yet."""
-    if report.requested_s < errand.ended_s:
+    if report.requested_s < load_order.ended_s:
         return True
-    if errand.settled:
+    if load_order.confirmed:
         return False
-    return errand.version not in (state.version, state.loading)
+    return load_order.version not in (state.version, state.loading)
 
 
-def states_of(
+def engine_states_of(
     reports: typing.Mapping[str, Report],
 ) -> dict[str, engine_orders.EngineState]:
     """Return what was reported, without when."""
@@ -147,10 +149,10 @@
         with self.lock:
             known = self.shared.get(member, {})
             self.shared[member] = reports
-        if states_of(known) != states_of(reports):
+        if engine_states_of(known) != engine_states_of(reports):
             self.changed.set()
 
-    def keep_members(self, live: typing.Collection[str]) -> None:
+    def retain_members(self, live: typing.Collection[str]) -> None:
         """Forget what members report that are no longer live."""
         with self.lock:
             gone = self.shared.keys() - live
@@ -159,25 +161,25 @@
         if gone:
             self.changed.set()
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Forget an engine that no longer reports."""
         with self.lock:
             known = self.reports.pop(name, None)
         if known is not None:
             self.changed.set()
 
-    def drop_older(self, name: str, requested_s: float) -> None:
+    def remove_older(self, name: str, requested_s: float) -> None:
         """Forget an engine's report if it was asked for before a time."""
         report = self.reports.get(name)
         if report is not None and report.requested_s < requested_s:
-            self.drop(name)
+            self.remove(name)
 
     def own(self) -> dict[str, Report]:
         """Return the reports asked for by this process."""
         with self.lock:
             return dict(self.reports)
 
-    def told(self) -> set[str]:
+    def shared_names(self) -> set[str]:
         """Return the engines that other members report."""
         with self.lock:
             return {
--- a/src/briarseam/orders/status.py
+++ b/src/briarseam/orders/status.py
@@ -16,72 +16,74 @@
 # look.
 STUCK_S = 15.0
 REASONS = {
-    planner.Wait.FLOOR: "floor leaves none to spare",
-    planner.Wait.LIMIT: "as many load as may",
-    planner.Wait.LOADING: "loading",
-    planner.Wait.UNREACHABLE: "not reporting",
-    planner.Wait.FENCE_AHEAD: "has a higher fencing number",
+    planner.WaitReason.FLOOR: "floor leaves none to spare",
+    planner.WaitReason.LOADING_LIMIT: "as many load as may",
+    planner.WaitReason.LOADING: "loading",
+    planner.WaitReason.UNREACHABLE: "not reporting",
+    planner.WaitReason.FENCE_AHEAD: "has a higher fencing number",
 }
 
 
 @dataclasses.dataclass(frozen=True)
-class Since:
+class Observation:
     """The last picture of a model and since when it has been so."""
 
-    picture: typing.Any
-    since_s: float
+    observed: typing.Any
+    started_s: float
 
 
-class Watch:
+class ProgressWatch:
     """Tells since when each model has not moved."""
 
     def __init__(self) -> None:
-        self.pictures: dict[str, Since] = {}
+        self.observations: dict[str, Observation] = {}
 
-    def look(self, model: str, picture: typing.Any, now_s: float) -> None:
+    def update(self, model: str, observed: typing.Any, now_s: float) -> None:
         """Take in how a model stands now; ``None`` when it is done."""
-        known = self.pictures.get(model)
-        if picture is None:
-            self.pictures.pop(model, None)
-        elif known is None or known.picture != picture:
-            self.pictures[model] = Since(picture, now_s)
+        observation = self.observations.get(model)
+        if observed is None:
+            self.observations.pop(model, None)
+        elif observation is None or observation.observed != observed:
+            self.observations[model] = Observation(observed, now_s)
 
     def unchanged_s(self, model: str, now_s: float) -> float:
         """Return for how long a model has not moved; 0 when done."""
-        known = self.pictures.get(model)
-        return now_s - known.since_s if known else 0.0
+        observation = self.observations.get(model)
+        return now_s - observation.started_s if observation else 0.0
 
 
-def picture_of(
+def statuses_of(
     goal: goals.ModelGoal,
     targets: typing.Sequence[goals.Target],
     reports: planner.Reports,
-    errands: planner.Errands,
-) -> dict[str, state.Standing]:
+    load_orders: planner.LoadOrders,
+) -> dict[str, state.VersionStatus]:
     """Return how each engine stands to one model."""
     return {
-        target.name: standing_with_adapter(
-            goal, target, reports, errands.get((target.name, goal.model))
+        target.name: version_status_with_adapter(
+            goal, target, reports, load_orders.get((target.name, goal.model))
         )
         for target in targets
     }
 
 
-def standing_with_adapter(
+def version_status_with_adapter(
     goal: goals.ModelGoal,
     target: goals.Target,
     reports: planner.Reports,
-    errand: state.Errand | None,
-) -> state.Standing:
+    load_order: state.LoadOrder | None,
+) -> state.VersionStatus:
     """Return how an engine stands; serving only with the adapter."""
     report = reports.get(target.name)
-    found = state.standing_of(goal.model, goal.version, report, errand)
-    if found is not state.Standing.SERVING or not goal.adapter:
-        return found
+    version_status = state.version_status_of(
+        goal.model, goal.version, report, load_order
+    )
+    if version_status is not state.VersionStatus.SERVING or not goal.adapter:
+        return version_status
     loaded = report.state.models[goal.model] if report else None
     if loaded is not None and goal.adapter in loaded.adapters:
-        return found
-    return state.Standing.OTHER
+        return version_status
+    return state.VersionStatus.OTHER_VERSION
 
 
 def progress_of(
@@ -96,20 +98,22 @@
 
 
 def reason_of(
-    model: str, work: rollout.Rollout, standings: dict[str, state.Standing]
+    model: str,
+    scope_rollout: rollout.Rollout,
+    statuses: dict[str, state.VersionStatus],
 ) -> str:
     """Return what a model waits for, the widest reason first."""
-    if work.blocked:
-        return work.blocked
+    if scope_rollout.blocked:
+        return scope_rollout.blocked
     reasons = [
         f"{name}: {detail}"
-        for name, detail in sorted(dict(work.giver.refusals).items())
-        if name in standings
+        for name, detail in sorted(dict(scope_rollout.issuer.refusals).items())
+        if name in statuses
     ]
     waits: dict[str, list[str]] = collections.defaultdict(list)
-    for waiting in work.waiting:
+    for waiting in scope_rollout.waiting:
         if waiting.model == model:
-            waits[REASONS[waiting.why]].append(waiting.target.name)
+            waits[REASONS[waiting.reason]].append(waiting.target.name)
     reasons += [
         f"{', '.join(sorted(names))}: {reason}"
         for reason, names in sorted(waits.items())
@@ -119,30 +123,32 @@
 
 def model_rollout(
     goal: goals.ModelGoal,
-    standings: dict[str, state.Standing],
+    statuses: dict[str, state.VersionStatus],
     holder: str,
     unchanged_s: float,
     why: str,
 ) -> messages.ModelRollout:
     """Return how far one model is."""
 
-    def named(*kinds: state.Standing) -> tuple[str, ...]:
+    def names_with(*included: state.VersionStatus) -> tuple[str, ...]:
         return tuple(
-            sorted(name for name, kind in standings.items() if kind in kinds)
+            sorted(
+                name for name, status in statuses.items() if status in included
+            )
         )
 
-    done = is_done(standings)
-    unreachable = named(state.Standing.UNREACHABLE)
+    done = is_done(statuses)
+    unreachable = names_with(state.VersionStatus.UNREACHABLE)
     if done and unreachable:
         why = f"{', '.join(unreachable)}: not reporting"
     return messages.ModelRollout(
         model=goal.model,
         version=goal.version,
         adapter=goal.adapter,
-        endpoints=len(standings),
-        serving=named(state.Standing.SERVING),
-        other_versions=named(state.Standing.OTHER),
-        loading=named(*state.COUNTED_LOADING),
+        endpoints=len(statuses),
+        serving=names_with(state.VersionStatus.SERVING),
+        other_versions=names_with(state.VersionStatus.OTHER_VERSION),
+        loading=names_with(*state.COUNT_AS_LOADING),
         unreachable=unreachable,
         floor=goal.floor,
         holder=holder,
@@ -153,9 +159,10 @@
     )
 
 
-def is_done(standings: dict[str, state.Standing]) -> bool:
+def is_done(statuses: dict[str, state.VersionStatus]) -> bool:
     """Tell whether every engine that reports is as wanted."""
     return all(
-        kind in (state.Standing.SERVING, state.Standing.UNREACHABLE)
-        for kind in standings.values()
+        status
+        in (state.VersionStatus.SERVING, state.VersionStatus.UNREACHABLE)
+        for status in statuses.values()
     )
--- a/tests/orders/gate.py
+++ b/tests/orders/delaying_proxy.py
@@ -11,7 +11,7 @@
 END = b"\r\n\r\n"
 
 
-class Gate:
+class DelayingProxy:
     """Passes connections on; holds back the first ``hold`` orders.
 
     What is held back goes on when the gate opens, also when its sender
@@ -27,7 +27,7 @@
         self.target = address.rpartition(":")[::2]
         self.hold = hold
         self.on_held = on_held
-        self.opened = threading.Event()
+        self.released = threading.Event()
         self.lock = threading.Lock()
         self.held = 0
         self.late_statuses: list[int] = []
@@ -35,11 +35,11 @@
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
         threading.Thread(target=self.accept, daemon=True).start()
 
-    def __enter__(self) -> Gate:
+    def __enter__(self) -> DelayingProxy:
         return self
 
     def __exit__(self, *raised: object) -> None:
-        self.opened.set()
+        self.released.set()
         self.listener.close()
 
     def accept(self) -> None:
@@ -57,21 +57,21 @@
             server = socket.create_connection((host, int(port)))
             with server:
                 while request := read_message(client):
-                    late = self.keep_back(request)
+                    late = self.hold_back(request)
                     server.sendall(request)
                     answer = read_message(server)
                     if late:
                         self.late_statuses.append(int(answer.split()[1]))
                     client.sendall(answer)
 
-    def keep_back(self, request: bytes) -> bool:
+    def hold_back(self, request: bytes) -> bool:
         """Wait for the gate when this is an order to hold back."""
         with self.lock:
             if not request.startswith(ORDER) or self.held >= self.hold:
                 return False
             self.held += 1
         self.on_held()
-        self.opened.wait()
+        self.released.wait()
         return True
 
 
--- a/tests/orders/test_goals.py
+++ b/tests/orders/test_goals.py
@@ -73,6 +73,6 @@
     orders.scopes = goals.scopes_of(view)
     first, *others = orders.scopes
     for scope in others:
-        places[scope.lease] = service.CANDIDATES
-    assert orders.takes_part(first)
-    assert not any(orders.takes_part(scope) for scope in others)
+        places[scope.lease] = service.CANDIDATES_PER_SCOPE
+    assert orders.is_candidate(first)
+    assert not any(orders.is_candidate(scope) for scope in others)
--- a/tests/orders/test_late_orders.py
+++ b/tests/orders/test_late_orders.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from tests.orders import gate
+from tests.orders import delaying_proxy
 
 from briarseam.endpoints import engine_orders
 from briarseam.testing import waiting
@@ -8,10 +8,14 @@
 MODEL = "draft"
 
 
-def held_back(deployment, name: str, hold: int) -> gate.Gate:
+def held_back(
+    deployment, name: str, hold: int
+) -> delaying_proxy.DelayingProxy:
     """Put a gate before one engine."""
     address = deployment.addresses[name]
-    found = deployment.stack.enter_context(gate.Gate(address, hold))
+    found = deployment.stack.enter_context(
+        delaying_proxy.DelayingProxy(address, hold)
+    )
     deployment.addresses[name] = found.address
     return found
 
@@ -36,7 +40,7 @@
     agent = deployment.add_agent()
     deployment.until_all("v2")
     deployment.until_done()
-    slow.opened.set()
+    slow.released.set()
     waiting.until(lambda: slow.late_statuses)
     assert slow.late_statuses == [409]
     assert deployment.versions() == ["v2", "v2"]
@@ -58,7 +62,7 @@
     deployment.until_all("v3")
     deployment.until_done()
     before = len(given(agent, "worker-1", "taken"))
-    slow.opened.set()
+    slow.released.set()
     waiting.until(lambda: slow.late_statuses)
     assert slow.late_statuses == [202]
     waiting.until(lambda: len(given(agent, "worker-1", "taken")) > before)
@@ -82,7 +86,7 @@
     waiting.until(lambda: len(given(agent, "worker-3", "lost")) > before + 1)
     assert deployment.versions() == ["v2", "v2", "v1"]
     assert not deployment.loading()
-    slow.opened.set()
+    slow.released.set()
     deployment.until_all("v3", timeout_s=30)
 
 
--- a/tests/orders/test_planner.py
+++ b/tests/orders/test_planner.py
@@ -43,17 +43,17 @@
         strategies.sampled_from([0, 0, 0, 99]),
     ),
 )
-ERRANDS = strategies.one_of(
+LOAD_ORDERS = strategies.one_of(
     strategies.none(),
     strategies.builds(
-        state.Errand,
+        state.LoadOrder,
         strategies.sampled_from(["v1", "v2"]),
         strategies.sampled_from([5.0, 15.0]),
         strategies.booleans(),
     ),
 )
 WORKERS = strategies.lists(
-    strategies.tuples(REPORTS, ERRANDS), min_size=8, max_size=8
+    strategies.tuples(REPORTS, LOAD_ORDERS), min_size=8, max_size=8
 )
 
 
@@ -74,26 +74,28 @@
         for name, (report, _) in zip(NAMES, workers, strict=True)
         if report
     }
-    errands = {
-        (name, MODEL): errand
-        for name, (_, errand) in zip(NAMES, workers, strict=True)
-        if errand
+    load_orders = {
+        (name, MODEL): load_order
+        for name, (_, load_order) in zip(NAMES, workers, strict=True)
+        if load_order
     }
-    plan = planner.Planner(scope, reports, errands, fence=50).plan()
-    standings = {
-        name: state.standing_of(
-            MODEL, "v2", reports.get(name), errands.get((name, MODEL))
+    plan = planner.Planner(scope, reports, load_orders, fence=50).plan()
+    statuses = {
+        name: state.version_status_of(
+            MODEL, "v2", reports.get(name), load_orders.get((name, MODEL))
         )
         for name in NAMES
     }
-    serving = {n for n, s in standings.items() if s in state.COUNTED_SERVING}
-    loading = {n for n, s in standings.items() if s in state.COUNTED_LOADING}
+    serving = {n for n, s in statuses.items() if s in state.COUNT_AS_SERVING}
+    loading = {n for n, s in statuses.items() if s in state.COUNT_AS_LOADING}
     ordered = {step.target.name for step in plan.steps}
     taken_out = ordered & serving
     assert not taken_out or len(serving - taken_out) >= floor
     new = ordered - loading
     assert not new or len(loading | new) <= max_loading
-    assert taken_out == {s.target.name for s in plan.steps if s.lowers}
+    assert taken_out == {
+        s.target.name for s in plan.steps if s.interrupts_serving
+    }
     for name in ordered:
         assert reports[name].state.fence <= 50
 
--- a/tests/orders/test_state.py
+++ b/tests/orders/test_state.py
@@ -17,17 +17,17 @@
 @pytest.mark.parametrize(
     ("found", "expected"),
     [
-        (None, state.Standing.UNREACHABLE),
-        (report(None), state.Standing.EMPTY),
-        (report("v1"), state.Standing.OTHER),
-        (report("v1", "v2"), state.Standing.LOADING),
-        (report("v2", "v3"), state.Standing.LOADING_OTHER),
-        (report("v2"), state.Standing.SERVING),
+        (None, state.VersionStatus.UNREACHABLE),
+        (report(None), state.VersionStatus.EMPTY),
+        (report("v1"), state.VersionStatus.OTHER_VERSION),
+        (report("v1", "v2"), state.VersionStatus.LOADING),
+        (report("v2", "v3"), state.VersionStatus.LOADING_OTHER),
+        (report("v2"), state.VersionStatus.SERVING),
     ],
     ids=lambda value: str(value) if isinstance(value, str) else "",
 )
 def test_standing_follows_the_report(found, expected):
-    assert state.standing_of("draft", "v2", found, None) is expected
+    assert state.version_status_of("draft", "v2", found, None) is expected
 
 
 def test_report_from_before_an_order_does_not_count():
@@ -35,9 +35,9 @@
 
     Its answer says that the worker serves, just as it stops serving.
     """
-    errand = state.Errand("v2", ended_s=11.0, settled=True)
-    found = state.standing_of("draft", "v2", report("v1"), errand)
-    assert found is state.Standing.ORDERED
+    load_order = state.LoadOrder("v2", ended_s=11.0, confirmed=True)
+    found = state.version_status_of("draft", "v2", report("v1"), load_order)
+    assert found is state.VersionStatus.ORDERED
 
 
 def test_older_report_does_not_replace_a_newer_one():
@@ -54,9 +54,9 @@
     data = sharing.Sharing(there, lambda: 20.0).provide()
     sharing.Sharing(here, lambda: 20.0).consume("agent-2", data)
     assert here.all()["worker-1"].state == report("v1").state
-    here.keep_members({"agent-2"})
+    here.retain_members({"agent-2"})
     assert here.all()
-    here.keep_members(set())
+    here.retain_members(set())
     assert not here.all()
 
 
@@ -68,8 +68,8 @@
     there, here = state.EngineReports(), state.EngineReports()
     there.put("worker-1", report("v1", requested_s=10.0))
     data = sharing.Sharing(there, lambda: 10.0).provide()
-    errand = state.Errand("v2", ended_s=11.0, settled=True)
+    load_order = state.LoadOrder("v2", ended_s=11.0, confirmed=True)
     sharing.Sharing(here, lambda: 12.0).consume("agent-2", data)
     found = here.all()["worker-1"]
-    standing = state.standing_of("draft", "v2", found, errand)
-    assert standing is state.Standing.ORDERED
+    standing = state.version_status_of("draft", "v2", found, load_order)
+    assert standing is state.VersionStatus.ORDERED
--- a/tests/orders/test_steps.py
+++ b/tests/orders/test_steps.py
@@ -5,8 +5,8 @@
 from briarseam.endpoints import engine_orders
 from briarseam.leases import outcomes
 from briarseam.metrics import registry
-from briarseam.orders import giver as givers
 from briarseam.orders import goals
+from briarseam.orders import issuer as issuer_module
 from briarseam.orders import rollout
 from briarseam.orders import state
 
@@ -26,7 +26,7 @@
 
     now_s: float = 0.0
     freeze_s: float = 0.0
-    given: int = 0
+    orders_given: int = 0
 
     def clock(self) -> float:
         return self.now_s
@@ -45,7 +45,7 @@
         return engine_orders.EngineState("boot", {MODEL: loaded})
 
     def give(self, *order):
-        self.given += 1
+        self.orders_given += 1
         return engine_orders.Taken(loading=True)
 
 
@@ -56,18 +56,18 @@
     world.now_s = 0.0
     counters = registry.Registry().counters("x_total", "x", ("a", "b"))
     work = rollout.Rollout(
-        givers.Tools(
+        issuer_module.Context(
             leases=world,
             engines=world,
             engine_reports=engine_reports,
             clock=world.clock,
-            note=lambda *args, **fields: None,
+            record_event=lambda *args, **fields: None,
             precedence=lambda lease: 0,
-            given=counters,
+            orders_given=counters,
         )
     )
     work.step(SCOPE, 1)
-    return world.given
+    return world.orders_given
 
 
 def test_order_follows_when_the_lease_holds():
