--- a/src/briarseam/orders/goals.py
+++ b/src/briarseam/orders/goals.py
@@ -1,9 +1,9 @@
-"""What the configuration wants of the engines, cut into scopes.
+"""Desired state of the engines by configuration, divided into scopes.
 
-A scope is the engines that one lease holder gives orders to.  An engine
-keeps one fencing number for all its models, so leases of several models on
-the same engine would refuse each other's orders; hence one lease covers
-all models of a scope.
+A scope is the set of engines that one lease holder sends orders to.  An
+engine keeps one fencing number for all its models, so with a lease for
+each model an order under one lease would make the engine refuse the orders
+under the others.  Hence one lease covers all models of a scope.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class ModelGoal:
-    """What is wanted of one model in a scope.
+    """Desired state of one model in a scope.
 
     Attributes
     ----------
     model, version, adapter
         What to serve; no adapter when empty.
     floor
-        Engines of the scope that keep serving at any time.
+        Least number of engines of the scope that serve at any time.
     """
 
     model: str
@@ -41,16 +41,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Target:
-    """An engine that gets orders.
+    """An engine that receives orders.
 
     Attributes
     ----------
     name, address, zone
         Of the engine.
     models
-        Configured models that it is to serve.
+        Configured models that it should serve.
     role
-        Role it is to take; empty leaves it as it is.
+        Desired role; empty leaves the role unchanged.
     """
 
     name: str
@@ -71,9 +71,9 @@
     targets
         The engines, in order of name.
     goals
-        By model.
+        Desired state by model.
     max_loading
-        Engines of the scope that load at once.
+        Largest number of engines of the scope that load at once.
     weights
         ``ip:port`` of the weight store, if there is one.
     """
@@ -85,7 +85,7 @@
     weights: str | None
 
     def targets_of_model(self, model: str) -> tuple[Target, ...]:
-        """Return the engines that are to serve a model."""
+        """Return the engines that should serve a model."""
         return tuple(
             target for target in self.targets if model in target.models
         )
@@ -94,10 +94,11 @@
 def scopes_of(view: schema.View) -> tuple[Scope, ...]:
     """Return the scopes of a configuration.
 
-    Up to ``SCOPE_ENGINES`` engines form one scope, so its holder keeps the
-    floor and the loading limit exactly.  Beyond that engines are cut by
-    their names' hash into as many scopes as may load at all, and each gets
-    its part of the limit and, rounded up, of the floor.
+    Up to ``SCOPE_ENGINES`` engines form one scope, so its holder enforces
+    the floor and the loading limit exactly.  More engines are divided into
+    scopes by the hash of their names.  There are at most as many scopes as
+    engines may load at once, and each scope has its share of the limit and
+    its share, rounded up, of the floor.
     """
     targets = targets_of(view)
     weights = view.weights
@@ -119,9 +120,9 @@
 
 
 def targets_of(view: schema.View) -> tuple[Target, ...]:
-    """Return all engines that get orders, in order of name.
+    """Return all engines that receive orders, in order of name.
 
-    A draining engine gets none: it is on its way out.
+    A draining engine is excluded because it is being removed.
     """
     return tuple(
         Target(
@@ -140,7 +141,7 @@
 
 
 def part_number_of(name: str, parts: int) -> int:
-    """Return which part an engine belongs to."""
+    """Return the index of the part that an engine belongs to."""
     if parts == 1:
         return 0
     return xxhash.xxh64_intdigest(name.encode()) % parts
@@ -151,7 +152,7 @@
     targets: typing.Sequence[Target],
     chosen: typing.Sequence[Target],
 ) -> dict[str, ModelGoal]:
-    """Return what is wanted of each model that ``chosen`` serve."""
+    """Return the goals of the models that the ``chosen`` engines serve."""
     goals = {}
     for name, model in view.models.items():
         in_scope = sum(name in target.models for target in chosen)
--- a/src/briarseam/orders/issuer.py
+++ b/src/briarseam/orders/issuer.py
@@ -1,4 +1,4 @@
-"""Giving engines single orders, and what became of each."""
+"""Sending single orders to engines and handling their answers."""
 
 from __future__ import annotations
 
@@ -24,20 +24,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class Context:
-    """What every rollout of a process uses.
+    """What all rollouts of a process share.
 
     Attributes
     ----------
     leases, engines, engine_reports
-        Fencing numbers, the engines and their reports.
+        Fencing numbers, the client of the engines and their reports.
     clock
-        Seconds; the leases' clock.
-    note
-        Notes an event on the time line.
+        Returns seconds; the clock of the leases.
+    record_event
+        Records an event on the time line.
     precedence
-        This process's place among those that may take a lease; 0 first.
-    given
-        Counts orders by kind and outcome.
+        Position of this process among those that may acquire a lease, by
+        name of the lease; 0 is first.
+    orders_given
+        Counter of orders, by kind and outcome.
     """
 
     leases: leases_service.Leases
@@ -51,14 +52,22 @@
 
 @dataclasses.dataclass(frozen=True)
 class Backoff:
-    """When an order may be given again."""
+    """When an order may be sent again.
+
+    Attributes
+    ----------
+    not_before_s
+        Earliest time, in seconds of the clock.
+    attempts
+        How often the order was sent.
+    """
 
     not_before_s: float
     attempts: int
 
 
 class IssueResult(enum.Enum):
-    """What follows from the attempt to give an order."""
+    """Whether further orders may follow an order, and if not, why."""
 
     CONTINUE = "go on"
     LEASE_EXPIRED = "the lease ran out"
@@ -67,14 +76,18 @@
 
 
 class Issuer:
-    """Gives the orders of one scope; used by one thread only.
+    """Sends the orders of one scope; not thread-safe.
 
     Attributes
     ----------
-    errands
-        Last load given, by engine and model.
+    load_orders
+        Last load ordered, by engine and model.
+    backoffs
+        When an order may be sent again, by engine and order.
     refusals
-        What engines last said against an order, by name.
+        Why the last order was not accepted, by engine.
+    order_number
+        Number of the last order; part of its ID.
     """
 
     def __init__(self, context: Context) -> None:
@@ -85,12 +98,12 @@
         self.order_number = 0
 
     def reset_backoffs(self) -> None:
-        """Begin anew with pauses and refusals."""
+        """Clear the backoffs and the refusals."""
         self.backoffs.clear()
         self.refusals.clear()
 
     def reset(self) -> None:
-        """Forget all that was given."""
+        """Forget all orders, backoffs and refusals."""
         self.load_orders.clear()
         self.reset_backoffs()
 
@@ -101,23 +114,23 @@
         target: goals.Target,
         order: engine_orders.Order,
     ) -> IssueResult:
-        """Give one order unless it is too early to repeat it.
+        """Send one order unless its backoff has not elapsed.
 
         Parameters
         ----------
         lease, fence
-            Under which it is given.
+            Lease and fencing number under which it is sent.
         target
             The engine.
         order
-            What should be so.
+            Desired state of the engine.
         """
         now_s = self.context.clock()
         backoff = self.backoffs.get((target.name, order))
         if backoff is not None and now_s < backoff.not_before_s:
             return IssueResult.CONTINUE
-        # The lease may have run out since the last order, for instance
-        # while this process was frozen: then a successor gives the orders.
+        # The lease may have expired after the last order, for instance
+        # while this process was frozen; another holder then issues orders.
         if self.context.leases.holds(lease) != fence:
             return IssueResult.LEASE_EXPIRED
         self.order_number += 1
@@ -135,7 +148,7 @@
         order: engine_orders.Order,
         outcome: engine_orders.Outcome,
     ) -> IssueResult:
-        """Draw what follows from an engine's answer."""
+        """Handle an engine's answer; return whether orders may follow."""
         match outcome:
             case engine_orders.Taken():
                 self.refusals.pop(target.name, None)
@@ -145,7 +158,9 @@
                 self.refusals[target.name] = detail
                 return IssueResult.CONTINUE
             case engine_orders.Superseded(fence):
-                self.refusals[target.name] = f"has taken number {fence}"
+                self.refusals[target.name] = (
+                    f"has accepted fencing number {fence}"
+                )
                 self.context.leases.step_down(lease)
                 return IssueResult.SUPERSEDED
             case engine_orders.Lost(detail):
@@ -159,7 +174,7 @@
         order: engine_orders.Order,
         confirmed: bool,
     ) -> None:
-        """Remember a load that was or may have been taken."""
+        """Record a load that the engine accepted or may have accepted."""
         if not isinstance(order, engine_orders.Load):
             return
         self.load_orders[target.name, order.model] = state.LoadOrder(
@@ -173,7 +188,7 @@
         fence: int,
         outcome: engine_orders.Outcome,
     ) -> None:
-        """Count an order and put it on the time line."""
+        """Count an order and record it on the time line."""
         kind = type(order).__name__.lower()
         result = type(outcome).__name__.lower()
         self.context.orders_given.labelled(kind, result).add()
@@ -189,7 +204,7 @@
 
 
 def next_backoff(backoff: Backoff | None, now_s: float) -> Backoff:
-    """Return when an order may be given once more."""
+    """Return the backoff after an order, doubled with each attempt."""
     attempts = backoff.attempts if backoff else 0
     wait_s = min(FIRST_BACKOFF_S * 2**attempts, MAX_BACKOFF_S)
     return Backoff(now_s + wait_s, attempts + 1)
--- a/src/briarseam/orders/messages.py
+++ b/src/briarseam/orders/messages.py
@@ -1,4 +1,4 @@
-"""How far rollouts are, for operators."""
+"""Messages that report the progress of rollouts to operators."""
 
 from __future__ import annotations
 
@@ -10,40 +10,41 @@
 @codec.message("ask-rollouts")
 @dataclasses.dataclass(frozen=True)
 class AskRollouts:
-    """Ask an agent how it sees the rollouts."""
+    """Query the progress of the rollouts as one agent sees it."""
 
 
 @codec.message("model-rollout")
 @dataclasses.dataclass(frozen=True)
 class ModelRollout:
-    """How far one model is, as one agent sees it.
+    """Progress of one model as one agent sees it.
 
     Attributes
     ----------
     model, version, adapter
-        What is wanted.
+        The desired state.
     endpoints
-        Engines that are to serve it.
+        Number of engines that should serve it.
     serving
-        Engines that report what is wanted.
+        Engines that report the desired state.
     other_versions
         Engines that serve another version.
     loading
-        Engines that load.
+        Engines that are loading.
     unreachable
         Engines that do not report.
     floor
-        Least number that keeps serving.
+        Least number of engines that serve at any time.
     holder
-        Who gives the orders; empty when nobody does.
+        Holder of the lease; empty when there is none.
     done
-        Whether every engine that reports is as wanted.
+        Whether every engine that reports is in the desired state.
     unchanged_s
-        Seconds since anything changed; 0 when done.
+        Seconds without a change; 0 when done.
     stuck
-        Whether that is longer than a load should take.
+        Whether ``unchanged_s`` is longer than a load should take.
     why
-        What it waits for; empty when done.
+        What it waits for; when done, the engines that do not report, or
+        empty.
     """
 
     model: str
@@ -65,7 +66,17 @@
 @codec.message("rollouts")
 @dataclasses.dataclass(frozen=True)
 class Rollouts:
-    """All models of an agent's configuration."""
+    """Progress of all models in the configuration of an agent.
+
+    Attributes
+    ----------
+    agent
+        Name of the agent.
+    offset
+        Offset of its configuration.
+    models
+        Progress by model and scope.
+    """
 
     agent: str
     offset: int
--- a/src/briarseam/orders/offers.py
+++ b/src/briarseam/orders/offers.py
@@ -1,4 +1,4 @@
-"""Which version of a model new requests ask for, and of which engine."""
+"""Choosing the engines and the model versions for new requests."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def serving_versions(
     reports: planner.Reports,
 ) -> dict[str, dict[str, str]]:
-    """Return the reported versions by engine and model."""
+    """Return the reported versions, by engine and model."""
     return {
         name: {
             model: loaded.version
@@ -34,20 +34,21 @@
 ) -> dict[str, state.Offer]:
     """Return what each engine offers for new requests of a model.
 
-    Until as many engines as the floor report the wanted version, the
-    others go on serving theirs: sending everything to the first engine
-    that is done would overload it.  The same goes for the adapter.
+    Until as many engines as the floor report the desired version, the
+    others continue to serve theirs, because sending all requests to the
+    first updated engine would overload it.  The same holds for the adapter.
 
     Parameters
     ----------
-    model, wanted
+    model, desired
         The model and its configuration.
     targets
-        Engines that are to serve it.
+        Engines that should serve it.
     reports
-        Last report by engine.
+        Last report, by engine.
     former_adapter
-        Adapter wanted before the present one, if that is known.
+        Adapter in the configuration before the current one; ``None`` when
+        it is not known.
     """
     enough = max(1, desired.floor)
     versions = state.Offer(desired.version, desired.adapter)
@@ -74,7 +75,7 @@
 def usable_adapter(
     desired: str, former: str | None, loaded: tuple[str, ...]
 ) -> str | None:
-    """Return the adapter to ask an engine for; ``None`` when none fits."""
+    """Return the adapter that a request names; ``None`` if none fits."""
     if not desired or desired in loaded:
         return desired
     if former is not None and (not former or former in loaded):
--- a/src/briarseam/orders/peers.py
+++ b/src/briarseam/orders/peers.py
@@ -1,4 +1,4 @@
-"""The other processes that could give orders."""
+"""The other processes that may issue orders."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 @dataclasses.dataclass(frozen=True)
 class Peers:
-    """The other processes that could give orders; none by default.
+    """The other processes that may issue orders; none by default.
 
     Attributes
     ----------
     precedence
-        Place of this process among those that may take a lease, by name
-        of the lease; 0 first.
+        Position of this process among those that may acquire a lease, by
+        name of the lease; 0 is first.
     owns
-        Whether this process polls an engine for all of them.
+        Whether this process polls an engine on behalf of all.
     live
-        Names of those that share the polling.
+        Names of the processes that share the polling.
     reporting
-        Names of those whose reports count: the live ones, and those that
-        are leaving.  An owner that shuts down reports its engines until it
-        exits; without them this process would have nothing to offer until
-        it has polled them itself.
+        Names of the processes whose reports are used: live and leaving
+        ones.  An owner that shuts down reports its engines until it exits.
+        Without these reports this process has nothing to offer until it
+        has polled the engines itself.
     known
-        Names of all that answer operators.
+        Names of all processes that answer operators.
     """
 
     precedence: typing.Callable[[str], int] = lambda lease: 0
--- a/src/briarseam/orders/planner.py
+++ b/src/briarseam/orders/planner.py
@@ -1,7 +1,7 @@
-"""Which orders to give next, from what is wanted and what is reported.
+"""Planning the next orders from the desired and the reported state.
 
-Pure, so that the floor and the loading limit can be checked over any
-states of the engines.
+Planning has no side effects, so that tests can check the floor and the
+loading limit for any states of the engines.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class WaitReason(enum.StrEnum):
-    """Why an engine that differs gets no order now."""
+    """Why an engine that differs from its goal receives no order now."""
 
     FLOOR = "floor"
     LOADING_LIMIT = "loading-limit"
@@ -28,16 +28,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Step:
-    """One order to give.
+    """One order to send.
 
     Attributes
     ----------
     target
         The engine.
     order
-        What should be so.
-    lowers
-        Whether an engine that serves stops serving meanwhile.
+        Desired state of the engine.
+    interrupts_serving
+        Whether the engine serves now and stops serving while it loads.
     """
 
     target: goals.Target
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Waiting:
-    """An engine that differs and has to wait."""
+    """An engine that differs from its goal and has to wait."""
 
     target: goals.Target
     model: str
@@ -56,7 +56,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Plan:
-    """What to do now and what waits; both empty when all is as wanted."""
+    """Orders to send now and engines that wait.
+
+    Both are empty when all engines are in the desired state.
+    """
 
     steps: tuple[Step, ...]
     waiting: tuple[Waiting, ...]
@@ -67,19 +70,19 @@
 
 
 class Planner:
-    """Plans one scope once.
+    """Makes one plan for one scope.
 
     Parameters
     ----------
     scope
-        The engines and what is wanted.
+        The engines and their goals.
     reports
-        Last report by engine; absent when it does not report.
-    errands
-        Last load given by engine and model.
+        Last report, by engine; absent for an engine that does not report.
+    load_orders
+        Last load ordered, by engine and model.
     fence
-        Our fencing number; ``None`` when we hold no lease, to see what is
-        left to do.
+        Fencing number of this process; ``None`` without a lease, for a
+        plan that only shows the remaining work.
     """
 
     def __init__(
@@ -100,7 +103,7 @@
         }
 
     def plan(self) -> Plan:
-        """Return the orders to give now."""
+        """Return the orders to send now and the engines that wait."""
         for goal in self.scope.goals.values():
             self.plan_loads(goal)
             self.plan_adapters(goal)
@@ -110,7 +113,7 @@
     def status_of(
         self, target: goals.Target, model: str
     ) -> state.VersionStatus:
-        """Return how an engine stands to what is wanted of a model."""
+        """Return the status of an engine compared with a model's goal."""
         return state.version_status_of(
             model,
             self.scope.goals[model].version,
@@ -119,7 +122,7 @@
         )
 
     def is_loading(self, target: goals.Target) -> bool:
-        """Tell whether an engine loads anything as far as we know."""
+        """Return whether an engine loads, by its report and its orders."""
         report = self.reports.get(target.name)
         if report is not None and any(
             model.loading is not None for model in report.state.models.values()
@@ -171,8 +174,8 @@
     ) -> None:
         """Plan loads on engines that serve another version.
 
-        Engines go first whose zone has most that serve, so that a rollout
-        does not empty a zone.
+        Engines of the zone with the most serving engines come first, so
+        that a rollout does not leave a zone without a serving engine.
         """
         spare = len(serving) - goal.floor
         serving_by_zone = collections.Counter(
@@ -187,8 +190,8 @@
                 ),
             )
             behind.remove(target)
-            # Taking out one more engine would leave fewer than the floor;
-            # it shows as requests refused for want of an endpoint.
+            # Loading on one more engine leaves fewer serving engines than
+            # the floor, and requests are refused for lack of an endpoint.
             if spare <= 0:
                 self.add_waiting(target, goal, WaitReason.FLOOR)
             elif self.add_load_within_limit(
@@ -203,9 +206,15 @@
         goal: goals.ModelGoal,
         interrupts_serving: bool,
     ) -> bool:
-        """Plan a load unless too many load already."""
-        # More loads at once than the weight store carries make every one
-        # of them slower.  A second model on a loading engine waits too.
+        """Plan a load unless the loading limit is reached.
+
+        Returns
+        -------
+        bool
+            Whether the load is planned.
+        """
+        # More simultaneous loads than the weight store sustains slow down
+        # all of them.  A second model on a loading engine waits, too.
         if target.name in self.loading:
             self.add_waiting(target, goal, WaitReason.LOADING)
             return False
@@ -218,7 +227,7 @@
         return True
 
     def plan_repeat(self, target: goals.Target, goal: goals.ModelGoal) -> None:
-        """Plan an order again whose answer was lost."""
+        """Plan a load again if its answer was lost."""
         load_order = self.load_orders[target.name, goal.model]
         report = self.reports[target.name]
         if load_order.confirmed or report.requested_s < load_order.ended_s:
@@ -232,7 +241,7 @@
         goal: goals.ModelGoal,
         interrupts_serving: bool,
     ) -> bool:
-        """Plan a load; tell whether the engine would take it."""
+        """Plan a load; return whether the engine would accept it."""
         if self.fence_ahead(target):
             self.add_waiting(target, goal, WaitReason.FENCE_AHEAD)
             return False
@@ -260,7 +269,7 @@
             self.steps.append(Step(target, order))
 
     def plan_roles(self) -> None:
-        """Plan the engines' roles."""
+        """Plan the roles of the engines."""
         for target in self.scope.targets:
             report = self.reports.get(target.name)
             if not target.role or report is None:
@@ -272,10 +281,10 @@
                 self.steps.append(Step(target, order))
 
     def fence_ahead(self, target: goals.Target) -> bool:
-        """Tell whether the engine has taken a number above ours.
+        """Return whether the engine has accepted a higher fencing number.
 
-        It would refuse every order.  Asking for the lease again and again
-        would flood the log without ever reaching that number.
+        It refuses every order of this process.  Acquiring the lease again
+        for each refusal would flood the log without reaching that number.
         """
         report = self.reports.get(target.name)
         if report is None or self.fence is None:
@@ -285,5 +294,5 @@
     def add_waiting(
         self, target: goals.Target, goal: goals.ModelGoal, reason: WaitReason
     ) -> None:
-        """Note that an engine has to wait."""
+        """Add an engine that has to wait to the plan."""
         self.waiting.append(Waiting(target, goal.model, reason))
--- a/src/briarseam/orders/pollers.py
+++ b/src/briarseam/orders/pollers.py
@@ -1,4 +1,4 @@
-"""Reading the engines' states: one thread for each engine."""
+"""Polling the states of the engines, with one thread for each engine."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 from briarseam.endpoints import engine_orders
 from briarseam.orders import state
 
-# Engines of which nobody reports are polled by everybody; were it all of a
-# large deployment at a start, it would be thousands of threads.
+# Engines that no member reports are polled by every member.  Without a
+# limit the start of a large deployment would create thousands of threads.
 MAX_UNREPORTED_POLLED = 64
 IDLE_INTERVAL_S = 1.0
 BUSY_INTERVAL_S = 0.2
 
 
 class Poller:
-    """The thread that reads one engine's state.
+    """A thread that polls the state of one engine.
 
     Parameters
     ----------
     name, address
         Of the engine.
     engines
-        The adapter.
+        Client of the engines.
     engine_reports
-        Takes the reports.
+        Receives the reports.
     clock
-        Seconds.
+        Returns seconds.
     interval_s
-        Returns the present time between two reads.
+        Returns the current time between two reads, in seconds.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self.engine_reports.remove(self.name)
 
     def read(self) -> None:
-        """Read once; forget the engine when it is silent for too long."""
+        """Read once; remove the report when it is too old to use."""
         requested_s = self.clock()
         try:
             engine_state = self.engines.state(self.address)
@@ -78,7 +78,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class PollerInputs:
-    """What the choice of pollers follows from."""
+    """What determines which engines this process polls.
+
+    Attributes
+    ----------
+    addresses, ordered, members
+        As in :meth:`Pollers.update`.
+    reported
+        Engines that other members report.
+    """
 
     addresses: typing.Mapping[str, str]
     ordered: frozenset[str]
@@ -87,18 +95,27 @@
 
 
 class Pollers:
-    """Keeps the pollers that this process needs.
+    """Runs the pollers that this process needs.
 
-    Each engine is polled by the member that owns it, which tells the
-    others on its heartbeats; by whoever gives it orders; and by everybody
-    while no member reports it.
+    An engine is polled by the member that owns it, which publishes the
+    report on its heartbeats, by the process that sends it orders, and by
+    every member while no member reports it.
 
     Parameters
     ----------
     engines, engine_reports, clock
         As in :class:`Poller`.
     owns
-        Whether this process polls an engine for all members.
+        Whether this process polls an engine on behalf of all members.
+
+    Attributes
+    ----------
+    busy
+        Whether orders are pending, which shortens the interval.
+    inputs
+        What the running pollers were chosen from.
+    pollers
+        Running pollers, by engine.
     """
 
     def __init__(
@@ -126,19 +143,18 @@
         ordered: frozenset[str],
         members: frozenset[str],
     ) -> None:
-        """Poll what is owned, ordered or not reported.
+        """Poll the engines that are owned, ordered or not reported.
 
-        Ownership is worked out anew only when something that it follows
-        from has changed.
+        Ownership is recomputed only when one of its inputs has changed.
 
         Parameters
         ----------
         addresses
-            Of all engines, by name; replaced as a whole on a change.
+            Of all engines, by name; a change replaces the whole mapping.
         ordered
-            Engines that this process gives orders to.
+            Engines that this process sends orders to.
         members
-            Those that share the polling.
+            Members that share the polling.
         """
         reported = frozenset(self.engine_reports.shared_names())
         inputs = PollerInputs(addresses, ordered, members, reported)
@@ -156,7 +172,7 @@
         )
 
     def poll_only(self, addresses: typing.Mapping[str, str]) -> None:
-        """Poll these engines and no others."""
+        """Start and stop pollers so that only these engines are polled."""
         for name, poller in list(self.pollers.items()):
             if addresses.get(name) != poller.address:
                 poller.stopping.set()
@@ -167,7 +183,7 @@
                 self.pollers[name] = self.start(name, address)
 
     def start(self, name: str, address: str) -> Poller:
-        """Return a new poller, running."""
+        """Start a poller and return it."""
         poller = Poller(
             name,
             address,
@@ -180,5 +196,5 @@
         return poller
 
     def stop(self) -> None:
-        """Stop all."""
+        """Stop all pollers."""
         self.poll_only({})
--- a/src/briarseam/orders/reporting.py
+++ b/src/briarseam/orders/reporting.py
@@ -1,4 +1,4 @@
-"""Telling operators how far the rollouts are."""
+"""Reporting the progress of rollouts to operators."""
 
 from __future__ import annotations
 
@@ -22,14 +22,24 @@
 
 @dataclasses.dataclass(frozen=True)
 class ScopeRollout:
-    """One scope and what is done about it here."""
+    """One scope and its rollout in this process."""
 
     scope: goals.Scope
     rollout: rollouts.Rollout
 
 
 class ModelProgress(typing.NamedTuple):
-    """How one model of a scope stands."""
+    """Progress of one model of a scope.
+
+    Attributes
+    ----------
+    scope, goal
+        The scope and the desired state of the model.
+    statuses
+        Status by engine.
+    rollout
+        Rollout of the scope in this process.
+    """
 
     scope: goals.Scope
     goal: goals.ModelGoal
@@ -38,20 +48,27 @@
 
 
 class Reporting:
-    """What one process says about the rollouts.
+    """Reports the progress of rollouts as one process sees it.
 
     Parameters
     ----------
-    me
+    own_name
         Name of this process.
     leases
-        Tell who gives the orders.
+        Give the holder of each lease, which issues the orders.
     engine_reports
-        What engines report.
+        Reports of the engines.
     peers
         The other processes.
     clock
-        Seconds.
+        Returns seconds.
+
+    Attributes
+    ----------
+    offset
+        Offset of the configuration.
+    scope_rollouts
+        All scopes of the configuration.
     """
 
     def __init__(
@@ -72,11 +89,11 @@
         self.watch = status.ProgressWatch()
 
     def register(self, router: server.Router) -> None:
-        """Answer operators' questions."""
+        """Register the handler of operators' queries."""
         router.on(messages.AskRollouts, self.answer)
 
     def update(self) -> None:
-        """Note which models have moved."""
+        """Record which models have changed."""
         reports = self.engine_reports.all()
         now_s = self.clock()
         for scope, goal, statuses, _ in self.model_progress(reports):
@@ -88,7 +105,7 @@
     def model_progress(
         self, reports: planner.Reports
     ) -> typing.Iterator[ModelProgress]:
-        """Yield how each model of each scope stands."""
+        """Yield the progress of each model of each scope."""
         for part in self.scope_rollouts:
             scope = part.scope
             load_orders = dict(part.rollout.issuer.load_orders)
@@ -102,7 +119,7 @@
                 yield ModelProgress(scope, goal, statuses, part.rollout)
 
     def status(self) -> tuple[messages.ModelRollout, ...]:
-        """Return how far each model is, as this process sees it."""
+        """Return the progress of each model as this process sees it."""
         now_s = self.clock()
         return tuple(
             status.model_rollout(
@@ -118,10 +135,11 @@
         )
 
     def led_rollouts(self) -> tuple[messages.ModelRollout, ...]:
-        """Return how far the models are that this process answers for.
+        """Return the progress of the models that this process reports.
 
-        Those that it gives orders for, and, first in line, those that no
-        process it knows gives orders for.
+        These are the models that it issues orders for.  The first
+        candidate for a lease also reports those that no known process
+        issues orders for.
         """
         known = self.peers.known()
         return tuple(
@@ -135,24 +153,24 @@
         )
 
     def is_first_candidate(self) -> bool:
-        """Tell whether this process is first for any lease."""
+        """Return whether this process is first in line for any lease."""
         return any(
             self.peers.precedence(part.scope.lease) == 0
             for part in self.scope_rollouts
         )
 
     def count_stuck(self) -> float:
-        """Return how many models have not moved for long."""
+        """Return the number of models whose rollout is stuck."""
         return sum(model.stuck for model in self.status())
 
     def answer(
         self, peer: connection.Identity, request: messages.AskRollouts
     ) -> messages.Rollouts:
-        """Tell an operator how far the rollouts are."""
+        """Answer an operator's query for the progress of rollouts."""
         del peer, request
         return messages.Rollouts(self.own_name, self.offset, self.status())
 
 
 def watch_key(scope: goals.Scope, goal: goals.ModelGoal) -> str:
-    """Return the name under which a scope's model is watched."""
+    """Return the key under which the model of a scope is watched."""
     return f"{scope.lease} {goal.model}"
--- a/src/briarseam/orders/rollout.py
+++ b/src/briarseam/orders/rollout.py
@@ -1,4 +1,4 @@
-"""Bringing one scope's engines to what is wanted, order by order."""
+"""Bringing the engines of one scope to the desired state by orders."""
 
 from __future__ import annotations
 
@@ -14,16 +14,30 @@
 
 
 class Rollout:
-    """The orders of one scope; used by one thread only.
+    """Issues the orders of one scope; not thread-safe.
 
     Attributes
     ----------
+    scope
+        The engines and their goals.
+    configuration_offset
+        Offset of the configuration that the scope comes from.
+    fence
+        Fencing number of the last tenure.
+    needs_new_fence
+        Whether the lease must be acquired again for a higher fencing
+        number.
+    difference_started_s
+        When an engine was first seen to differ from its goal; ``None``
+        when all are in the desired state.
+    not_before_s
+        Earliest time at which to try to acquire the lease.
     blocked
-        Why no order can be given at all; empty when orders can be.
+        Why no order can be sent at all; empty when orders can be sent.
     waiting
         Engines that had to wait in the last plan.
-    giver
-        Gives the orders and remembers them.
+    issuer
+        Sends the orders and records them.
     """
 
     def __init__(self, context: issuer_module.Context) -> None:
@@ -39,19 +53,19 @@
         self.issuer = issuer_module.Issuer(context)
 
     def step(self, scope: goals.Scope, configuration_offset: int) -> bool:
-        """Give the orders that are due.
+        """Send the orders that are due.
 
         Parameters
         ----------
         scope
-            What is wanted.
-        basis
-            Offset of the configuration it comes from.
+            The engines and their goals.
+        configuration_offset
+            Offset of the configuration that the scope comes from.
 
         Returns
         -------
         bool
-            Whether anything is left to do.
+            Whether any work remains.
         """
         self.apply_scope(scope, configuration_offset)
         plan = planner.Planner(
@@ -78,11 +92,11 @@
     def apply_scope(
         self, scope: goals.Scope, configuration_offset: int
     ) -> None:
-        """Note a change of what is wanted.
+        """Apply the scope of the current configuration.
 
-        A change gets a new fencing number, so that an order of the former
-        configuration that is still on its way is refused, and instances
-        that lag behind the new one do not undo it.
+        A change requires a new fencing number.  An order of the former
+        configuration that is still in transit is then refused, and
+        instances that have not read the new configuration do not undo it.
         """
         if scope != self.scope:
             self.needs_new_fence = True
@@ -92,7 +106,7 @@
         self.configuration_offset = configuration_offset
 
     def finish(self, scope: goals.Scope) -> None:
-        """Give the lease back when all is as wanted."""
+        """Release the lease when all engines are in the desired state."""
         self.blocked = ""
         self.difference_started_s = None
         self.issuer.reset()
@@ -101,22 +115,29 @@
             self.context.record_event("rollout-done", path=scope.lease)
 
     def may_acquire_lease(self, scope: goals.Scope, now_s: float) -> bool:
-        """Tell whether to ask for the lease yet.
+        """Return whether this process may try to acquire the lease yet.
 
-        All instances see a change at once; a place in line for each keeps
-        them from appending all at once.
+        All instances see a change at the same time.  The delay by
+        precedence prevents them from all appending to the log at once.
         """
         if self.context.leases.holds(scope.lease) is not None:
             return True
         place = self.context.precedence(scope.lease)
         started_s = self.difference_started_s or now_s
         if now_s < started_s + place * STAGGER_S:
-            self.blocked = "another instance goes first"
+            self.blocked = "another instance is first in line for the lease"
             return False
         return True
 
     def acquire_lease(self, scope: goals.Scope) -> int | None:
-        """Return our fencing number, or ``None`` and why in ``blocked``."""
+        """Acquire the lease.
+
+        Returns
+        -------
+        int or None
+            The fencing number; ``None`` when the lease is not acquired,
+            with the reason in ``blocked``.
+        """
         leases = self.context.leases
         if self.needs_new_fence:
             outcome = leases.reacquire(scope.lease, self.configuration_offset)
@@ -130,7 +151,9 @@
                 self.begin_tenure(scope, fence)
                 return fence
             case outcomes.NotHeld(holder, retry_after_s):
-                self.blocked = f"{holder or 'another instance'} has the lease"
+                self.blocked = (
+                    f"{holder or 'another instance'} holds the lease"
+                )
                 self.not_before_s = now_s + min(
                     retry_after_s, LOST_RACE_RETRY_S
                 )
@@ -142,7 +165,7 @@
         return None
 
     def begin_tenure(self, scope: goals.Scope, fence: int) -> None:
-        """Begin a tenure: note it and read all states anew."""
+        """Record the start of a tenure and read all states again."""
         if fence == self.fence:
             return
         self.fence = fence
@@ -152,10 +175,10 @@
         self.refresh_reports(scope)
 
     def refresh_reports(self, scope: goals.Scope) -> planner.Reports:
-        """Read the states again and return those that came.
+        """Read the states again and return the reports received.
 
-        A predecessor's last orders, and an engine that has just died,
-        show only in reports asked for now.
+        The last orders of a predecessor, and an engine that has just
+        failed, are visible only in reports requested from now on.
         """
         fresh: dict[str, state.Report] = {}
         known = self.context.engine_reports.all()
@@ -172,7 +195,7 @@
         return fresh
 
     def issue_due_orders(self, scope: goals.Scope, fence: int) -> None:
-        """Give all orders that may be given now."""
+        """Send all orders that may be sent now."""
         if not self.raise_fences(scope, fence):
             return
         reports: planner.Reports = self.context.engine_reports.all()
@@ -180,8 +203,8 @@
             scope, reports, self.issuer.load_orders, fence
         ).plan()
         if any(step.interrupts_serving for step in plan.steps):
-            # The floor must count engines that serve now, not those that
-            # did at the last poll.
+            # The floor counts engines that serve now, not those that
+            # served at the last poll.
             reports = self.refresh_reports(scope)
             plan = planner.Planner(
                 scope, reports, self.issuer.load_orders, fence
@@ -197,24 +220,31 @@
         target: goals.Target,
         order: engine_orders.Order,
     ) -> bool:
-        """Give one order; tell whether further ones may follow."""
+        """Send one order; return whether further orders may follow."""
         after = self.issuer.issue(scope.lease, self.fence, target, order)
         if after is issuer_module.IssueResult.CONTINUE:
             return True
         self.blocked = after.value
         if after is issuer_module.IssueResult.ORDER_LOST:
-            # The lost order may arrive after a later one of ours; a new
-            # number has it refused where numbers are checked.
+            # The lost order may arrive after a later order of this
+            # process; engines that check fencing numbers refuse it once
+            # they have accepted a higher one.
             self.needs_new_fence = True
         return False
 
     def raise_fences(self, scope: goals.Scope, fence: int) -> bool:
-        """Make engines that check numbers take ours before all else.
+        """Raise the fencing number of engines that check it.
 
-        Otherwise an order of the former holder that is still on its way
-        would be taken by an engine that waits for its turn, which takes
-        it out beside those that we take out.  The order repeats what the
-        engine has, so it changes nothing.
+        Otherwise a waiting engine would accept an order of the former
+        holder that is still in transit, and would load in addition to the
+        engines that this process orders to load.  The order that raises
+        the number repeats the load that the engine has, so it changes
+        nothing else.
+
+        Returns
+        -------
+        bool
+            Whether further orders may follow.
         """
         known = self.context.engine_reports.all()
         for target in scope.targets:
@@ -230,7 +260,7 @@
         return True
 
     def refresh_report(self, target: goals.Target) -> None:
-        """Read one engine's state again."""
+        """Read the state of one engine again."""
         requested_s = self.context.clock()
         try:
             engine_state = self.context.engines.state(target.address)
@@ -242,7 +272,7 @@
 
 
 def has_work(plan: planner.Plan) -> bool:
-    """Tell whether there is anything to order or to wait for."""
+    """Return whether there is anything to order or to wait for."""
     return bool(plan.steps) or any(
         waiting.reason is not planner.WaitReason.UNREACHABLE
         for waiting in plan.waiting
@@ -254,7 +284,7 @@
     target: goals.Target,
     reported: engine_orders.EngineState,
 ) -> engine_orders.Load | None:
-    """Return the load that an engine has done or is doing already."""
+    """Return a load that an engine has completed or is performing."""
     for model in target.models:
         loaded = reported.models.get(model)
         if loaded is None:
--- a/src/briarseam/orders/service.py
+++ b/src/briarseam/orders/service.py
@@ -1,4 +1,4 @@
-"""Orders of one process: one thread that brings the engines in line."""
+"""The thread of a process that brings engines to the desired state."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     from briarseam.wire import server
 
 TICK_S = 0.2
-# Enough that not all of them are lost or cut off from the log at once.
+# Large enough that not all candidates fail or lose the log at once.
 CANDIDATES_PER_SCOPE = 8
 NO_OFFERS: state.Offers = {}
 NO_COUNTS: typing.Mapping[state.Offer, int] = {}
@@ -35,26 +35,26 @@
 
 
 class Orders:
-    """Gives the engines orders while it holds their lease.
+    """Sends orders to engines while this process holds their lease.
 
     Parameters
     ----------
-    me
+    own_name
         Name of this process.
     view
-        Returns the present configuration.
+        Returns the current configuration.
     leases
-        Fencing numbers.
+        Leases with their fencing numbers.
     engines
-        The adapter.
+        Client of the engines.
     metrics
-        Where orders are counted.
-    note
-        Notes an event on the time line.
+        Registry of the metrics.
+    record_event
+        Records an event on the time line.
     peers
-        The other processes that could give orders.
+        The other processes that may issue orders.
     clock
-        Seconds; the leases' clock.
+        Returns seconds; the clock of the leases.
     """
 
     def __init__(
@@ -119,15 +119,15 @@
         )
 
     def register(self, router: server.Router) -> None:
-        """Answer operators' questions."""
+        """Register the handler of operators' queries."""
         self.reporting.register(router)
 
     def start(self) -> None:
-        """Begin reading states and giving orders."""
+        """Start the thread that polls engines and issues orders."""
         self.thread.start()
 
     def stop(self) -> None:
-        """Stop giving orders and reading states."""
+        """Stop issuing orders and polling engines."""
         self.stopping.set()
         self.engine_reports.changed.set()
         if self.thread.is_alive():
@@ -137,14 +137,15 @@
     def serving_versions(
         self,
     ) -> typing.Mapping[str, typing.Mapping[str, str]]:
-        """Return the versions that engines report, by engine and model."""
+        """Return the reported versions, by engine and model."""
         return self.versions
 
     def offers(self, model: str) -> state.Offers:
-        """Return the engines that new requests of a model may go to.
+        """Return the engines that may serve new requests of a model.
 
-        Each with the version and adapter that the request has to name, so
-        that an engine which has changed meanwhile refuses it.
+        Each engine comes with the version and adapter that the request
+        has to name, so that an engine that has changed in the meantime
+        refuses the request.
         """
         return self.offers_by_model.get(model, NO_OFFERS)
 
@@ -153,7 +154,7 @@
         return self.counts.get(model, NO_COUNTS)
 
     def serves(self, endpoint: str, model: str, offer: state.Offer) -> bool:
-        """Tell whether an engine reports what a request has to name."""
+        """Return whether an engine reports the version and adapter."""
         report = self.reports.get(endpoint)
         loaded = report.state.models.get(model) if report else None
         if loaded is None or loaded.version != offer.version:
@@ -161,11 +162,11 @@
         return not offer.adapter or offer.adapter in loaded.adapters
 
     def status(self) -> tuple[messages.ModelRollout, ...]:
-        """Return how far each model is, as this process sees it."""
+        """Return the progress of each model as this process sees it."""
         return self.reporting.status()
 
     def run(self) -> None:
-        """Compare and order until stopped."""
+        """Compare states and issue orders until stopped."""
         while not self.stopping.is_set():
             try:
                 self.tick()
@@ -174,11 +175,11 @@
             self.engine_reports.changed.wait(TICK_S)
 
     def tick(self) -> None:
-        """Take in what changed and give the orders that are due.
+        """Apply changes and send the orders that are due.
 
-        Comparing takes time in proportion to the engines, so it is done
-        only when the configuration or a report says something new, or
-        while something is left to do.
+        The comparison takes time proportional to the number of engines.
+        It runs only when the configuration or a report has changed, or
+        while work remains.
         """
         view = self.view()
         self.engine_reports.retain_members(self.peers.reporting())
@@ -201,7 +202,7 @@
         self.reporting.update()
 
     def apply_view(self, view: schema.View) -> None:
-        """Take in a change of the configuration."""
+        """Apply a change of the configuration."""
         for name, model in self.current_view.models.items():
             desired = view.models.get(name)
             if desired is not None and desired.adapter != model.adapter:
@@ -225,16 +226,16 @@
         }
 
     def is_candidate(self, scope: goals.Scope) -> bool:
-        """Tell whether this process may have to give a scope's orders.
+        """Return whether this process may have to issue a scope's orders.
 
-        Of many scopes each is compared by a few processes only.
+        With several scopes each scope is compared by a few processes only.
         """
         if len(self.scopes) == 1 or self.leases.holds(scope.lease):
             return True
         return self.peers.precedence(scope.lease) < CANDIDATES_PER_SCOPE
 
     def update_pollers(self) -> None:
-        """Poll the engines that this process has to know itself."""
+        """Poll the engines that this process has to poll itself."""
         ordered = frozenset(
             target.name
             for scope in self.scopes
@@ -246,7 +247,7 @@
         )
 
     def update_offers(self) -> None:
-        """Work out anew what engines offer."""
+        """Recompute what engines offer."""
         reports = self.reports = self.engine_reports.all()
         targets = goals.targets_of(self.current_view)
         self.versions = offers.serving_versions(reports)
--- a/src/briarseam/orders/sharing.py
+++ b/src/briarseam/orders/sharing.py
@@ -1,9 +1,9 @@
-"""Reports of engines that ride on heartbeats.
+"""Sharing the reports of engines on heartbeats.
 
-All agents polling all engines would cost a large cell more than control
-may use.  So the owner of an engine polls it and tells the others; content
-that has not changed is not sent again, so a quiet deployment costs
-nothing.
+If all agents of a large cell polled all engines, the polling would use more
+resources than control may use.  Therefore the owner of an engine polls it
+and publishes the report.  Unchanged content is not sent again, so a
+deployment without changes causes no cost.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 from briarseam.endpoints import engine_orders
 from briarseam.orders import state
 
-# How long a report may have been under way; it must not look younger than
-# an order that it does not know of.
+# Longest time that a report is assumed to be in transit.  A report must not
+# appear newer than an order that it does not reflect.
 MAX_TRANSIT_S = 2.0
 States = dict[str, engine_orders.EngineState]
 
 
 class Sharing:
-    """What this process tells of engines, and what others told.
+    """Publishes the reports of this process and receives those of others.
 
     Parameters
     ----------
     engine_reports
-        Has our reports and takes the others'.
+        The reports of this process and of other members.
     clock
-        Seconds.
+        Returns seconds.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         self.clock = clock
 
     def provide(self) -> bytes:
-        """Return this process's section of a heartbeat."""
+        """Return this process's section of a heartbeat, encoded."""
         states = {
             name: report.state
             for name, report in sorted(self.engine_reports.own().items())
@@ -49,7 +49,7 @@
         return msgspec.msgpack.encode(states)
 
     def consume(self, member: str, data: bytes) -> None:
-        """Take in another member's section."""
+        """Apply the section of another member."""
         states = msgspec.msgpack.decode(data, type=States)
         requested_s = self.clock() - MAX_TRANSIT_S
         self.engine_reports.put_shared(
--- a/src/briarseam/orders/state.py
+++ b/src/briarseam/orders/state.py
@@ -1,4 +1,4 @@
-"""What the engines reported and what was ordered of them."""
+"""Reports of the engines and the loads ordered from them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from briarseam.endpoints import engine_orders
 
-# Without a report for so long an engine counts as not serving.
+# An engine without a report for longer than this counts as unreachable.
 MAX_AGE_S = 5.0
 
 
@@ -20,9 +20,10 @@
     Attributes
     ----------
     state
-        As reported.
-    asked_s
-        When it was asked for, so that anything done before shows.
+        The reported state.
+    requested_s
+        When it was requested, in seconds; it reflects everything that
+        happened before.
     """
 
     state: engine_orders.EngineState
@@ -31,16 +32,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class LoadOrder:
-    """The last load ordered of an engine for a model.
+    """The last load that an engine was ordered to do for a model.
 
     Attributes
     ----------
     version
-        What was ordered.
+        The version ordered.
     ended_s
-        When its answer, or its loss, was known.
-    settled
-        False while it may still arrive late.
+        When the order was answered or found to be lost, in seconds.
+    confirmed
+        Whether the engine has accepted the order.  Otherwise its answer was
+        lost, and the order may still arrive late.
     """
 
     version: str
@@ -49,7 +51,7 @@
 
 
 class VersionStatus(enum.StrEnum):
-    """How an engine stands to what is wanted of a model."""
+    """Status of an engine compared with the desired version of a model."""
 
     SERVING = "serving"
     OTHER_VERSION = "other-version"
@@ -74,12 +76,22 @@
     report: Report | None,
     load_order: LoadOrder | None,
 ) -> VersionStatus:
-    """Return how an engine stands, by its reports and not by hopes.
+    """Return the status of an engine, derived from its last report.
 
-    An engine that was given a load counts as loading until a report asked
-    for afterwards tells otherwise.  One whose order was lost counts so
-    until it reports the ordered version: the order may arrive at any time
-    and would take another engine out while one is out already.
+    After an accepted load order the engine counts as loading until a report
+    requested later shows otherwise.  After a lost order it counts as
+    loading until it reports the ordered version: the order may arrive at
+    any time, and if another engine were ordered to load meanwhile, both
+    would stop serving at once.
+
+    Parameters
+    ----------
+    model, version
+        The model and its desired version.
+    report
+        Last report of the engine; ``None`` when it does not report.
+    load_order
+        Last load ordered for the model, if any.
     """
     if report is None:
         return VersionStatus.UNREACHABLE
@@ -100,7 +112,7 @@
 def is_pending(
     load_order: LoadOrder, report: Report, state: engine_orders.ModelState
 ) -> bool:
-    """Tell whether a given load may not show in the report yet."""
+    """Return whether the report may not reflect a load order yet."""
     if report.requested_s < load_order.ended_s:
         return True
     if load_order.confirmed:
@@ -111,21 +123,21 @@
 def engine_states_of(
     reports: typing.Mapping[str, Report],
 ) -> dict[str, engine_orders.EngineState]:
-    """Return what was reported, without when."""
+    """Return the states of reports without their times."""
     return {name: report.state for name, report in reports.items()}
 
 
 class EngineReports:
-    """The last report of every engine; safe for several threads.
+    """The last report of every engine; thread-safe.
 
     Attributes
     ----------
     reports
-        Reports asked for by this process.
+        Reports requested by this process, by engine.
     shared
         Reports of other members, by member and engine.
     changed
-        Set when any report says something new.
+        Set when the state in any report has changed.
     """
 
     def __init__(self) -> None:
@@ -135,7 +147,7 @@
         self.changed = threading.Event()
 
     def put(self, name: str, report: Report) -> None:
-        """Take a report in; an older one than known is dropped."""
+        """Store a report unless a newer one is stored already."""
         with self.lock:
             known = self.reports.get(name)
             if known is not None and known.requested_s > report.requested_s:
@@ -145,7 +157,7 @@
             self.changed.set()
 
     def put_shared(self, member: str, reports: dict[str, Report]) -> None:
-        """Replace what a member reports."""
+        """Replace the reports of a member."""
         with self.lock:
             known = self.shared.get(member, {})
             self.shared[member] = reports
@@ -153,7 +165,7 @@
             self.changed.set()
 
     def retain_members(self, live: typing.Collection[str]) -> None:
-        """Forget what members report that are no longer live."""
+        """Remove the reports of all other members than the live ones."""
         with self.lock:
             gone = self.shared.keys() - live
             for member in gone:
@@ -162,32 +174,36 @@
             self.changed.set()
 
     def remove(self, name: str) -> None:
-        """Forget an engine that no longer reports."""
+        """Remove the report of an engine that no longer reports."""
         with self.lock:
             known = self.reports.pop(name, None)
         if known is not None:
             self.changed.set()
 
     def remove_older(self, name: str, requested_s: float) -> None:
-        """Forget an engine's report if it was asked for before a time."""
+        """Remove the report of an engine if it was requested earlier."""
         report = self.reports.get(name)
         if report is not None and report.requested_s < requested_s:
             self.remove(name)
 
     def own(self) -> dict[str, Report]:
-        """Return the reports asked for by this process."""
+        """Return the reports requested by this process, by engine."""
         with self.lock:
             return dict(self.reports)
 
     def shared_names(self) -> set[str]:
-        """Return the engines that other members report."""
+        """Return the names of the engines that other members report."""
         with self.lock:
             return {
                 name for reports in self.shared.values() for name in reports
             }
 
     def all(self) -> dict[str, Report]:
-        """Return all present reports, our own before others'."""
+        """Return the current reports, by engine.
+
+        A report requested by this process takes precedence over the report
+        of another member.
+        """
         with self.lock:
             found: dict[str, Report] = {}
             for reports in self.shared.values():
@@ -203,7 +219,7 @@
     Attributes
     ----------
     version, adapter
-        What the request has to name.
+        The values that the request has to name.
     """
 
     version: str
--- a/src/briarseam/orders/status.py
+++ b/src/briarseam/orders/status.py
@@ -1,4 +1,4 @@
-"""How far each model is and what it waits for."""
+"""Progress of each model and the reasons why it waits."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from briarseam.orders import rollout
 from briarseam.orders import state
 
-# A load takes seconds; without any change for so long an operator should
-# look.
+# A load takes seconds, so an operator should look into a rollout without
+# any change for this long.
 STUCK_S = 15.0
 REASONS = {
     planner.WaitReason.FLOOR: "floor leaves none to spare",
-    planner.WaitReason.LOADING_LIMIT: "as many load as may",
+    planner.WaitReason.LOADING_LIMIT: "loading limit is reached",
     planner.WaitReason.LOADING: "loading",
     planner.WaitReason.UNREACHABLE: "not reporting",
     planner.WaitReason.FENCE_AHEAD: "has a higher fencing number",
@@ -26,20 +26,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Observation:
-    """The last picture of a model and since when it has been so."""
+    """The last observed progress of a model and when it was first seen."""
 
     observed: typing.Any
     started_s: float
 
 
 class ProgressWatch:
-    """Tells since when each model has not moved."""
+    """Measures how long the progress of each model has not changed."""
 
     def __init__(self) -> None:
         self.observations: dict[str, Observation] = {}
 
     def update(self, model: str, observed: typing.Any, now_s: float) -> None:
-        """Take in how a model stands now; ``None`` when it is done."""
+        """Record the progress of a model; ``None`` when it is done."""
         observation = self.observations.get(model)
         if observed is None:
             self.observations.pop(model, None)
@@ -47,7 +47,7 @@
             self.observations[model] = Observation(observed, now_s)
 
     def unchanged_s(self, model: str, now_s: float) -> float:
-        """Return for how long a model has not moved; 0 when done."""
+        """Return how long a model has not changed; 0 when done."""
         observation = self.observations.get(model)
         return now_s - observation.started_s if observation else 0.0
 
@@ -58,7 +58,7 @@
     reports: planner.Reports,
     load_orders: planner.LoadOrders,
 ) -> dict[str, state.VersionStatus]:
-    """Return how each engine stands to one model."""
+    """Return the status of each engine for one model."""
     return {
         target.name: version_status_with_adapter(
             goal, target, reports, load_orders.get((target.name, goal.model))
@@ -73,7 +73,7 @@
     reports: planner.Reports,
     load_order: state.LoadOrder | None,
 ) -> state.VersionStatus:
-    """Return how an engine stands; serving only with the adapter."""
+    """Return the status of an engine; serving only with the adapter."""
     report = reports.get(target.name)
     version_status = state.version_status_of(
         goal.model, goal.version, report, load_order
@@ -89,7 +89,7 @@
 def progress_of(
     model: str, reports: planner.Reports
 ) -> tuple[tuple[str, float], ...]:
-    """Return how far the loads of a model are."""
+    """Return the progress of the loads of a model, by engine."""
     return tuple(
         (name, report.state.models[model].progress)
         for name, report in sorted(reports.items())
@@ -102,7 +102,11 @@
     scope_rollout: rollout.Rollout,
     statuses: dict[str, state.VersionStatus],
 ) -> str:
-    """Return what a model waits for, the widest reason first."""
+    """Return what a model waits for.
+
+    A reason that blocks the whole scope hides the reasons of single
+    engines.
+    """
     if scope_rollout.blocked:
         return scope_rollout.blocked
     reasons = [
@@ -128,7 +132,7 @@
     unchanged_s: float,
     why: str,
 ) -> messages.ModelRollout:
-    """Return how far one model is."""
+    """Return the progress of one model."""
 
     def names_with(*included: state.VersionStatus) -> tuple[str, ...]:
         return tuple(
@@ -160,7 +164,7 @@
 
 
 def is_done(statuses: dict[str, state.VersionStatus]) -> bool:
-    """Tell whether every engine that reports is as wanted."""
+    """Return whether every engine that reports is in the desired state."""
     return all(
         status
         in (state.VersionStatus.SERVING, state.VersionStatus.UNREACHABLE)
