--- a/tests/orders/delaying_proxy.py
+++ b/tests/orders/delaying_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy before an engine that keeps orders back for a while."""
+"""A TCP proxy in front of an engine that delays orders."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class DelayingProxy:
-    """Passes connections on; holds back the first ``hold`` orders.
+    """Forwards connections; delays the first ``hold`` orders.
 
-    What is held back goes on when the gate opens, also when its sender
-    has long given up.
+    Delayed orders are forwarded after ``released`` is set, even if their
+    sender has already timed out.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
                 ).start()
 
     def serve(self, client: socket.socket) -> None:
-        """Pass one connection's requests on, one after the other."""
+        """Forward the requests of one connection one after the other."""
         host, port = self.target
         with contextlib.suppress(OSError), client:
             server = socket.create_connection((host, int(port)))
@@ -65,7 +65,13 @@
                     client.sendall(answer)
 
     def hold_back(self, request: bytes) -> bool:
-        """Wait for the gate when this is an order to hold back."""
+        """Wait for the release if this is an order to delay.
+
+        Returns
+        -------
+        bool
+            Whether the request was delayed.
+        """
         with self.lock:
             if not request.startswith(ORDER) or self.held >= self.hold:
                 return False
@@ -76,7 +82,10 @@
 
 
 def read_message(sock: socket.socket) -> bytes:
-    """Return one HTTP message with a Content-Length, or none."""
+    """Return one HTTP message, or nothing at the end of the connection.
+
+    The length of its body is given by Content-Length.
+    """
     data = b""
     while END not in data:
         chunk = sock.recv(65536)
--- a/tests/orders/deployment.py
+++ b/tests/orders/deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment of stand-ins and ordering agents in one process."""
+"""Stand-ins and agents that issue orders, all in one process."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Sampler:
-    """Watches the engines' own state: the truth, not what is polled."""
+    """Samples the engines' actual state instead of their polled reports."""
 
     def __init__(self, engines: dict[str, engine.Engine]) -> None:
         self.engines = engines
@@ -48,13 +48,20 @@
     def watch(self) -> None:
         while not self.stopping.wait(0.002):
             states = [
-                one.weights.state().models.get(MODEL)
-                for one in self.engines.values()
+                stand_in.weights.state().models.get(MODEL)
+                for stand_in in self.engines.values()
             ]
-            loading = sum(bool(found and found.loading) for found in states)
+            loading = sum(
+                bool(model_state and model_state.loading)
+                for model_state in states
+            )
             serving = sum(
-                bool(found and found.version and not found.loading)
-                for found in states
+                bool(
+                    model_state
+                    and model_state.version
+                    and not model_state.loading
+                )
+                for model_state in states
             )
             self.most_loading = max(self.most_loading, loading)
             self.fewest_serving = min(self.fewest_serving, serving)
@@ -70,14 +77,14 @@
         self.agents: list[Agent] = []
 
     def add_engines(self, count: int, version: str = "v1", **switches) -> None:
-        given = {"load_s": 0.2, **switches}
+        options = {"load_s": 0.2, **switches}
         models = {MODEL: version} if version else {}
         for _ in range(count):
-            one = engine.Engine(engine.Switches(**given), models=models)
-            self.stack.enter_context(one)
+            stand_in = engine.Engine(engine.Switches(**options), models=models)
+            self.stack.enter_context(stand_in)
             name = f"worker-{len(self.engines) + 1}"
-            self.engines[name] = one
-            self.addresses[name] = one.address
+            self.engines[name] = stand_in
+            self.addresses[name] = stand_in.address
 
     def configure(
         self,
@@ -107,7 +114,7 @@
         )
         return self.view
 
-    def add_agent(self, engines=None, view=None, place=0) -> Agent:
+    def add_agent(self, engines=None, view=None, position=0) -> Agent:
         name = f"agent-{len(self.agents) + 1}"
         leases = leases_service.Leases(
             platform_log.LogClient(self.log.address), name, TTL_S
@@ -120,7 +127,7 @@
             engines or engine_orders.EngineOrders(CALL_S),
             registry.Registry(),
             events.note,
-            peers.Peers(precedence=lambda lease: place),
+            peers.Peers(precedence=lambda lease: position),
         )
         leases.start()
         orders.start()
@@ -136,21 +143,30 @@
         return sampler
 
     def versions(self) -> list[str | None]:
-        return [one.weights.version(MODEL) for one in self.engines.values()]
+        return [
+            stand_in.weights.version(MODEL)
+            for stand_in in self.engines.values()
+        ]
 
     def loading(self) -> list[str]:
-        found = (one.weights.model(MODEL) for one in self.engines.values())
-        return [state.loading for state in found if state and state.loading]
+        loading_states = (
+            stand_in.weights.model(MODEL) for stand_in in self.engines.values()
+        )
+        return [
+            state.loading
+            for state in loading_states
+            if state and state.loading
+        ]
 
     def until_all(self, version: str, timeout_s: float = 15) -> None:
         waiting.until(
             lambda: set(self.versions()) == {version} and not self.loading(),
             timeout_s,
-            f"all on {version}, have {self.versions()}",
+            f"all engines to serve {version}, they serve {self.versions()}",
         )
 
     def until_done(self, timeout_s: float = 15) -> None:
-        """Wait until every agent sees the rollout as done."""
+        """Wait until every agent reports the rollout as done."""
         waiting.until(
             lambda: all(
                 model.done and not model.unreachable
@@ -158,5 +174,5 @@
                 for model in agent.orders.status()
             ),
             timeout_s,
-            "every agent to see it done",
+            "every agent to report the rollout as done",
         )
--- a/tests/orders/test_goals.py
+++ b/tests/orders/test_goals.py
@@ -25,7 +25,7 @@
     )
 
 
-def test_todays_size_is_one_scope_with_exact_limits():
+def test_few_engines_form_one_scope_with_exact_limits():
     [scope] = goals.scopes_of(view_of(6, 4, 2))
     assert scope.max_loading == 2
     assert scope.goals["draft"].floor == 4
@@ -57,8 +57,8 @@
     assert scope.targets == ()
 
 
-def test_of_many_scopes_only_a_few_processes_compare_each():
-    """Comparing all engines of a large deployment takes seconds."""
+def test_each_of_many_scopes_is_compared_by_few_processes():
+    """One process alone takes seconds to compare all engines."""
     view = view_of(400, 1, 5)
     places = {scope.lease: 0 for scope in goals.scopes_of(view)}
     orders = service.Orders(
--- a/tests/orders/test_late_orders.py
+++ b/tests/orders/test_late_orders.py
@@ -8,19 +8,19 @@
 MODEL = "draft"
 
 
-def held_back(
+def delay_orders(
     deployment, name: str, hold: int
 ) -> delaying_proxy.DelayingProxy:
-    """Put a gate before one engine."""
+    """Put a proxy that delays orders in front of one engine."""
     address = deployment.addresses[name]
-    found = deployment.stack.enter_context(
+    proxy = deployment.stack.enter_context(
         delaying_proxy.DelayingProxy(address, hold)
     )
-    deployment.addresses[name] = found.address
-    return found
+    deployment.addresses[name] = proxy.address
+    return proxy
 
 
-def given(agent, endpoint: str, outcome: str):
+def order_events(agent, endpoint: str, outcome: str):
     return [
         event
         for event in agent.events("order-given")
@@ -28,73 +28,79 @@
     ]
 
 
-def test_order_that_arrives_after_its_successor_is_refused(deployment):
-    """The network keeps an order back until the rollout is over.
+def test_order_arriving_after_a_newer_order_is_refused(deployment):
+    """The network delays an order until the rollout is complete.
 
-    It says "serve v1" under an old number; taken, it would put a worker
-    back to old weights though nobody wants them.
+    The order has an old fencing number.  If the engine accepted it, it
+    would load a version that was replaced.
     """
     deployment.add_engines(2)
-    slow = held_back(deployment, "worker-1", hold=1)
+    proxy = delay_orders(deployment, "worker-1", hold=1)
     deployment.configure("v2")
     agent = deployment.add_agent()
     deployment.until_all("v2")
     deployment.until_done()
-    slow.released.set()
-    waiting.until(lambda: slow.late_statuses)
-    assert slow.late_statuses == [409]
+    proxy.released.set()
+    waiting.until(lambda: proxy.late_statuses)
+    assert proxy.late_statuses == [409]
     assert deployment.versions() == ["v2", "v2"]
-    assert given(agent, "worker-1", "lost")
+    assert order_events(agent, "worker-1", "lost")
 
 
-def test_late_order_at_an_engine_that_ignores_numbers_is_undone(deployment):
-    """As before, but the worker takes whatever arrives.
+def test_late_order_is_undone_on_an_engine_without_fencing(deployment):
+    """A delayed order reaches an engine that accepts any fencing number.
 
-    Its report shows the old version, and the order is given again until
-    the report is as wanted.
+    Its report shows the old version, and the current order is repeated
+    until the report shows the desired version.
     """
     deployment.add_engines(2, fencing=False)
-    slow = held_back(deployment, "worker-1", hold=1)
+    proxy = delay_orders(deployment, "worker-1", hold=1)
     deployment.configure("v2")
     agent = deployment.add_agent()
     deployment.until_all("v2")
     deployment.configure("v3")
     deployment.until_all("v3")
     deployment.until_done()
-    before = len(given(agent, "worker-1", "taken"))
-    slow.released.set()
-    waiting.until(lambda: slow.late_statuses)
-    assert slow.late_statuses == [202]
-    waiting.until(lambda: len(given(agent, "worker-1", "taken")) > before)
+    before = len(order_events(agent, "worker-1", "taken"))
+    proxy.released.set()
+    waiting.until(lambda: proxy.late_statuses)
+    assert proxy.late_statuses == [202]
+    waiting.until(
+        lambda: len(order_events(agent, "worker-1", "taken")) > before
+    )
     deployment.until_all("v3")
 
 
-def test_engine_counts_as_out_while_an_order_to_it_is_lost(deployment):
-    """An order to one of three workers hangs in the network.
+def test_engine_with_a_lost_order_counts_as_loading(deployment):
+    """An order to one of three engines is delayed in the network.
 
-    The worker still reports that it serves, but the order may arrive at
-    any moment; taking another one out would leave fewer than the floor.
+    The engine still reports that it serves, but the order may arrive at
+    any time.  Loading on another engine could leave fewer serving engines
+    than the floor.
     """
     deployment.add_engines(3, fencing=False)
-    slow = held_back(deployment, "worker-3", hold=100)
+    proxy = delay_orders(deployment, "worker-3", hold=100)
     deployment.configure("v2", floor=2)
     agent = deployment.add_agent()
-    waiting.until(lambda: given(agent, "worker-3", "lost"))
+    waiting.until(lambda: order_events(agent, "worker-3", "lost"))
     assert deployment.versions() == ["v2", "v2", "v1"]
     deployment.configure("v3", floor=2)
-    before = len(given(agent, "worker-3", "lost"))
-    waiting.until(lambda: len(given(agent, "worker-3", "lost")) > before + 1)
+    before = len(order_events(agent, "worker-3", "lost"))
+    waiting.until(
+        lambda: len(order_events(agent, "worker-3", "lost")) > before + 1
+    )
     assert deployment.versions() == ["v2", "v2", "v1"]
     assert not deployment.loading()
-    slow.released.set()
+    proxy.released.set()
     deployment.until_all("v3", timeout_s=30)
 
 
 def test_waiting_engines_refuse_the_former_holders_orders(deployment):
-    """The former holder's order for one of three workers is still under way.
+    """The former holder's order to one of three engines is in transit.
 
-    Its successor has no worker to spare and only waits; were the order
-    taken now, a worker would go out beside the next one taken out.
+    The floor allows its successor no load, so all engines wait.  If the
+    engine accepted the order, it could load at the same time as an engine
+    that the successor orders to load.
     """
     deployment.add_engines(3)
     deployment.configure("v2", floor=3)
@@ -110,11 +116,11 @@
             for one in deployment.engines.values()
         )
     )
-    late = engine_orders.EngineOrders().give(
+    outcome = engine_orders.EngineOrders().give(
         deployment.addresses["worker-2"],
         engine_orders.Load(MODEL, "v2", None),
         "late",
         fences[-1] - 1,
     )
-    assert late == engine_orders.Superseded(fences[-1])
+    assert outcome == engine_orders.Superseded(fences[-1])
     assert deployment.versions() == ["v1"] * 3
--- a/tests/orders/test_offers.py
+++ b/tests/orders/test_offers.py
@@ -16,23 +16,23 @@
     )
 
 
-def offered(wanted: values.Model, former=None, **reports):
+def offered(desired: values.Model, former=None, **reports):
     targets = [
         goals.Target(name, "127.0.0.1:1", "z", ("draft",))
         for name in (*reports, "silent")
     ]
-    return offers.offers_of("draft", wanted, targets, reports, former)
+    return offers.offers_of("draft", desired, targets, reports, former)
 
 
-def test_others_serve_on_until_the_floor_is_reached():
-    wanted = values.Model("v2", floor=2)
-    found = offered(wanted, a=report("v2"), b=report("v1"))
+def test_other_versions_are_offered_until_the_floor_is_reached():
+    desired = values.Model("v2", floor=2)
+    found = offered(desired, a=report("v2"), b=report("v1"))
     assert found == {"a": state.Offer("v2", ""), "b": state.Offer("v1", "")}
 
 
-def test_only_the_wanted_version_once_the_floor_reports_it():
-    wanted = values.Model("v2", floor=2)
-    found = offered(wanted, a=report("v2"), b=report("v1"), c=report("v2"))
+def test_only_desired_version_is_offered_once_the_floor_reports_it():
+    desired = values.Model("v2", floor=2)
+    found = offered(desired, a=report("v2"), b=report("v1"), c=report("v2"))
     assert set(found) == {"a", "c"}
 
 
@@ -45,7 +45,9 @@
     [("x", {"a": "y", "b": "x"}), (None, {"a": "y"})],
     ids=["known", "unknown"],
 )
-def test_former_adapter_serves_until_the_new_one_is_there(former, expected):
+def test_former_adapter_is_offered_until_the_new_one_is_loaded(
+    former, expected
+):
     found = offered(
         values.Model("v1", "y", floor=2),
         former,
--- a/tests/orders/test_owner_leaves.py
+++ b/tests/orders/test_owner_leaves.py
@@ -10,8 +10,8 @@
 from briarseam.testing import waiting
 
 
-class Silent:
-    """Engines that this process cannot read just now."""
+class UnreachableEngines:
+    """A client whose reads of engines' states all fail."""
 
     def state(self, address: str) -> typing.NoReturn:
         raise engine_orders.StateUnavailableError(address)
@@ -27,15 +27,18 @@
         yield started
 
 
-def offers(instance: deployment.Instance) -> int:
-    """Return how many kinds of offers an agent has."""
+def offer_kinds(instance: deployment.Instance) -> int:
+    """Return the number of distinct offers that an agent has."""
     return len(instance.agent.orders.offer_counts(deployment.MODEL))
 
 
-def owner_first(
+def instances_owner_first(
     instances: list[deployment.Instance],
 ) -> list[deployment.Instance]:
-    """Return the instances once just one of them polls the engine."""
+    """Return the instances, the one that polls the engine first.
+
+    The list is empty unless exactly one instance polls it.
+    """
     owners = [
         one for one in instances if one.agent.orders.engine_reports.own()
     ]
@@ -44,17 +47,18 @@
     return owners + [one for one in instances if one not in owners]
 
 
-def test_reports_of_a_leaving_owner_count(
+def test_reports_of_a_leaving_owner_are_used(
     running: deployment.Deployment,
 ) -> None:
-    """An agent polls an engine for its cell and is shut down.  Its peer
-    has not polled the engine itself yet; it goes on answering callers by
-    what the leaving agent reports, and does not refuse them.
+    """The agent that polls an engine for its cell shuts down.
+
+    Its peer has not polled the engine itself yet.  Without the reports of
+    the leaving agent it would have no offers and refuse requests.
     """
     instances = running.instances
-    waiting.until(lambda: all(map(offers, instances)))
-    owner, peer = waiting.until(lambda: owner_first(instances))
-    peer.agent.orders.pollers.engines = Silent()
+    waiting.until(lambda: all(map(offer_kinds, instances)))
+    owner, peer = waiting.until(lambda: instances_owner_first(instances))
+    peer.agent.orders.pollers.engines = UnreachableEngines()
     owner.agent.membership.announce_leaving()
     leaving = state.MemberState.LEAVING
     waiting.until(
@@ -64,4 +68,4 @@
         )
     )
     peer.agent.orders.tick()
-    assert offers(peer)
+    assert offer_kinds(peer)
--- a/tests/orders/test_planner.py
+++ b/tests/orders/test_planner.py
@@ -52,31 +52,31 @@
         strategies.booleans(),
     ),
 )
-WORKERS = strategies.lists(
+ENGINES = strategies.lists(
     strategies.tuples(REPORTS, LOAD_ORDERS), min_size=8, max_size=8
 )
 
 
 @hypothesis.settings(max_examples=500, deadline=None)
 @hypothesis.given(
-    WORKERS, strategies.integers(0, 8), strategies.integers(1, 8)
+    ENGINES, strategies.integers(0, 8), strategies.integers(1, 8)
 )
-def test_no_plan_breaks_the_floor_or_the_loading_limit(
-    workers, floor, max_loading
+def test_plans_keep_the_floor_and_the_loading_limit(
+    engines, floor, max_loading
 ):
-    """Whatever the engines report and whatever was ordered before.
+    """The limits hold for any reports and any earlier orders.
 
-    A plan that takes one engine too many shows as refused requests.
+    If a plan loads on too many engines at once, requests are refused.
     """
     scope = scope_of(floor, max_loading)
     reports = {
         name: report
-        for name, (report, _) in zip(NAMES, workers, strict=True)
+        for name, (report, _) in zip(NAMES, engines, strict=True)
         if report
     }
     load_orders = {
         (name, MODEL): load_order
-        for name, (_, load_order) in zip(NAMES, workers, strict=True)
+        for name, (_, load_order) in zip(NAMES, engines, strict=True)
         if load_order
     }
     plan = planner.Planner(scope, reports, load_orders, fence=50).plan()
@@ -100,7 +100,7 @@
         assert reports[name].state.fence <= 50
 
 
-def test_rollout_takes_workers_of_different_zones():
+def test_rollout_loads_on_engines_of_different_zones():
     reports = {
         name: state.Report(
             engine_orders.EngineState(
--- a/tests/orders/test_rollout.py
+++ b/tests/orders/test_rollout.py
@@ -11,14 +11,14 @@
 
 
 def test_rollout_keeps_floor_and_loading_limit(deployment):
-    """Six workers of two agents go to new weights under load.
+    """Six engines load a new version, ordered by two agents.
 
-    Requests would be refused if too many left service at once, and each
-    load would take longer if more than two ran.
+    If too many engines stop serving at once, requests are refused; if more
+    than two load at once, each load takes longer.
     """
     deployment.add_engines(6)
     deployment.configure("v1", floor=4)
-    agents = [deployment.add_agent(place=place) for place in range(2)]
+    agents = [deployment.add_agent(position=position) for position in range(2)]
     deployment.until_done()
     sampler = deployment.sampler()
     deployment.configure("v2", floor=4)
@@ -29,8 +29,8 @@
     waiting.until(lambda: not any(a.leases.held() for a in agents))
 
 
-def test_floor_that_leaves_none_to_spare_blocks_and_says_so(deployment):
-    """The floor equals the number of workers; nothing may be taken out."""
+def test_rollout_blocked_by_the_floor_reports_the_reason(deployment):
+    """The floor equals the number of engines, so none may load."""
     deployment.add_engines(2)
     deployment.configure("v2", floor=2)
     agent = deployment.add_agent()
@@ -40,11 +40,11 @@
     assert not agent.events("order-given")[2:]
 
 
-def test_dead_worker_counts_against_the_floor(deployment):
-    """One of three workers is down when new weights are ordered.
+def test_unreachable_engine_does_not_count_towards_the_floor(deployment):
+    """One of three engines is down when a new version is configured.
 
-    With a floor of two none of the others may be taken out, though the
-    configuration still lists three.
+    With a floor of two neither of the others may load, although the
+    configuration still has three engines.
     """
     deployment.add_engines(3)
     deployment.configure("v1", floor=2)
@@ -58,16 +58,16 @@
     assert sampler.most_loading == 0
 
 
-def test_empty_workers_load_though_the_floor_is_not_reached(deployment):
-    """A fresh deployment: no worker has weights, the floor cannot hold."""
+def test_empty_engines_load_below_the_floor(deployment):
+    """Without weights on any engine the floor cannot be kept yet."""
     deployment.add_engines(3, version="")
     deployment.configure("v1", floor=3)
     deployment.add_agent()
     deployment.until_all("v1")
 
 
-def test_two_changes_in_a_row_end_at_the_second(deployment):
-    """An operator corrects a version while its first load is under way."""
+def test_second_change_during_a_load_takes_effect(deployment):
+    """An operator corrects a version while engines load it."""
     deployment.add_engines(4, load_s=0.5)
     deployment.configure("v1")
     deployment.add_agent()
@@ -79,10 +79,11 @@
     deployment.until_done()
 
 
-def test_change_back_ends_a_load_that_cannot_succeed(deployment):
-    """The version does not exist: its loads never end and hold both slots.
+def test_reverting_a_change_ends_loads_that_cannot_succeed(deployment):
+    """Loads of a version that does not exist never end.
 
-    Setting the former version again frees them at once.
+    They use up the loading limit until the former version is configured
+    again.
     """
     deployment.add_engines(3, load_s=3600)
     deployment.configure("v1")
@@ -94,10 +95,11 @@
     deployment.until_all("v1")
 
 
-def test_slow_and_refusing_weight_store_only_makes_it_slower(deployment):
-    """The weight store takes one transfer at a time and is slow.
+def test_rollout_completes_with_a_slow_and_refusing_weight_store(deployment):
+    """A slow weight store accepts one transfer at a time.
 
-    Workers are told to come back and do; the floor still holds.
+    It refuses further transfers and the engines retry them; the floor is
+    kept meanwhile.
     """
     store = deployment.stack.enter_context(
         weight_store.WeightStore(
@@ -119,11 +121,11 @@
     assert sampler.fewest_serving >= 3
 
 
-def test_log_outage_stops_orders_and_rollout_resumes_after(deployment):
-    """The log goes away in the middle of a rollout and comes back.
+def test_log_outage_stops_orders_until_the_log_is_back(deployment):
+    """The log is unavailable for a while in the middle of a rollout.
 
-    Without it no lease can be kept, so no orders; what engines serve is
-    still known, as requests go on.
+    Without the log no lease can be renewed, so no orders are sent.  The
+    versions that engines serve stay known, and requests are still served.
     """
     deployment.add_engines(6, load_s=1)
     deployment.configure("v1")
@@ -144,7 +146,7 @@
 
 
 @pytest.mark.parametrize("fencing", [True, False], ids=["fencing", "not"])
-def test_lost_answer_to_an_order_is_repeated_until_it_holds(
+def test_order_with_a_lost_answer_is_repeated_until_reported(
     deployment, fencing
 ):
     deployment.add_engines(3, fencing=fencing)
@@ -177,7 +179,7 @@
     deployment.until_all("v1")
 
 
-def test_adapter_and_role_reach_every_worker(deployment):
+def test_adapter_and_role_reach_every_engine(deployment):
     deployment.add_engines(3)
     deployment.configure("v1")
     agent = deployment.add_agent()
@@ -198,11 +200,13 @@
     )
 
 
-def test_engine_with_a_number_from_elsewhere_is_told_not_flooded(deployment):
-    """An engine has taken a higher number than this log will give soon.
+def test_engine_with_a_higher_fence_is_reported_without_flooding_the_log(
+    deployment,
+):
+    """One engine has accepted a far higher fencing number than the log's.
 
-    It refuses all orders.  The others must go on, the operator must see
-    which engine it is, and the log must not be flooded with new leases.
+    It refuses all orders.  The rollout must continue on the other engines,
+    name this engine to operators, and not flood the log with new leases.
     """
     deployment.add_engines(3)
     stray = deployment.engines["worker-2"]
@@ -218,9 +222,9 @@
 
 
 def test_lagging_agent_does_not_undo_a_change(deployment):
-    """One agent has not read the newest change when the rollout is done.
+    """One agent has not read the latest change when the rollout is done.
 
-    It sees workers differ from what it believes is wanted.
+    Compared with its older configuration, all engines differ.
     """
     deployment.add_engines(2)
     old_view = deployment.configure("v1")
--- a/tests/orders/test_serving.py
+++ b/tests/orders/test_serving.py
@@ -15,12 +15,12 @@
 
 
 class Callers:
-    """Callers that send one prompt after the other."""
+    """Callers that each send one prompt after the other."""
 
     def __init__(self, running: deployment.Deployment) -> None:
         self.running = running
         self.stopping = threading.Event()
-        self.got = []
+        self.answers_received = []
         self.threads = [
             threading.Thread(target=self.send, args=(number,))
             for number in range(CALLERS)
@@ -43,10 +43,10 @@
             serial += 1
             prompt = f"caller {number} asks {serial}"
             body = deployment.prompt_body(prompt, session=f"s-{prompt}")
-            self.got.append((prompt, caller.ask(body)))
+            self.answers_received.append((prompt, caller.ask(body)))
 
     def version_of(self, prompt, answer) -> str:
-        """Return the one version that gave the whole answer."""
+        """Return the version that generated the complete answer."""
         for version in ("v1", "v2"):
             if answer.tokens == answers.expected_answer(
                 MODEL, version, prompt, TOKENS
@@ -67,19 +67,20 @@
     return {one.weights.version(MODEL) for one in running.engines.values()}
 
 
-def test_no_request_is_refused_or_mixed_during_a_rollout(running):
-    """Callers ask all the time while four workers get new weights.
+def test_no_request_is_refused_or_mixes_versions_during_a_rollout(running):
+    """Callers send requests while four engines load a new version.
 
-    Each gets a whole answer from one version; a worker that changes
-    between the grant and the run refuses it, and it goes elsewhere.
+    An engine that changes its version between the grant and the run
+    refuses the run, and the request goes to another engine.  Otherwise an
+    answer could mix two versions.
     """
     with Callers(running) as callers:
-        waiting.until(lambda: len(callers.got) > 20)
+        waiting.until(lambda: len(callers.answers_received) > 20)
         running.publish({f"models/{MODEL}": {"version": "v2", "floor": 2}})
         waiting.until(lambda: versions(running) == {"v2"}, 20)
-        swapped = len(callers.got)
-        waiting.until(lambda: len(callers.got) > swapped + 20)
-    assert [one for _, one in callers.got if not one.done] == []
-    served = [callers.version_of(*one) for one in callers.got]
+        swapped = len(callers.answers_received)
+        waiting.until(lambda: len(callers.answers_received) > swapped + 20)
+    assert [one for _, one in callers.answers_received if not one.done] == []
+    served = [callers.version_of(*one) for one in callers.answers_received]
     assert served[0] == "v1"
     assert set(served[-CALLERS:]) == {"v2"}
--- a/tests/orders/test_state.py
+++ b/tests/orders/test_state.py
@@ -26,14 +26,15 @@
     ],
     ids=lambda value: str(value) if isinstance(value, str) else "",
 )
-def test_standing_follows_the_report(found, expected):
+def test_status_follows_the_report(found, expected):
     assert state.version_status_of("draft", "v2", found, None) is expected
 
 
-def test_report_from_before_an_order_does_not_count():
-    """A poll was under way when the load was ordered.
+def test_report_requested_before_an_order_is_not_used():
+    """A poll is in progress when the load is ordered.
 
-    Its answer says that the worker serves, just as it stops serving.
+    Its answer says that the engine serves although the engine is about to
+    stop serving.
     """
     load_order = state.LoadOrder("v2", ended_s=11.0, confirmed=True)
     found = state.version_status_of("draft", "v2", report("v1"), load_order)
@@ -41,35 +42,36 @@
 
 
 def test_older_report_does_not_replace_a_newer_one():
-    """A slow poll ends after a quick one that was asked for later."""
+    """A slow poll ends after a fast poll that started later."""
     engine_reports = state.EngineReports()
     engine_reports.put("worker-1", report("v2", requested_s=12.0))
     engine_reports.put("worker-1", report("v1", requested_s=11.0))
     assert engine_reports.all()["worker-1"] == report("v2", requested_s=12.0)
 
 
-def test_reports_ride_on_heartbeats_until_their_member_is_gone():
-    here, there = state.EngineReports(), state.EngineReports()
-    there.put("worker-1", report("v1"))
-    data = sharing.Sharing(there, lambda: 20.0).provide()
-    sharing.Sharing(here, lambda: 20.0).consume("agent-2", data)
-    assert here.all()["worker-1"].state == report("v1").state
-    here.retain_members({"agent-2"})
-    assert here.all()
-    here.retain_members(set())
-    assert not here.all()
+def test_shared_reports_are_used_until_their_member_is_gone():
+    local, remote = state.EngineReports(), state.EngineReports()
+    remote.put("worker-1", report("v1"))
+    data = sharing.Sharing(remote, lambda: 20.0).provide()
+    sharing.Sharing(local, lambda: 20.0).consume("agent-2", data)
+    assert local.all()["worker-1"].state == report("v1").state
+    local.retain_members({"agent-2"})
+    assert local.all()
+    local.retain_members(set())
+    assert not local.all()
 
 
-def test_report_of_another_member_is_not_younger_than_an_order():
-    """A heartbeat with the report was under way when the load was ordered.
+def test_shared_report_is_not_newer_than_a_concurrent_order():
+    """A heartbeat with the report is in transit when the load is ordered.
 
-    Counted from its arrival, the worker would seem to serve.
+    If the age of the report were counted from its arrival, the engine would
+    seem to serve.
     """
-    there, here = state.EngineReports(), state.EngineReports()
-    there.put("worker-1", report("v1", requested_s=10.0))
-    data = sharing.Sharing(there, lambda: 10.0).provide()
+    remote, local = state.EngineReports(), state.EngineReports()
+    remote.put("worker-1", report("v1", requested_s=10.0))
+    data = sharing.Sharing(remote, lambda: 10.0).provide()
     load_order = state.LoadOrder("v2", ended_s=11.0, confirmed=True)
-    sharing.Sharing(here, lambda: 12.0).consume("agent-2", data)
-    found = here.all()["worker-1"]
-    standing = state.version_status_of("draft", "v2", found, load_order)
-    assert standing is state.VersionStatus.ORDERED
+    sharing.Sharing(local, lambda: 12.0).consume("agent-2", data)
+    found = local.all()["worker-1"]
+    status = state.version_status_of("draft", "v2", found, load_order)
+    assert status is state.VersionStatus.ORDERED
--- a/tests/orders/test_steps.py
+++ b/tests/orders/test_steps.py
@@ -21,8 +21,11 @@
 
 
 @dataclasses.dataclass
-class Frozen:
-    """A lease that runs out, and engines whose answer takes that long."""
+class FrozenHolder:
+    """A lease that expires while the process waits for an engine's state.
+
+    It stands in for the leases, the engines and the clock.
+    """
 
     now_s: float = 0.0
     freeze_s: float = 0.0
@@ -49,31 +52,34 @@
         return engine_orders.Taken(loading=True)
 
 
-def step(freeze_s: float) -> int:
-    world = Frozen(freeze_s=freeze_s)
+def orders_sent_after_freeze(freeze_s: float) -> int:
+    holder = FrozenHolder(freeze_s=freeze_s)
     engine_reports = state.EngineReports()
-    engine_reports.put("worker-1", state.Report(world.state(""), 0.0))
-    world.now_s = 0.0
+    engine_reports.put("worker-1", state.Report(holder.state(""), 0.0))
+    holder.now_s = 0.0
     counters = registry.Registry().counters("x_total", "x", ("a", "b"))
-    work = rollout.Rollout(
+    rollout_under_test = rollout.Rollout(
         issuer_module.Context(
-            leases=world,
-            engines=world,
+            leases=holder,
+            engines=holder,
             engine_reports=engine_reports,
-            clock=world.clock,
+            clock=holder.clock,
             record_event=lambda *args, **fields: None,
             precedence=lambda lease: 0,
             orders_given=counters,
         )
     )
-    work.step(SCOPE, 1)
-    return world.orders_given
+    rollout_under_test.step(SCOPE, 1)
+    return holder.orders_given
+
 
+def test_order_is_sent_while_the_lease_is_held():
+    assert orders_sent_after_freeze(freeze_s=1.0) == 1
 
-def test_order_follows_when_the_lease_holds():
-    assert step(freeze_s=1.0) == 1
 
+def test_no_order_is_sent_after_the_lease_expired():
+    """The holder is frozen after it acquired the lease, before its order.
 
-def test_no_order_when_the_lease_ran_out_since_it_was_taken():
-    """The holder is frozen between taking the lease and its order."""
-    assert step(freeze_s=10.0) == 0
+    The lease expires meanwhile, so another holder may send orders.
+    """
+    assert orders_sent_after_freeze(freeze_s=10.0) == 0
