--- a/src/briarseam/orders/rollout.py
+++ b/src/briarseam/orders/rollout.py
@@ -122,9 +122,9 @@
         """
         if self.context.leases.holds(scope.lease) is not None:
             return True
-        place = self.context.precedence(scope.lease)
+        position = self.context.precedence(scope.lease)
         started_s = self.difference_started_s or now_s
-        if now_s < started_s + place * STAGGER_S:
+        if now_s < started_s + position * STAGGER_S:
             self.blocked = "another instance is first in line for the lease"
             return False
         return True
