--- a/src/briarseam/peers/registrations.py
+++ b/src/briarseam/peers/registrations.py
@@ -247,7 +247,7 @@
         """Keep the known registrations while the store is unavailable."""
 
     def keep_registered(self) -> None:
-        """Write the local registration and the secret while missing."""
+        """Write the registration and the secret when the topic lacks them."""
         self.loaded.wait()
         is_missing = False
         while not self.leaving.is_set():
