--- a/bench/claims_throughput.py
+++ b/bench/claims_throughput.py
@@ -99,7 +99,7 @@
         """Tell whether all shards are read."""
         followed = self.claims.followed.all()
         return len(followed) == self.claims.options.shards and all(
-            shard.unready() is None for shard in followed
+            shard.readiness_refusal() is None for shard in followed
         )
 
     def claim(self) -> bool:
--- a/bench/claims_window.py
+++ b/bench/claims_window.py
@@ -105,7 +105,7 @@
         )
         started = time.monotonic()
         shard = claims.followed.shard(0)
-        while shard.unready() is not None:
+        while shard.readiness_refusal() is not None:
             time.sleep(0.005)
         took_s = time.monotonic() - started
         claims.stop()
--- a/bench/token_cost.py
+++ b/bench/token_cost.py
@@ -72,11 +72,11 @@
 
 def relay(pieces: typing.Iterator[engine.Piece]) -> float:
     """Return the time to check the order of pieces and render them."""
-    order = ordering.Ordered(RUN, VERSION)
-    order.started(pieces)
+    sequencer = ordering.Sequencer(RUN, VERSION)
+    sequencer.read_start(pieces)
     begun = time.thread_time()
     for _ in range(TOKENS):
-        piece = order.next(pieces)
+        piece = sequencer.next(pieces)
         assert isinstance(piece, engine.Token)
         events.token_event(piece)
     return us(begun)
--- a/src/briarseam/answers/attempts.py
+++ b/src/briarseam/answers/attempts.py
@@ -24,7 +24,7 @@
     )
 
 
-def abandonment(
+def abandoned_message(
     request: messages.Admit | messages.AdmitCall,
 ) -> messages.AttemptAbandoned:
     """Return the message that an attempt will never be sent."""
--- a/src/briarseam/answers/keeping.py
+++ b/src/briarseam/answers/keeping.py
@@ -22,7 +22,7 @@
         """Tell whether nobody resumed the answer since."""
 
 
-class Keeping:
+class RunKeeper:
     """Reads on for callers that are gone.
 
     Parameters
@@ -84,7 +84,7 @@
         outcome would be lost with it.
         """
         cancel_at: float | None = time.monotonic() + grace_s
-        if relay.ask.admit.key:
+        if relay.request.admit.key:
             cancel_at = None
         result = messages.RunResult.LOST_AFTER_FIRST
         try:
@@ -123,7 +123,7 @@
         pieces = iter(stream)
         try:
             while time.monotonic() < cancel_at:
-                if isinstance(resumed.order.next(pieces), engine.Done):
+                if isinstance(resumed.sequencer.next(pieces), engine.Done):
                     return
             self.cancel(
                 resumed.answer_id,
--- a/src/briarseam/answers/ordering.py
+++ b/src/briarseam/answers/ordering.py
@@ -7,7 +7,7 @@
 from briarseam.endpoints import engine
 
 
-class Ordered:
+class Sequencer:
     """Checks the pieces of one answer, over all streams that give it.
 
     Parameters
@@ -25,7 +25,9 @@
         self.version = version
         self.offset = offset
 
-    def started(self, pieces: typing.Iterator[engine.Piece]) -> engine.Started:
+    def read_start(
+        self, pieces: typing.Iterator[engine.Piece]
+    ) -> engine.Started:
         """Return the start, which must be the stream's first piece."""
         piece = next(pieces, None)
         if isinstance(piece, engine.Broken):
--- a/src/briarseam/answers/relay.py
+++ b/src/briarseam/answers/relay.py
@@ -40,7 +40,7 @@
         """Tell the agent how a run went."""
 
 
-class Keeping(typing.Protocol):
+class RunKeeper(typing.Protocol):
     """What happens to a run whose caller is gone."""
 
     def keep(self, relay: Relay, run: runs.Run) -> None:
@@ -52,27 +52,29 @@
 
     Parameters
     ----------
-    ask
+    request
         The caller's request.
     agent
         Link to the agent.
     engines
         Adapter to the engines.
-    keeping
+    run_keeper
         Takes over the run when the caller is gone.
     """
 
     def __init__(
         self,
-        ask: runs.Ask,
+        request: runs.PromptRequest,
         agent: Agent,
         engines: engine.EngineClient,
-        keeping: Keeping,
+        run_keeper: RunKeeper,
     ) -> None:
-        self.ask = dataclasses.replace(ask, admit=attempts.named(ask.admit))
+        self.request = dataclasses.replace(
+            request, admit=attempts.named(request.admit)
+        )
         self.agent = agent
         self.engines = engines
-        self.keeping = keeping
+        self.run_keeper = run_keeper
         self.lost: tuple[str, ...] = ()
         self.refused: tuple[str, ...] = ()
         self.may_have_run = False
@@ -90,7 +92,7 @@
                 reply = self.agent.admit(self.next_ask())
             except verdict.RefusalError as error:
                 given = runs.true_of_tries(
-                    error.given, self.may_have_run, bool(self.ask.prior)
+                    error.given, self.may_have_run, bool(self.request.prior)
                 )
                 raise verdict.RefusalError(given) from error
             if isinstance(reply, messages.Replayed):
@@ -102,10 +104,10 @@
     def next_ask(self) -> messages.Admit:
         """Return the message to the agent, with the time that is left."""
         if not self.lost:
-            return self.ask.admit
+            return self.request.admit
         left_ms = max(int(self.left_s() * MS), 1)
         return dataclasses.replace(
-            self.ask.admit,
+            self.request.admit,
             lost=self.lost,
             refused=self.refused,
             deadline_ms=left_ms,
@@ -113,13 +115,13 @@
 
     def left_s(self) -> float:
         """Return the seconds left to the caller's deadline."""
-        elapsed_s = time.monotonic() - self.ask.accepted_at
-        return self.ask.admit.deadline_ms / MS - elapsed_s
+        elapsed_s = time.monotonic() - self.request.accepted_at
+        return self.request.admit.deadline_ms / MS - elapsed_s
 
     def try_grant(self, grant: messages.Granted) -> runs.Run | None:
         """Start a granted run; ``None`` when another may be asked for."""
         try:
-            run = self.start(grant, list(self.ask.prior))
+            run = self.start(grant, list(self.request.prior))
             self.await_first(run)
         except engine.NotSentError:
             self.end_unsent(grant, messages.RunResult.NOT_SENT)
@@ -134,7 +136,7 @@
             self.end(grant, messages.RunResult.LOST_BEFORE_FIRST)
             self.lost += (grant.endpoint,)
             self.may_have_run = True
-            if not self.ask.admit.idempotent:
+            if not self.request.admit.idempotent:
                 raise verdict.RefusalError(
                     verdict.MayHaveRun(
                         verdict.Reason.ENDPOINT_LOST,
@@ -151,19 +153,21 @@
             self.run_request(grant, tuple(tokens)),
             self.left_s() * FIRST_TOKEN_PART,
         )
-        order = ordering.Ordered(grant.run_id, grant.version, len(tokens))
-        return runs.Run(grant, stream, iter(stream), tokens, order)
+        sequencer = ordering.Sequencer(
+            grant.run_id, grant.version, len(tokens)
+        )
+        return runs.Run(grant, stream, iter(stream), tokens, sequencer)
 
     def await_first(self, run: runs.Run) -> None:
         """Wait for the first token, or an empty answer's end."""
         try:
-            started = run.order.started(run.pieces)
+            started = run.sequencer.read_start(run.pieces)
             run.reused_tokens = started.cached_tokens
             first = run.next_piece()
         except engine.LostError:
             run.stream.close()
             raise
-        run.order.offset -= isinstance(first, engine.Token)
+        run.sequencer.offset -= isinstance(first, engine.Token)
         run.pieces = runs.prepend(first, run.pieces)
         run.stream.begun()
         self.report_started(run)
@@ -171,7 +175,7 @@
     def report_started(self, run: runs.Run) -> None:
         """Tell the agent that a run gave its first token."""
         run.told = True
-        elapsed_s = time.monotonic() - self.ask.accepted_at
+        elapsed_s = time.monotonic() - self.request.accepted_at
         self.agent.report(
             messages.RunStarted(
                 run_id=run.grant.run_id,
@@ -191,7 +195,7 @@
             if run.ended:
                 run.stream.close()
             else:
-                self.keeping.keep(self, run)
+                self.run_keeper.keep(self, run)
 
     def relay(self, run: runs.Run) -> typing.Iterator[bytes]:
         """Yield events; mend the stream where that can be done."""
@@ -229,7 +233,7 @@
             return None
         run.ended = True
         self.end(run.grant, messages.RunResult.LOST_AFTER_FIRST, run.tokens)
-        if not self.ask.admit.idempotent:
+        if not self.request.admit.idempotent:
             return verdict.MayHaveRun(
                 verdict.Reason.ENDPOINT_LOST,
                 "the endpoint was lost and the answer cannot be continued",
@@ -254,7 +258,7 @@
         """Run the rest at another endpoint; return why that cannot be."""
         while True:
             request = dataclasses.replace(
-                self.ask.admit,
+                self.request.admit,
                 lost=self.lost,
                 refused=self.refused,
                 continues=run.grant.answer_id,
@@ -287,7 +291,7 @@
         run.grant = grant
         run.stream = fresh.stream
         run.pieces = fresh.pieces
-        run.order = fresh.order
+        run.sequencer = fresh.sequencer
         run.resumes = 0
         run.told = False
         run.ended = False
@@ -299,12 +303,12 @@
         """Return the engine's request for a grant."""
         return engine.RunRequest(
             run_id=grant.run_id,
-            model=self.ask.admit.model,
+            model=self.request.admit.model,
             version=grant.version,
             adapter=grant.adapter or None,
-            prompt=self.ask.prompt,
+            prompt=self.request.prompt,
             prior=prior,
-            max_tokens=self.ask.admit.max_tokens,
+            max_tokens=self.request.admit.max_tokens,
             priority=grant.priority,
             organisation=grant.salt,
         )
@@ -313,7 +317,7 @@
         self, grant: messages.Granted, result: messages.RunResult
     ) -> None:
         """Report that the endpoint did not start the run."""
-        attempts.check_told(self.ask.admit, self.end(grant, result))
+        attempts.check_told(self.request.admit, self.end(grant, result))
 
     def end(
         self,
@@ -332,7 +336,7 @@
                 tokens=len(tokens),
                 body=body,
                 organisation=grant.organisation,
-                key=self.ask.admit.key,
+                key=self.request.admit.key,
                 answer_id=grant.answer_id,
             )
         )
--- a/src/briarseam/answers/resume.py
+++ b/src/briarseam/answers/resume.py
@@ -16,7 +16,7 @@
 CONTINUE = "send the prompt again with Answer-Id to have it continued"
 
 
-class Keeping(typing.Protocol):
+class RunKeeper(typing.Protocol):
     """What happens to a run whose caller is gone."""
 
     def keep_resumed(self, resumed: Resumption, stream: engine.Stream) -> None:
@@ -36,7 +36,7 @@
         First token the caller does not have.
     engines
         Adapter to the engines.
-    keeping
+    run_keeper
         Takes over the run when the caller is gone.
     """
 
@@ -46,13 +46,15 @@
         answer_id: str,
         offset: int,
         engines: engine.EngineClient,
-        keeping: Keeping,
+        run_keeper: RunKeeper,
     ) -> None:
         self.located = located
         self.answer_id = answer_id
         self.engines = engines
-        self.keeping = keeping
-        self.order = ordering.Ordered(located.run_id, located.version, offset)
+        self.run_keeper = run_keeper
+        self.sequencer = ordering.Sequencer(
+            located.run_id, located.version, offset
+        )
         self.resumes = 0
         self.ended = False
 
@@ -66,7 +68,9 @@
         """
         try:
             return self.engines.resume(
-                self.located.address, self.located.run_id, self.order.offset
+                self.located.address,
+                self.located.run_id,
+                self.sequencer.offset,
             )
         except engine.RefusedError as error:
             given = verdict.Ran(
@@ -100,7 +104,7 @@
             if self.ended:
                 stream.close()
             else:
-                self.keeping.keep_resumed(self, stream)
+                self.run_keeper.keep_resumed(self, stream)
 
     def reopen(self) -> engine.Stream:
         """Return the engine's stream anew, a few times without progress."""
@@ -119,7 +123,7 @@
         """Yield token events in order, then ``done``."""
         pieces = iter(stream)
         while True:
-            match self.order.next(pieces):
+            match self.sequencer.next(pieces):
                 case engine.Token() as piece:
                     self.resumes = 0
                     yield events.token_event(piece)
@@ -129,7 +133,7 @@
                     return
 
 
-def not_replayed(
+def replay_failure_verdict(
     replayed: messages.Replayed, given: verdict.Verdict
 ) -> verdict.Verdict:
     """Return what a caller is told when an answer cannot be had again.
--- a/src/briarseam/answers/runs.py
+++ b/src/briarseam/answers/runs.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Ask:
+class PromptRequest:
     """What the caller asked, as the relay needs it.
 
     Attributes
@@ -46,7 +46,7 @@
     stream: engine.Stream
     pieces: typing.Iterator[engine.Piece]
     tokens: list[str]
-    order: ordering.Ordered
+    sequencer: ordering.Sequencer
     reused_tokens: int = 0
     resumes: int = 0
     told: bool = False
@@ -54,7 +54,7 @@
 
     def next_piece(self) -> engine.Token | engine.Done:
         """Return the next piece; a token counts as had from now on."""
-        piece = self.order.next(self.pieces)
+        piece = self.sequencer.next(self.pieces)
         if isinstance(piece, engine.Token):
             self.resumes = 0
         return piece
--- a/src/briarseam/claims/shard.py
+++ b/src/briarseam/claims/shard.py
@@ -171,7 +171,7 @@
             known = self.standing(item)
             if known is not None:
                 return known
-        return self.unready() or self.crowded()
+        return self.readiness_refusal() or self.crowded()
 
     def settle(
         self,
@@ -187,7 +187,7 @@
         """
         confirmation = waits.Confirmation(set(settlements))
         with self.lock:
-            if self.unready() is not None:
+            if self.readiness_refusal() is not None:
                 return frozenset()
             for item in settlements:
                 self.settling[item] = confirmation
@@ -198,7 +198,7 @@
                 self.settling.pop(item, None)
             return frozenset(item.attempt for item in confirmation.confirmed)
 
-    def unready(self) -> messages.NotClaimed | None:
+    def readiness_refusal(self) -> messages.NotClaimed | None:
         """Return the refusal while the window is not known up to now."""
         if self.halted:
             return refuse(self.halted, MAX_RETRY_S)
--- a/src/briarseam/compose/entry.py
+++ b/src/briarseam/compose/entry.py
@@ -130,7 +130,9 @@
     parts = app.EntryParts(
         agent=link,
         engines=engines,
-        keeping=keeping.Keeping(settings.entry.resume_grace_s, link, engines),
+        run_keeper=keeping.RunKeeper(
+            settings.entry.resume_grace_s, link, engines
+        ),
         services=service.ServiceClient(),
         in_flight=inflight.InFlight(),
         teams=operators.Operators(teams),
--- a/src/briarseam/entry/agent_link.py
+++ b/src/briarseam/entry/agent_link.py
@@ -97,7 +97,7 @@
         except verdict.RefusalError as error:
             unanswered = error.given.reason is verdict.Reason.AGENT_UNAVAILABLE
             if request.attempt and (unanswered or request.lost):
-                self.reports.add(attempts.abandonment(request))
+                self.reports.add(attempts.abandoned_message(request))
             raise
 
     def ask_kinds(
--- a/src/briarseam/entry/app.py
+++ b/src/briarseam/entry/app.py
@@ -28,7 +28,7 @@
 
 if typing.TYPE_CHECKING:
     from briarseam import inflight
-    from briarseam.answers import keeping as keeping_module
+    from briarseam.answers import keeping
     from briarseam.endpoints import engine
     from briarseam.endpoints import service
     from briarseam.entry import agent_link
@@ -53,7 +53,7 @@
         Link to the agent.
     engines, services
         Adapters to the endpoints.
-    keeping
+    run_keeper
         Runs whose callers are gone.
     in_flight
         Counter for the graceful shutdown.
@@ -67,7 +67,7 @@
 
     agent: agent_link.AgentLink
     engines: engine.EngineClient
-    keeping: keeping_module.Keeping
+    run_keeper: keeping.RunKeeper
     services: service.ServiceClient
     in_flight: inflight.InFlight
     teams: operators.Operators
@@ -137,7 +137,7 @@
         body = requests.parse_answer(raw.body)
         ask = build_ask(raw, body, accepted_at)
         running = relay.Relay(
-            ask, self.parts.agent, self.parts.engines, self.parts.keeping
+            ask, self.parts.agent, self.parts.engines, self.parts.run_keeper
         )
         with refusals_as_problems():
             opened = running.open()
@@ -171,7 +171,7 @@
             answer_id,
             offset,
             self.parts.engines,
-            self.parts.keeping,
+            self.parts.run_keeper,
         )
         stream = resumption.open()
         return respond_stream(resumption.events(stream))
@@ -190,7 +190,7 @@
             try:
                 return self.resume(token_digest, replayed.answer_id, 0)
             except verdict.RefusalError as error:
-                given = resume.not_replayed(replayed, error.given)
+                given = resume.replay_failure_verdict(replayed, error.given)
                 raise verdict.RefusalError(given) from error
 
 
@@ -237,7 +237,7 @@
     raw: requests.RawRequest,
     body: requests.AnswerBody,
     accepted_at: float,
-) -> runs.Ask:
+) -> runs.PromptRequest:
     """Return what the relay needs of a validated request."""
     if not body.idempotent and not raw.key:
         raise problems.Problem(
@@ -265,7 +265,7 @@
         continues=continued,
         passed_on=len(body.prior),
     )
-    return runs.Ask(admit, body.prompt, accepted_at, body.prior)
+    return runs.PromptRequest(admit, body.prompt, accepted_at, body.prior)
 
 
 def replay_answer(replayed: messages.Replayed) -> bytes:
--- a/tests/answers/test_lost_tries.py
+++ b/tests/answers/test_lost_tries.py
@@ -64,7 +64,7 @@
 def refuse_prompt(address: str, *prior: str) -> verdict.Verdict:
     admit = messages.Admit("", "draft", "", (), 1, 4, 5, 3000)
     asking = relay.Relay(
-        runs.Ask(admit, "prompt", time.monotonic(), prior),
+        runs.PromptRequest(admit, "prompt", time.monotonic(), prior),
         Agent(address),
         engine.EngineClient(1.0),
         None,
--- a/tests/answers/test_ordering.py
+++ b/tests/answers/test_ordering.py
@@ -18,10 +18,10 @@
 
 def take(*pieces: engine.Piece) -> list[int]:
     """Take pieces to the end; return the tokens' offsets."""
-    order = ordering.Ordered("run", "v1")
+    sequencer = ordering.Sequencer("run", "v1")
     offsets = []
     stream = iter(pieces)
-    while isinstance(piece := order.next(stream), engine.Token):
+    while isinstance(piece := sequencer.next(stream), engine.Token):
         offsets.append(piece.offset)
     return offsets
 
@@ -65,8 +65,8 @@
 
 def test_token_after_a_gap_is_not_passed_on():
     """A caller sees a token in the wrong place before the stream ends."""
-    order = ordering.Ordered("run", "v1")
+    sequencer = ordering.Sequencer("run", "v1")
     stream = iter((START, token(0), token(2)))
-    assert order.next(stream) == token(0)
+    assert sequencer.next(stream) == token(0)
     with pytest.raises(engine.LostError, match="missing"):
-        order.next(stream)
+        sequencer.next(stream)
--- a/tests/claims/test_service.py
+++ b/tests/claims/test_service.py
@@ -100,7 +100,9 @@
         cell.add("agent-2")
         claims = cell.agents["agent-1"].claims
         waiting.until(
-            lambda: all(s.unready() is None for s in claims.followed.all())
+            lambda: all(
+                s.readiness_refusal() is None for s in claims.followed.all()
+            )
         )
         yield cell
 
--- a/tests/claims/test_shard.py
+++ b/tests/claims/test_shard.py
@@ -50,7 +50,7 @@
 
 
 def ready(shard: shards.Shard) -> shards.Shard:
-    waiting.until(lambda: shard.unready() is None)
+    waiting.until(lambda: shard.readiness_refusal() is None)
     return shard
 
 
