--- a/src/briarseam/forwarding/request_context.py
+++ b/src/briarseam/forwarding/request_context.py
@@ -161,7 +161,7 @@
     def request(self) -> placements.Request:
         """Return the request for the endpoint chooser."""
         organisation = None
-        if isinstance(self.caller, tables.Known):
+        if isinstance(self.caller, tables.KnownCaller):
             organisation = self.caller.organisation
         return placements.Request(
             self.call,
--- a/src/briarseam/forwarding/service.py
+++ b/src/briarseam/forwarding/service.py
@@ -100,7 +100,7 @@
         if route is None:
             return refusing.NO_ROUTE
         caller = table.identify(route, call.key)
-        if isinstance(caller, tables.Unknown):
+        if isinstance(caller, tables.UnknownCaller):
             return refusing.UNKNOWN_KEY
         wait_s = route.timeout_s
         if call.time_left_s is not None:
@@ -112,11 +112,13 @@
         session = call.id
         if call.prompt is not None:
             session = placements.session_of(call.prompt)
-        name = tables.pick_share(route, session)
+        name = tables.choose_service(route, session)
         service = table.configuration.services.get(name)
         if service is None:
             service = routes.Service(name)
-        organisation = caller.name if isinstance(caller, tables.Known) else ""
+        organisation = (
+            caller.name if isinstance(caller, tables.KnownCaller) else ""
+        )
         digest = crash_guard.digest_of(call.target, organisation, body)
         if self.deps.guard.is_refused(digest):
             return refusing.CONDEMNED
--- a/src/briarseam/routes/table.py
+++ b/src/briarseam/routes/table.py
@@ -14,12 +14,12 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Anyone:
+class AnonymousCaller:
     """The route asks for no key."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Known:
+class KnownCaller:
     """The key belongs to an organisation."""
 
     organisation: model.Organisation
@@ -31,11 +31,11 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Unknown:
+class UnknownCaller:
     """The key is missing or belongs to nobody."""
 
 
-Caller = Anyone | Known | Unknown
+Caller = AnonymousCaller | KnownCaller | UnknownCaller
 
 
 class RouteTable:
@@ -80,14 +80,14 @@
         """Return who asks on a route with a key, empty if without one."""
         organisations = self.configuration.organisations
         if organisations is None:
-            return Anyone()
+            return AnonymousCaller()
         found = organisations.get(key) if key else None
         if found is not None:
-            return Known(found)
-        return Anyone() if route.anonymous else Unknown()
+            return KnownCaller(found)
+        return AnonymousCaller() if route.anonymous else UnknownCaller()
 
 
-def pick_share(route: model.Route, key: str) -> str:
+def choose_service(route: model.Route, key: str) -> str:
     """Return the service that a request goes to.
 
     The choice is made by hash, so that a session's requests reach the
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -70,17 +70,17 @@
     )
     closed = routes.find("kitchens.example", "/closed/")
     anonymous = routes.find("kitchens.example", "/open/")
-    assert routes.identify(closed, "key") == table.Known(north)
-    assert routes.identify(closed, "other") == table.Unknown()
-    assert routes.identify(closed, "") == table.Unknown()
-    assert routes.identify(anonymous, "") == table.Anyone()
-    assert routes.identify(anonymous, "key") == table.Known(north)
+    assert routes.identify(closed, "key") == table.KnownCaller(north)
+    assert routes.identify(closed, "other") == table.UnknownCaller()
+    assert routes.identify(closed, "") == table.UnknownCaller()
+    assert routes.identify(anonymous, "") == table.AnonymousCaller()
+    assert routes.identify(anonymous, "key") == table.KnownCaller(north)
 
 
 def test_nobody_needs_a_key_where_no_organisations_are_configured():
     only = route("only", "/")
     assert table.RouteTable(configuration(only)).identify(only, "") == (
-        table.Anyone()
+        table.AnonymousCaller()
     )
 
 
@@ -91,14 +91,17 @@
         shares=(model.Share("old", 90), model.Share("new", 10)),
     )
     chosen = collections.Counter(
-        table.pick_share(split, f"session-{number}") for number in range(2000)
+        table.choose_service(split, f"session-{number}")
+        for number in range(2000)
     )
     assert 0.05 < chosen["new"] / 2000 < 0.15
-    assert len({table.pick_share(split, "session") for _ in range(20)}) == 1
+    assert (
+        len({table.choose_service(split, "session") for _ in range(20)}) == 1
+    )
 
 
 def test_share_of_weight_zero_gets_nothing():
     split = route(
         "split", "/", shares=(model.Share("a", 0), model.Share("b", 1))
     )
-    assert {table.pick_share(split, str(n)) for n in range(50)} == {"b"}
+    assert {table.choose_service(split, str(n)) for n in range(50)} == {"b"}
