--- a/src/briarseam/compose/node.py
+++ b/src/briarseam/compose/node.py
@@ -356,7 +356,9 @@
         server.set_idle_timeout(limits.idle_timeout_s)
         server.max_request_header_size = limits.header_bytes
         server.max_request_body_size = limits.body_bytes
-        keeping = [store for store in configuration.stores() if store.explicit]
+        keeping = [
+            store for store in configuration.stores() if store.frees_on_request
+        ]
         self.chooser.kept_index.set_stores(keeping)
         self.store_watches.follow([store.address for store in keeping])
 
--- a/src/briarseam/platform/configuration.py
+++ b/src/briarseam/platform/configuration.py
@@ -178,7 +178,7 @@
             capacity_tokens=wire.kv_capacity_tokens,
             link_mbps=wire.link_mbps,
             first_byte_s=wire.first_ms / MS,
-            explicit=wire.managed,
+            frees_on_request=wire.managed,
         )
     return model.Service(
         name=wire.name,
--- a/src/briarseam/routes/model.py
+++ b/src/briarseam/routes/model.py
@@ -129,7 +129,7 @@
         Speed of its link, in Mbit/s.
     first_byte_s
         What each transfer waits before it begins, in seconds.
-    explicit
+    frees_on_request
         Whether it frees parts only on request.
     """
 
@@ -138,7 +138,7 @@
     capacity_tokens: int
     link_mbps: float
     first_byte_s: float
-    explicit: bool
+    frees_on_request: bool
 
 
 @dataclasses.dataclass(frozen=True)
