--- a/src/briarseam/compose/node_calls.py
+++ b/src/briarseam/compose/node_calls.py
@@ -195,7 +195,7 @@
         """
         self.tell(address, message, cell_weights.WeightsNoted)
 
-    def ask_configuration(
+    def query_configuration(
         self, name: str
     ) -> peer_configuration.ConfigurationTold:
         """Ask an instance of this cell for its configuration.
--- a/src/briarseam/routes/peer_configuration.py
+++ b/src/briarseam/routes/peer_configuration.py
@@ -47,7 +47,7 @@
 class Peers(typing.Protocol):
     """The other instances of the cell."""
 
-    def ask_configuration(self, name: str) -> ConfigurationTold:
+    def query_configuration(self, name: str) -> ConfigurationTold:
         """Ask an instance for its configuration.
 
         Raises
@@ -117,7 +117,7 @@
     def fetch(self, member: str) -> None:
         """Take the configuration of a peer over."""
         try:
-            reply = self.peers.ask_configuration(member)
+            reply = self.peers.query_configuration(member)
         except replies.NoReplyError as error:
             log.warning(
                 "configuration_not_fetched", peer=member, detail=str(error)
--- a/tests/routes/test_peer_configuration.py
+++ b/tests/routes/test_peer_configuration.py
@@ -19,7 +19,7 @@
         self.known = {}
         self.asked = []
 
-    def ask_configuration(self, name):
+    def query_configuration(self, name):
         self.asked.append(name)
         if name not in self.known:
             raise replies.NoReplyError("is gone")
