--- a/bench/configuration_node.py
+++ b/bench/configuration_node.py
@@ -68,7 +68,7 @@
             me,
             KEY,
             lambda: self.members,
-            options=readers.Options(everyone_reads=everyone),
+            options=readers.Options(all_agents_read=everyone),
         )
         router = server.Router()
         self.reader.register(router)
--- a/src/briarseam/compose/configuration.py
+++ b/src/briarseam/compose/configuration.py
@@ -57,7 +57,7 @@
         live = membership_of().live(include_leaving=True)
         return {member.name: member.agent_address for member in live}
 
-    def strangers() -> dict[str, str]:
+    def other_cell_members() -> dict[str, str]:
         return membership_of().list_reader.agents()
 
     return readers.ConfigurationReader(
@@ -66,7 +66,7 @@
         me,
         key,
         members,
-        strangers,
+        other_cell_members,
         readers.options_for(
             settings.platform.log_poll_ms, settings.platform.log_retention_s
         ),
@@ -83,7 +83,7 @@
     member_service.add_section(
         SECTION,
         lambda: OFFSET.pack(reader.offset()),
-        lambda name, data: reader.note_peer_offset(
+        lambda name, data: reader.record_peer_offset(
             name, OFFSET.unpack(data)[0]
         ),
     )
@@ -103,13 +103,13 @@
         "Age of the last proof that this is the log's end",
         reader.log_age_s,
     )
-    reader.tree.observe = lambda verdict, data: note(ring, verdict, data)
+    reader.tree.on_verdict = lambda verdict, data: note(ring, verdict, data)
 
 
 def note(ring: timeline.Ring, verdict: folds.FoldVerdict, data: bytes) -> None:
     """Note a record's verdict on the time line."""
     kind = f"configuration-{type(verdict).__name__.lower()}"
-    change = records.peek(data)
+    change = records.decode_unverified(data)
     match verdict:
         case folds.Rejected(offset, folds.RejectReason.NOT_AUTHENTIC):
             ring.note(kind, offset=offset, reason=verdict.reason.value)
--- a/src/briarseam/configuration/history.py
+++ b/src/briarseam/configuration/history.py
@@ -79,7 +79,7 @@
 
 def event(record: logs.Record, verdict: folds.FoldVerdict) -> Event:
     """Return a judged record as an event."""
-    change = records.peek(record.data)
+    change = records.decode_unverified(record.data)
     match verdict:
         # What a forged record says of its author is nobody's word.
         case folds.Rejected(reason=folds.RejectReason.NOT_AUTHENTIC):
--- a/src/briarseam/configuration/peers.py
+++ b/src/briarseam/configuration/peers.py
@@ -45,43 +45,43 @@
 
     Attributes
     ----------
-    me
+    identity
         This process.
     key
         The agents' shared key.
     members
         Gives the live members of the cell, wire address by name.
-    strangers
+    other_cell_members
         Gives agents of other cells in the same form; asked only when
         neither the log nor the cell can tell.
     """
 
-    me: connections.Identity
+    identity: connections.Identity
     key: bytes
     members: Members
-    strangers: Members = dict
+    other_cell_members: Members = dict
     pool: dict[str, clients.Client] = dataclasses.field(default_factory=dict)
     lock: threading.Lock = dataclasses.field(default_factory=threading.Lock)
 
     def addresses(self) -> dict[str, str]:
         """Return the other members' addresses by name."""
         members = dict(self.members())
-        members.pop(self.me.name, None)
+        members.pop(self.identity.name, None)
         return members
 
-    def stranger_addresses(self) -> dict[str, str]:
+    def other_cell_addresses(self) -> dict[str, str]:
         """Return agents of other cells, addresses by name."""
-        known = {*self.members(), self.me.name}
+        known = {*self.members(), self.identity.name}
         return {
             name: address
-            for name, address in self.strangers().items()
+            for name, address in self.other_cell_members().items()
             if name not in known
         }
 
     def address_of(self, name: str) -> str | None:
         """Return an agent's address, ``None`` when it is not known."""
         found = self.addresses().get(name)
-        return found or self.stranger_addresses().get(name)
+        return found or self.other_cell_addresses().get(name)
 
     def readers(self) -> list[str]:
         """Return the names of those that read the log for the cell.
@@ -90,7 +90,7 @@
         fewer read the log, and those that hear nothing turn to it
         themselves; nothing else depends on it.
         """
-        names = {*self.addresses(), self.me.name}
+        names = {*self.addresses(), self.identity.name}
         return ranked(names)[:READERS_PER_CELL]
 
     def fetch_records(
@@ -170,7 +170,7 @@
         with self.lock:
             if address not in self.pool:
                 self.pool[address] = clients.Client(
-                    address, self.me, self.key, max_idle=1
+                    address, self.identity, self.key, max_idle=1
                 )
             return self.pool[address]
 
--- a/src/briarseam/configuration/publish.py
+++ b/src/briarseam/configuration/publish.py
@@ -174,7 +174,7 @@
                 f"the record at {verdict.offset} has version"
                 f" {verdict.version}, which this release does not know",
             )
-        found = records.peek(record.data)
+        found = records.decode_unverified(record.data)
         if found is None or found.id != change.id:
             return None
         match verdict:
--- a/src/briarseam/configuration/reader.py
+++ b/src/briarseam/configuration/reader.py
@@ -50,7 +50,7 @@
         Length of one long poll at the log.
     peer_wait_ms
         Length of one long poll at a reading peer.
-    everyone_reads
+    all_agents_read
         Every agent follows the log; for comparison by measurement.
     snapshots
         When snapshots are due.
@@ -58,7 +58,7 @@
 
     log_wait_ms: int = 1000
     peer_wait_ms: int = 1000
-    everyone_reads: bool = False
+    all_agents_read: bool = False
     snapshots: snapshotting.Options = snapshotting.Options()
 
 
@@ -88,7 +88,7 @@
         The log.
     teams
         Whose changes are believed.
-    me
+    identity
         This process.
     key
         The agents' shared key.
@@ -103,10 +103,10 @@
         self,
         client: logs.LogClient,
         teams: team_types.Teams,
-        me: connections.Identity,
+        identity: connections.Identity,
         key: bytes,
         members: peer_calls.Members = dict,
-        strangers: peer_calls.Members = dict,
+        other_cell_members: peer_calls.Members = dict,
         options: Options | None = None,
     ) -> None:
         self.client = client
@@ -114,7 +114,9 @@
         self.options = options or Options()
         self.counters = states.Counters()
         self.tree = states.SharedTree(teams, self.counters)
-        self.peers = peer_calls.Peers(me, key, members, strangers)
+        self.peers = peer_calls.Peers(
+            identity, key, members, other_cell_members
+        )
         self.snapshot_key = snapshots.derive_key(key)
         self.snapshotter = snapshotting.Snapshotter(
             client,
@@ -185,16 +187,16 @@
         age_s = self.log_age_s()
         return -1 if math.isinf(age_s) else int(age_s * 1000)
 
-    def note_peer_offset(self, name: str, offset: int) -> None:
+    def record_peer_offset(self, name: str, offset: int) -> None:
         """Take note of the offset in a peer's heartbeat."""
         self.hints[name] = offset
 
     def reader_rank(self) -> int | None:
         """Return this agent's place among the log's readers, else None."""
-        if self.options.everyone_reads:
+        if self.options.all_agents_read:
             return 0
         readers = self.peers.readers()
-        name = self.peers.me.name
+        name = self.peers.identity.name
         return readers.index(name) if name in readers else None
 
     def run(self) -> None:
@@ -237,8 +239,8 @@
     def ask_others(self, asked: set[str]) -> bool:
         """Ask some others of the cell, then of other cells."""
         others = [name for name in self.peers.addresses() if name not in asked]
-        strangers = list(self.peers.stranger_addresses())
-        names = [*sample(others), *sample(strangers)]
+        other_cell_members = list(self.peers.other_cell_addresses())
+        names = [*sample(others), *sample(other_cell_members)]
         return any([self.follow_peer(name, 0) for name in names])
 
     def reading_peers(self) -> list[str]:
@@ -248,7 +250,7 @@
         would else cost a timeout at every turn until it is known as gone.
         """
         names = self.peers.readers()
-        if peer_calls.rank(self.peers.me.name) % 2:
+        if peer_calls.rank(self.peers.identity.name) % 2:
             names.reverse()
         return sorted(names, key=lambda name: name == self.avoided)
 
@@ -345,8 +347,10 @@
         known to it.
         """
         cell = list(self.peers.addresses().values())
-        strangers = list(self.peers.stranger_addresses().values())
-        return self.load_highest(cell) or self.load_highest(sample(strangers))
+        other_cell_members = list(self.peers.other_cell_addresses().values())
+        return self.load_highest(cell) or self.load_highest(
+            sample(other_cell_members)
+        )
 
     def load_highest(self, addresses: list[str]) -> bool:
         """Take the highest state among these; tell whether there was one."""
--- a/src/briarseam/configuration/records.py
+++ b/src/briarseam/configuration/records.py
@@ -167,7 +167,7 @@
     return change
 
 
-def peek(data: bytes) -> Change | None:
+def decode_unverified(data: bytes) -> Change | None:
     """Return the change in a record unproved, ``None`` when there is none."""
     try:
         return decode_body(open_envelope(data))
--- a/src/briarseam/configuration/state.py
+++ b/src/briarseam/configuration/state.py
@@ -19,7 +19,7 @@
 
 RECENT_BYTES = 1024 * 1024
 DIGESTS_KEPT = 1024
-Observe = typing.Callable[[folds.FoldVerdict, bytes], None]
+OnVerdict = typing.Callable[[folds.FoldVerdict, bytes], None]
 log = structlog.get_logger("briarseam.configuration")
 
 
@@ -69,7 +69,7 @@
 
     Attributes
     ----------
-    observe
+    on_verdict
         Told of each record followed, with its verdict.
     """
 
@@ -84,7 +84,7 @@
         self.recent_bytes = 0
         self.digests: dict[int, str] = {}
         self.mismatch_at = 0
-        self.observe: Observe = pass_over
+        self.on_verdict: OnVerdict = pass_over
         self.changed = threading.Condition()
 
     def replace(self, fold: folds.Fold) -> bool:
@@ -124,7 +124,7 @@
             return
         verdict = self.fold.apply(offset, record, self.teams)
         self.count(verdict)
-        self.observe(verdict, record)
+        self.on_verdict(verdict, record)
         if self.fold.stopped is not None:
             return
         self.recent.append(record)
--- a/tests/configuration/helpers.py
+++ b/tests/configuration/helpers.py
@@ -26,21 +26,21 @@
     """A reader behind a wire server, as in the agent daemon."""
 
     def __init__(self, cluster, name, address, options):
-        me = connections.Identity("agent", name)
+        identity = connections.Identity("agent", name)
         client = logs.LogClient(address, append_timeout_s=0.5)
         self.name = name
         self.reader = readers.ConfigurationReader(
             client,
             cluster.teams,
-            me,
+            identity,
             KEY,
             cluster.members,
-            cluster.strangers,
+            cluster.other_cell_members,
             options,
         )
         router = server.Router()
         self.reader.register(router)
-        self.server = server.Server("127.0.0.1:0", me, KEY, router)
+        self.server = server.Server("127.0.0.1:0", identity, KEY, router)
         self.server.start()
         self.reader.start()
 
@@ -56,7 +56,7 @@
         self.log = log
         self.teams = teams
         self.agents = {}
-        self.strangers = dict
+        self.other_cell_members = dict
 
     def members(self):
         return {
--- a/tests/configuration/test_reader.py
+++ b/tests/configuration/test_reader.py
@@ -18,7 +18,7 @@
 
 NAMES = ("a", "b", "c", "d", "e")
 MODEL = {"version": "1"}
-EVERYONE = dataclasses.replace(helpers.FAST, everyone_reads=True)
+EVERYONE = dataclasses.replace(helpers.FAST, all_agents_read=True)
 NO_SNAPSHOTS = dataclasses.replace(
     helpers.FAST,
     snapshots=dataclasses.replace(helpers.FAST.snapshots, check_s=600.0),
@@ -249,7 +249,7 @@
         waiting.until(late.ready)
         offset = set_model(cluster)
         waiting.until(lambda: cluster.agents["b"].reader.offset() == offset)
-        late.note_peer_offset("b", offset)
+        late.record_peer_offset("b", offset)
         waiting.until(lambda: late.offset() == offset)
 
 
@@ -307,7 +307,7 @@
     wait_for_offset(cluster, 1)
     cluster.log.set(outage=True)
     elsewhere = cluster.members()
-    cluster.strangers = lambda: elsewhere
+    cluster.other_cell_members = lambda: elsewhere
     far = cluster.agents.pop("a")
     fresh = cluster.add("b").reader
     waiting.until(fresh.ready)
--- a/tests/matrix/test_publishing.py
+++ b/tests/matrix/test_publishing.py
@@ -211,7 +211,7 @@
     """Add an agent behind the proxy that writes snapshots in two chunks."""
     options = readers.Options(
         log_wait_ms=100,
-        everyone_reads=True,
+        all_agents_read=True,
         snapshots=snapshotting.Options(
             every_records=1, backoff_s=0.01, check_s=0.02
         ),
