--- a/src/briarseam/command/config.py
+++ b/src/briarseam/command/config.py
@@ -180,7 +180,7 @@
             raise declarations.DeclarationError(
                 places[path], path, "a path that some team holds"
             )
-    return plans.make(
+    return plans.make_plan(
         fold, session.teams, session.team(), values, session.args.since
     )
 
@@ -239,7 +239,7 @@
             path, entry.value if entry else None, fields
         )
         declarations.check_tokens(fold.values() | {path: after}, {path: "set"})
-    step = plans.step(fold, path, after, None)
+    step = plans.plan_step(fold, path, after, None)
     steps = (step,) if step else ()
     plan = plans.Plan(author, fold.offset, steps, (), 0)
     return publish_plan(session, fold, plan)
@@ -307,9 +307,9 @@
     if session.args.no_follow:
         return
     key = session.teams.by_name[team].keys[0]
-    follower = following.Follower(
+    tracker = following.PropagationTracker(
         session.entries(),
         instances.InstanceList(str(session.settings.platform.instances)),
         tokens.operator_token(team, key),
     )
-    session.output.followed(follower.follow(offset, session.args.timeout))
+    session.output.followed(tracker.follow(offset, session.args.timeout))
--- a/src/briarseam/command/config_output.py
+++ b/src/briarseam/command/config_output.py
@@ -78,7 +78,7 @@
 
     plan: plans.Plan | None = None
     outcome: OutcomeRow | None = None
-    agents: following.Following | None = None
+    agents: following.Propagation | None = None
 
 
 class Output:
@@ -110,7 +110,7 @@
             return
         self.say(f"[{path}]")
         for key, value in entry.value.items():
-            self.say(f"{key} = {plans.shown(value)}")
+            self.say(f"{key} = {plans.format_value(value)}")
         self.say(f"# offset {entry.revision}, team {team}")
 
     def tree(
@@ -174,7 +174,7 @@
                 self.say("briarseam config history", "  ")
                 self.say(f"id {row.id}", "  ")
 
-    def followed(self, found: following.Following) -> None:
+    def followed(self, found: following.Propagation) -> None:
         """Print who has a change in force."""
         self.report.agents = found
         if self.as_json:
--- a/src/briarseam/configuration/following.py
+++ b/src/briarseam/configuration/following.py
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Following:
+class Propagation:
     """How far a change has come.
 
     Attributes
@@ -87,7 +87,7 @@
         return bool(self.reached) and not self.stragglers and not self.unseen
 
 
-class Follower:
+class PropagationTracker:
     """Asks entries how far the agents are.
 
     An entry tells of its own cell, so entries are asked until every agent
@@ -114,7 +114,7 @@
         self.token = token
         self.pool = urllib3.PoolManager(retries=False)
 
-    def follow(self, offset: int, timeout_s: float) -> Following:
+    def follow(self, offset: int, timeout_s: float) -> Propagation:
         """Ask until every live agent has ``offset`` or time is up."""
         started = time.monotonic()
         while True:
@@ -179,10 +179,10 @@
     agents: typing.Mapping[str, AgentStatus],
     offset: int,
     waited_s: float,
-) -> Following:
+) -> Propagation:
     """Return who has reached ``offset``."""
     live = [one for one in agents.values() if one.state not in NOT_LIVE]
-    return Following(
+    return Propagation(
         offset=offset,
         reached=tuple(sorted(one.name for one in live if has(one, offset))),
         stragglers=tuple(one for one in live if not has(one, offset)),
--- a/src/briarseam/configuration/history.py
+++ b/src/briarseam/configuration/history.py
@@ -62,7 +62,7 @@
     def note(record: logs.Record, verdict: folds.FoldVerdict) -> None:
         events.append(event(record, verdict))
 
-    loading.read_on(client, oldest_fold(client, key), teams, note)
+    loading.read_tail(client, oldest_fold(client, key), teams, note)
     return tuple(events)
 
 
--- a/src/briarseam/configuration/loading.py
+++ b/src/briarseam/configuration/loading.py
@@ -52,8 +52,8 @@
     HistoryLostError
         When neither the records nor a snapshot of them are left.
     """
-    fold = from_snapshot(client, key)
-    read_on(client, fold, teams, on_record)
+    fold = load_snapshot(client, key)
+    read_tail(client, fold, teams, on_record)
     return fold
 
 
@@ -73,7 +73,7 @@
     return fold
 
 
-def from_snapshot(client: logs.LogClient, key: bytes) -> folds.Fold:
+def load_snapshot(client: logs.LogClient, key: bytes) -> folds.Fold:
     """Return the fold of the newest whole snapshot, else an empty one."""
     newest, _ = snapshots.newest_whole(client, key)
     if newest is None:
@@ -87,7 +87,7 @@
         return folds.Fold()
 
 
-def read_on(
+def read_tail(
     client: logs.LogClient,
     fold: folds.Fold,
     teams: team_types.Teams,
--- a/src/briarseam/configuration/peers.py
+++ b/src/briarseam/configuration/peers.py
@@ -20,7 +20,7 @@
 ANSWER_TIMEOUT_S = 1.5
 MAX_PARTS = 4096
 # Above any offset: an answer to it carries the peer's offset and no data.
-BEYOND = 1 << 62
+ABOVE_ANY_OFFSET = 1 << 62
 
 Members = typing.Callable[[], typing.Mapping[str, str]]
 
@@ -144,7 +144,7 @@
         offsets: dict[str, int] = {}
         for address in addresses:
             try:
-                reply = self.fetch_records(address, BEYOND, 0)
+                reply = self.fetch_records(address, ABOVE_ANY_OFFSET, 0)
             except PeerError:
                 continue
             if reply.ready:
--- a/src/briarseam/configuration/plans.py
+++ b/src/briarseam/configuration/plans.py
@@ -53,11 +53,14 @@
             return ()
         after = self.after
         if self.action is Action.ADD:
-            return tuple(f"{key} = {shown(after[key])}" for key in after)
+            return tuple(
+                f"{key} = {format_value(after[key])}" for key in after
+            )
         before = self.before
         keys = [*before, *[key for key in after if key not in before]]
         return tuple(
-            f"{key}: {shown(before.get(key))} -> {shown(after.get(key))}"
+            f"{key}: {format_value(before.get(key))}"
+            f" -> {format_value(after.get(key))}"
             for key in keys
             if before.get(key) != after.get(key)
         )
@@ -103,7 +106,7 @@
         )
 
 
-def shown(value: typing.Any) -> str:
+def format_value(value: typing.Any) -> str:
     """Return a field's value as an operator would write it."""
     match value:
         case None:
@@ -116,7 +119,7 @@
             return str(value)
 
 
-def make(
+def make_plan(
     fold: folds.Fold,
     teams: team_types.Teams,
     team: str,
@@ -142,7 +145,7 @@
     own = {path for path in declared if teams.owner(path) == team}
     held = {path for path in fold.entries if teams.owner(path) == team}
     steps = [
-        step(fold, path, declared.get(path), since)
+        plan_step(fold, path, declared.get(path), since)
         for path in sorted(own | held)
     ]
     changed = tuple(found for found in steps if found is not None)
@@ -155,7 +158,7 @@
     )
 
 
-def step(
+def plan_step(
     fold: folds.Fold, path: str, after: typing.Any, since: int | None
 ) -> Step | None:
     """Return what happens to one path, ``None`` for nothing."""
--- a/src/briarseam/testing/deployment.py
+++ b/src/briarseam/testing/deployment.py
@@ -247,7 +247,7 @@
     def publish(self, sets: typing.Mapping[str, typing.Any]) -> int:
         """Publish a change; return its offset."""
         client = platform_log.LogClient(self.log.address)
-        loading.read_on(client, self.fold, self.teams())
+        loading.read_tail(client, self.fold, self.teams())
         publisher = publish.Publisher(client, self.teams(), self.fold)
         change = records.Change(
             id=records.new_id(),
--- a/tests/configuration/test_following.py
+++ b/tests/configuration/test_following.py
@@ -43,10 +43,12 @@
             raise following.StatusUnavailableError(address)
         return following.Status((cells[address],))
 
-    monkeypatch.setattr(following.Follower, "fetch", fetch)
+    monkeypatch.setattr(following.PropagationTracker, "fetch", fetch)
 
     def make(rows=LIST):
-        return following.Follower(["127.0.0.1:3"], Listed(rows), "token")
+        return following.PropagationTracker(
+            ["127.0.0.1:3"], Listed(rows), "token"
+        )
 
     make.cells = cells
     return make
--- a/tests/matrix/test_configuration_agents.py
+++ b/tests/matrix/test_configuration_agents.py
@@ -52,7 +52,7 @@
         fold = loading.load(self.client, self.teams, key)
         value = fold.entries[PATH].value
         changed = value | {"max_tokens": 4000 + fold.offset}
-        step = plans.step(fold, PATH, changed, None)
+        step = plans.plan_step(fold, PATH, changed, None)
         plan = plans.Plan(deployment.TEAM, fold.offset, (step,), (), 0)
         outcome = publish.Publisher(self.client, self.teams, fold).apply(
             plan.change("test")
@@ -61,7 +61,7 @@
 
     def offset(self, number):
         """Return an agent's offset, -1 while it does not answer."""
-        request = messages.FetchRecords(peers.BEYOND)
+        request = messages.FetchRecords(peers.ABOVE_ANY_OFFSET)
         try:
             return self.wire[number].call(request, 1.0).offset
         except connections.WireError:
@@ -69,7 +69,7 @@
 
     def proof_age_ms(self, number):
         """Return for how long an agent has not seen the log's end."""
-        request = messages.FetchRecords(peers.BEYOND)
+        request = messages.FetchRecords(peers.ABOVE_ANY_OFFSET)
         return self.wire[number].call(request, 1.0).proof_age_ms
 
     def wait(self, offset, numbers=NUMBERS):
--- a/tests/matrix/test_publishing.py
+++ b/tests/matrix/test_publishing.py
@@ -243,7 +243,7 @@
     key = snapshots.derive_key(helpers.KEY)
 
     def snapshot_through(offset):
-        fold = loading.from_snapshot(cluster.client(), key)
+        fold = loading.load_snapshot(cluster.client(), key)
         return fold.offset == offset
 
     waiting.until(lambda: snapshot_through(1))
