--- a/src/briarseam/forwarding/service.py
+++ b/src/briarseam/forwarding/service.py
@@ -112,7 +112,7 @@
         session = call.id
         if call.prompt is not None:
             session = placements.session_of(call.prompt)
-        name = tables.choose_service(route, session)
+        name = tables.select_service(route, session)
         service = table.configuration.services.get(name)
         if service is None:
             service = routes.Service(name)
--- a/src/briarseam/routes/table.py
+++ b/src/briarseam/routes/table.py
@@ -87,7 +87,7 @@
         return AnonymousCaller() if route.anonymous else UnknownCaller()
 
 
-def choose_service(route: model.Route, key: str) -> str:
+def select_service(route: model.Route, key: str) -> str:
     """Return the service that a request goes to.
 
     The choice is made by hash, so that a session's requests reach the
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -91,12 +91,12 @@
         shares=(model.Share("old", 90), model.Share("new", 10)),
     )
     chosen = collections.Counter(
-        table.choose_service(split, f"session-{number}")
+        table.select_service(split, f"session-{number}")
         for number in range(2000)
     )
     assert 0.05 < chosen["new"] / 2000 < 0.15
     assert (
-        len({table.choose_service(split, "session") for _ in range(20)}) == 1
+        len({table.select_service(split, "session") for _ in range(20)}) == 1
     )
 
 
@@ -104,4 +104,4 @@
     split = route(
         "split", "/", shares=(model.Share("a", 0), model.Share("b", 1))
     )
-    assert {table.choose_service(split, str(n)) for n in range(50)} == {"b"}
+    assert {table.select_service(split, str(n)) for n in range(50)} == {"b"}
