--- a/src/briarseam/claims/fold.py
+++ b/src/briarseam/claims/fold.py
@@ -23,7 +23,7 @@
 from briarseam.claims import keys
 from briarseam.claims import records
 
-RUN_SMOOTHING = 8
+RUN_TIME_SMOOTHING = 8
 # Bodies kept for replays, per stream; beyond it the oldest lose theirs.
 MAX_OUTCOME_BYTES = 8 * 1024 * 1024
 
@@ -37,7 +37,7 @@
     DONE = "done"
 
 
-class Ruling(enum.Enum):
+class ClaimDecision(enum.Enum):
     """What the fold made of one claim."""
 
     WON = "won"
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Entry:
+class KeyState:
     """One key of one organisation.
 
     Attributes
@@ -78,10 +78,10 @@
     claimed_ms: int = 0
     outcome: records.Outcome | None = None
     answer_id: str = ""
-    void: tuple[str, ...] = ()
+    void_attempts: tuple[str, ...] = ()
 
 
-EntryName = tuple[str, str]
+KeyName = tuple[str, str]
 
 
 class Fold:
@@ -98,12 +98,12 @@
     def __init__(self, window: keys.Window) -> None:
         self.window = window
         self.now_ms = 0
-        self.entries: dict[EntryName, Entry] = {}
-        self.by_age: list[tuple[int, EntryName]] = []
-        self.attempts = 0
+        self.states: dict[KeyName, KeyState] = {}
+        self.keys_by_age: list[tuple[int, KeyName]] = []
+        self.void_count = 0
         self.outcome_bytes = 0
-        self.with_body: collections.deque[EntryName] = collections.deque()
-        self.run_ms = 0.0
+        self.names_with_body: collections.deque[KeyName] = collections.deque()
+        self.mean_run_ms = 0.0
 
     def advance(self, time_ms: int) -> None:
         """Take in the log's clock and forget keys that are too old.
@@ -112,30 +112,30 @@
         as too old ever after.  Memory is bounded by the window.
         """
         self.now_ms = max(self.now_ms, time_ms)
-        while self.by_age and self.is_over(self.by_age[0][0]):
-            _, name = heapq.heappop(self.by_age)
+        while self.keys_by_age and self.is_expired(self.keys_by_age[0][0]):
+            _, name = heapq.heappop(self.keys_by_age)
             self.forget(name)
 
-    def is_over(self, time_ms: int) -> bool:
+    def is_expired(self, time_ms: int) -> bool:
         """Tell whether a key of that time is too old by now."""
         return self.window.age(time_ms, self.now_ms) is keys.Age.TOO_OLD
 
-    def forget(self, name: EntryName) -> None:
+    def forget(self, name: KeyName) -> None:
         """Drop a key."""
-        entry = self.entries.pop(name)
-        self.attempts -= len(entry.void)
-        if entry.outcome is not None:
-            self.outcome_bytes -= len(entry.outcome.body)
+        state = self.states.pop(name)
+        self.void_count -= len(state.void_attempts)
+        if state.outcome is not None:
+            self.outcome_bytes -= len(state.outcome.body)
 
-    def find(self, organisation: str, key: str) -> Entry | None:
+    def find(self, organisation: str, key: str) -> KeyState | None:
         """Return a key's entry; ``None`` when it was never seen."""
-        return self.entries.get((organisation, key))
+        return self.states.get((organisation, key))
 
     def size(self) -> int:
         """Return how many keys and void attempts are in memory."""
-        return len(self.entries) + self.attempts
+        return len(self.states) + self.void_count
 
-    def claim(self, item: records.Claim) -> Ruling:
+    def claim(self, item: records.Claim) -> ClaimDecision:
         """Take in one claim.
 
         Returns
@@ -145,61 +145,61 @@
         """
         parsed = keys.parse(item.key)
         if parsed is None:
-            return Ruling.FROM_FUTURE
+            return ClaimDecision.FROM_FUTURE
         # The log's time of this very record decides, never our clock: a
         # writer that was frozen for days appends a claim whose key other
         # readers have forgotten, and every reader refuses it alike.
         match self.window.age(parsed.time_ms, self.now_ms):
             case keys.Age.TOO_OLD:
-                return Ruling.TOO_OLD
+                return ClaimDecision.TOO_OLD
             case keys.Age.FROM_FUTURE:
-                return Ruling.FROM_FUTURE
-        entry = self.entry_of(item.organisation, parsed)
-        if entry.body_digest not in (b"", item.body_digest):
-            self.make_void(entry, item.attempt)
-            return Ruling.REUSED
-        if entry.standing is not Standing.FREE:
-            return self.claim_taken(entry, item.attempt)
-        if item.attempt in entry.void:
-            return Ruling.HELD
-        entry.standing = Standing.CLAIMED
-        entry.attempt = item.attempt
-        entry.body_digest = item.body_digest
-        entry.claim = item
-        entry.claimed_ms = self.now_ms
-        return Ruling.WON
-
-    def claim_taken(self, entry: Entry, attempt: str) -> Ruling:
+                return ClaimDecision.FROM_FUTURE
+        state = self.get_or_create(item.organisation, parsed)
+        if state.body_digest not in (b"", item.body_digest):
+            self.void_attempt(state, item.attempt)
+            return ClaimDecision.REUSED
+        if state.standing is not Standing.FREE:
+            return self.claim_held_key(state, item.attempt)
+        if item.attempt in state.void_attempts:
+            return ClaimDecision.HELD
+        state.standing = Standing.CLAIMED
+        state.attempt = item.attempt
+        state.body_digest = item.body_digest
+        state.claim = item
+        state.claimed_ms = self.now_ms
+        return ClaimDecision.WON
+
+    def claim_held_key(self, state: KeyState, attempt: str) -> ClaimDecision:
         """Take in a claim on a key that is not free."""
-        if entry.attempt == attempt:
-            return Ruling.WON
+        if state.attempt == attempt:
+            return ClaimDecision.WON
         # An attempt that lost is over.  Without this its claim, appended
         # once more after the holder's not_run, would win for a caller who
         # was already answered, and the key would stay taken for good.
-        self.make_void(entry, attempt)
-        return Ruling.HELD
+        self.void_attempt(state, attempt)
+        return ClaimDecision.HELD
 
     def settle(self, item: records.Settlement) -> None:
         """Take in how an attempt ended; only its own key heeds it."""
         parsed = keys.parse(item.key)
-        if parsed is None or self.is_over(parsed.time_ms):
+        if parsed is None or self.is_expired(parsed.time_ms):
             return
-        entry = self.entries.get((item.organisation, item.key))
+        state = self.states.get((item.organisation, item.key))
         # Only the attempt that holds the key may settle it: a not_run of
         # an attempt that lost would free the key under the winner.
-        holds = entry is not None and entry.attempt == item.attempt
+        is_holder = state is not None and state.attempt == item.attempt
         match item:
             case records.NotRun():
-                self.settle_not_run(item, parsed, holds)
-            case records.Done() if holds and entry is not None:
-                self.settle_done(entry, item)
-            case records.Lost() if holds and entry is not None:
-                if entry.standing is Standing.CLAIMED:
-                    entry.standing = Standing.LOST
-                    entry.answer_id = item.answer_id
+                self.settle_not_run(item, parsed, is_holder)
+            case records.Done() if is_holder and state is not None:
+                self.settle_done(state, item)
+            case records.Lost() if is_holder and state is not None:
+                if state.standing is Standing.CLAIMED:
+                    state.standing = Standing.LOST
+                    state.answer_id = item.answer_id
 
     def settle_not_run(
-        self, item: records.NotRun, parsed: keys.Key, holds: bool
+        self, item: records.NotRun, parsed: keys.Key, is_holder: bool
     ) -> None:
         """Free the key if the attempt holds it; the attempt is over.
 
@@ -207,52 +207,52 @@
         that an owner appends only after its asker gave up finds the key
         free and must not take it.
         """
-        entry = self.entry_of(item.organisation, parsed)
-        if holds and entry.standing is Standing.DONE:
+        state = self.get_or_create(item.organisation, parsed)
+        if is_holder and state.standing is Standing.DONE:
             return
-        if holds:
-            entry.standing = Standing.FREE
-            entry.attempt = ""
-            entry.claim = None
-        self.make_void(entry, item.attempt)
+        if is_holder:
+            state.standing = Standing.FREE
+            state.attempt = ""
+            state.claim = None
+        self.void_attempt(state, item.attempt)
 
-    def settle_done(self, entry: Entry, item: records.Done) -> None:
+    def settle_done(self, state: KeyState, item: records.Done) -> None:
         """Keep the first outcome of the attempt that holds the key."""
-        if entry.standing is Standing.DONE:
+        if state.standing is Standing.DONE:
             return
-        entry.standing = Standing.DONE
-        entry.outcome = item.outcome
-        took_ms = max(0, self.now_ms - entry.claimed_ms)
-        self.run_ms += (took_ms - self.run_ms) / RUN_SMOOTHING
+        state.standing = Standing.DONE
+        state.outcome = item.outcome
+        took_ms = max(0, self.now_ms - state.claimed_ms)
+        self.mean_run_ms += (took_ms - self.mean_run_ms) / RUN_TIME_SMOOTHING
         if item.outcome.body:
             self.outcome_bytes += len(item.outcome.body)
-            self.with_body.append((item.organisation, item.key))
+            self.names_with_body.append((item.organisation, item.key))
         self.trim_bodies()
 
     def trim_bodies(self) -> None:
         """Drop the oldest bodies beyond the bound; their status stays."""
-        while self.outcome_bytes > MAX_OUTCOME_BYTES and self.with_body:
-            entry = self.entries.get(self.with_body.popleft())
-            if entry is None or entry.outcome is None:
+        while self.outcome_bytes > MAX_OUTCOME_BYTES and self.names_with_body:
+            state = self.states.get(self.names_with_body.popleft())
+            if state is None or state.outcome is None:
                 continue
-            self.outcome_bytes -= len(entry.outcome.body)
-            entry.outcome = records.Outcome(
-                entry.outcome.status, b"", False, entry.outcome.answer_id
+            self.outcome_bytes -= len(state.outcome.body)
+            state.outcome = records.Outcome(
+                state.outcome.status, b"", False, state.outcome.answer_id
             )
 
-    def entry_of(self, organisation: str, key: keys.Key) -> Entry:
+    def get_or_create(self, organisation: str, key: keys.Key) -> KeyState:
         """Return a key's entry, making a free one."""
         name = (organisation, key.text)
-        entry = self.entries.get(name)
-        if entry is None:
-            entry = Entry()
-            self.entries[name] = entry
-            heapq.heappush(self.by_age, (key.time_ms, name))
-        return entry
-
-    def make_void(self, entry: Entry, attempt: str) -> None:
+        state = self.states.get(name)
+        if state is None:
+            state = KeyState()
+            self.states[name] = state
+            heapq.heappush(self.keys_by_age, (key.time_ms, name))
+        return state
+
+    def void_attempt(self, state: KeyState, attempt: str) -> None:
         """Note that an attempt can never win any more."""
-        if attempt in entry.void or attempt == entry.attempt:
+        if attempt in state.void_attempts or attempt == state.attempt:
             return
-        entry.void = (*entry.void, attempt)
-        self.attempts += 1
+        state.void_attempts = (*state.void_attempts, attempt)
+        self.void_count += 1
--- a/src/briarseam/claims/followed.py
+++ b/src/briarseam/claims/followed.py
@@ -15,9 +15,9 @@
     from briarseam.backing import log as platform_log
     from briarseam.claims import records
 
-REVIEW_S = 2.0
+REVIEW_INTERVAL_S = 2.0
 # A shard that another agent owns is followed so long after its last use.
-RELEASE_S = 30.0
+RELEASE_AFTER_S = 30.0
 
 
 class FollowedShards:
@@ -41,13 +41,13 @@
     def __init__(
         self,
         log: platform_log.LogClient,
-        me: options_module.Holder,
+        local_holder: options_module.Holder,
         options: options_module.Options,
         owner: typing.Callable[[int], str | None],
         is_alive: typing.Callable[[records.Claim], bool],
     ) -> None:
         self.log = log
-        self.me = me
+        self.local_holder = local_holder
         self.options = options
         self.owner = owner
         self.is_alive = is_alive
@@ -60,7 +60,7 @@
         """Begin following the shards that this agent owns."""
         threading.Thread(target=self.run, name="claims", daemon=True).start()
 
-    def end_reviews(self) -> None:
+    def stop_reviews(self) -> None:
         """Leave what is followed as it is from now on."""
         self.stopping.set()
 
@@ -75,7 +75,7 @@
         while True:
             self.follow_own()
             self.release_unused()
-            if self.stopping.wait(REVIEW_S):
+            if self.stopping.wait(REVIEW_INTERVAL_S):
                 return
 
     def follow_own(self) -> None:
@@ -86,12 +86,12 @@
 
     def release_unused(self) -> None:
         """Stop following shards that others own and nobody asks about."""
-        before = time.monotonic() - RELEASE_S
+        last_use_limit = time.monotonic() - RELEASE_AFTER_S
         with self.lock:
             unused = [
                 number
                 for number, shard in self.shards.items()
-                if shard.used_at < before and not shard.is_busy()
+                if shard.last_used_at < last_use_limit and not shard.is_busy()
             ]
         for number in unused:
             if self.owner(number) is not None:
@@ -113,7 +113,7 @@
                 shard = self.new_shard(number)
                 self.shards[number] = shard
                 shard.start()
-            shard.used_at = time.monotonic()
+            shard.last_used_at = time.monotonic()
             return shard
 
     def new_shard(self, number: int) -> shard_module.Shard:
@@ -122,7 +122,7 @@
             self.log,
             options_module.stream_name(number),
             self.options.shards,
-            f"{self.me.name}/{self.me.incarnation}",
+            f"{self.local_holder.name}/{self.local_holder.incarnation}",
         )
         return shard_module.Shard(
             stream,
--- a/src/briarseam/claims/inspecting.py
+++ b/src/briarseam/claims/inspecting.py
@@ -98,23 +98,23 @@
 def report(fold: folds.Fold, organisation: str, key: keys.Key) -> KeyReport:
     """Return what a fold says about a key."""
     made_at = time_text(key.time_ms)
-    if fold.is_over(key.time_ms):
+    if fold.is_expired(key.time_ms):
         return KeyReport(organisation, key.text, TOO_OLD, made_at)
-    entry = fold.find(organisation, key.text)
-    if entry is None:
+    state = fold.find(organisation, key.text)
+    if state is None:
         return KeyReport(organisation, key.text, NEVER_SEEN, made_at)
-    claim = entry.claim
+    claim = state.claim
     return KeyReport(
         organisation,
         key.text,
-        entry.standing.value,
+        state.standing.value,
         made_at,
-        claimed_at=time_text(entry.claimed_ms) if claim else "",
-        attempt=entry.attempt,
+        claimed_at=time_text(state.claimed_ms) if claim else "",
+        attempt=state.attempt,
         instance=claim.holder if claim else "",
         incarnation=claim.incarnation if claim else "",
-        status=entry.outcome.status if entry.outcome else 0,
-        given_up=entry.void,
+        status=state.outcome.status if state.outcome else 0,
+        given_up=state.void_attempts,
     )
 
 
--- a/src/briarseam/claims/retention.py
+++ b/src/briarseam/claims/retention.py
@@ -8,7 +8,7 @@
 import typing
 
 # So many arrivals are remembered over one window.
-ARRIVALS_KEPT = 360
+MAX_ARRIVALS = 360
 
 
 @dataclasses.dataclass(frozen=True)
@@ -52,12 +52,12 @@
         self.clock = clock
         self.arrivals: collections.deque[Arrival] = collections.deque()
 
-    def note_arrival(self, offset: int) -> None:
+    def record_arrival(self, offset: int) -> None:
         """Remember when the newest record came, now and then."""
         now = self.clock()
         if self.arrivals:
-            since_s = now - self.arrivals[-1].read_at
-            if since_s < self.window_s / ARRIVALS_KEPT:
+            elapsed_s = now - self.arrivals[-1].read_at
+            if elapsed_s < self.window_s / MAX_ARRIVALS:
                 return
         self.arrivals.append(Arrival(offset, now))
 
@@ -69,9 +69,9 @@
         first
             Lowest offset that the log still has.
         """
-        gone_at: float | None = None
+        dropped_read_at: float | None = None
         while self.arrivals and self.arrivals[0].offset < first:
-            gone_at = self.arrivals.popleft().read_at
-        if gone_at is None:
+            dropped_read_at = self.arrivals.popleft().read_at
+        if dropped_read_at is None:
             return False
-        return self.clock() - gone_at < self.window_s
+        return self.clock() - dropped_read_at < self.window_s
--- a/src/briarseam/claims/service.py
+++ b/src/briarseam/claims/service.py
@@ -26,9 +26,9 @@
 from briarseam.wire import server as wire_server
 
 SETTLE_WAIT_S = 2.0
-REMOTE_SLACK_S = 0.5
+REMOTE_MARGIN_S = 0.5
 HOLDER_TIMEOUT_S = 0.5
-OWNER_LOST_RETRY_S = 1.0
+OWNER_RETRY_S = 1.0
 FLUSH_S = 2.0
 ATTEMPT_BYTES = 16
 
@@ -53,23 +53,25 @@
     def __init__(
         self,
         log: platform_log.LogClient,
-        me: options_module.Holder,
+        local_holder: options_module.Holder,
         peers: options_module.Peers,
         options: options_module.Options,
         metrics: registries.Registry,
     ) -> None:
-        self.me = me
+        self.local_holder = local_holder
         self.peers = peers
         self.options = options
         self.followed = followed.FollowedShards(
-            log, me, options, self.owner, self.is_alive
+            log, local_holder, options, self.owner, self.is_alive
         )
         self.lock = threading.Lock()
         self.settlers: dict[int, settlers.Settler] = {}
-        self.results = metrics.counters(
+        self.result_counter = metrics.counters(
             "claims_total", "Claims by result.", ("result",)
         )
-        self.waits = metrics.latency("claim_us", "Time that a claim took.")
+        self.claim_latency = metrics.latency(
+            "claim_us", "Time that a claim took."
+        )
         metrics.reading(
             "claim_keys", "Keys in memory.", self.followed.count_keys
         )
@@ -93,7 +95,7 @@
 
     def stop(self) -> None:
         """Hand over pending settlements, then stop."""
-        self.followed.end_reviews()
+        self.followed.stop_reviews()
         with self.lock:
             pending = list(self.settlers.values())
         for settler in pending:
@@ -141,25 +143,25 @@
         """
         parsed = keys.parse(key)
         if parsed is None:
-            return self.counted(messages.KeyInvalid("not a UUIDv7"))
+            return self.count_result(messages.KeyInvalid("not a UUIDv7"))
         item = records.Claim(
             organisation,
             parsed.text,
             attempt,
             body_digest,
-            self.me.name,
-            self.me.incarnation,
-            self.me.address,
+            self.local_holder.name,
+            self.local_holder.incarnation,
+            self.local_holder.address,
         )
         if wait_s is None:
             wait_s = self.options.wait_s
-        with self.waits.time():
-            result = self.ask(messages.ClaimRequest(item, wait_s))
+        with self.claim_latency.time():
+            result = self.claim_at_owner(messages.ClaimRequest(item, wait_s))
         if isinstance(result, messages.NotClaimed) and result.dangling:
             # The claim may yet turn up in the stream and hold the key for
             # an attempt that is never sent, so its end is recorded too.
-            self.settle(organisation, key, attempt, verdict_not_run())
-        return self.counted(result)
+            self.settle(organisation, key, attempt, not_run_verdict())
+        return self.count_result(result)
 
     def settle(
         self,
@@ -203,27 +205,29 @@
     def owner(self, number: int) -> str | None:
         """Return the address of another agent that owns a shard."""
         address = self.peers.owner_of(number)
-        return None if address == self.me.address else address
+        return None if address == self.local_holder.address else address
 
-    def ask(self, request: messages.ClaimRequest) -> messages.Result:
+    def claim_at_owner(
+        self, request: messages.ClaimRequest
+    ) -> messages.Result:
         """Claim at the shard's owner."""
         number = self.shard_of(request.claim.organisation, request.claim.key)
         address = self.owner(number)
         if address is None:
-            return self.claim_here(number, request)
+            return self.claim_locally(number, request)
         client = self.peers.client_of(address)
         try:
-            reply = client.call(request, request.wait_s + REMOTE_SLACK_S)
+            reply = client.call(request, request.wait_s + REMOTE_MARGIN_S)
         except wire_client.NotSentError:
-            return owner_lost(address, dangling=False)
+            return owner_unreachable(address, dangling=False)
         except connections.WireError:
             # The owner may have got the claim and append it at any time.
-            return owner_lost(address, dangling=True)
+            return owner_unreachable(address, dangling=True)
         if isinstance(reply, codec.Failed):
-            return owner_lost(address, dangling=True)
+            return owner_unreachable(address, dangling=True)
         return typing.cast("messages.Result", reply)
 
-    def claim_here(
+    def claim_locally(
         self, number: int, request: messages.ClaimRequest
     ) -> messages.Result:
         """Claim in a shard that this agent follows."""
@@ -235,12 +239,12 @@
         It is asked itself: the heartbeats reach only agents of a cell,
         and the resend may come to any.
         """
-        if claim.holder == self.me.name:
-            return claim.incarnation == self.me.incarnation
-        asked = messages.HolderAsked(claim.holder, claim.incarnation)
+        if claim.holder == self.local_holder.name:
+            return claim.incarnation == self.local_holder.incarnation
+        query = messages.HolderAsked(claim.holder, claim.incarnation)
         try:
             reply = self.peers.client_of(claim.address).call(
-                asked, HOLDER_TIMEOUT_S
+                query, HOLDER_TIMEOUT_S
             )
         except connections.WireError:
             return False
@@ -256,7 +260,7 @@
         client = self.peers.client_of(address)
         request = messages.SettleRequest(number, tuple(items), SETTLE_WAIT_S)
         try:
-            reply = client.call(request, SETTLE_WAIT_S + REMOTE_SLACK_S)
+            reply = client.call(request, SETTLE_WAIT_S + REMOTE_MARGIN_S)
         except connections.WireError:
             return frozenset()
         if not isinstance(reply, messages.SettleReply):
@@ -268,15 +272,15 @@
     ) -> messages.Result:
         """Answer another agent's claim."""
         number = self.shard_of(request.claim.organisation, request.claim.key)
-        return self.claim_here(number, request)
+        return self.claim_locally(number, request)
 
     def on_holder_asked(
         self, peer: connections.Identity, request: messages.HolderAsked
     ) -> messages.HolderTold:
         """Tell whether this is still the start of the agent that is meant."""
         return messages.HolderTold(
-            request.name == self.me.name
-            and request.incarnation == self.me.incarnation
+            request.name == self.local_holder.name
+            and request.incarnation == self.local_holder.incarnation
         )
 
     def on_settle(
@@ -299,9 +303,9 @@
                 settler.start()
             return settler
 
-    def counted(self, result: messages.Result) -> messages.Result:
+    def count_result(self, result: messages.Result) -> messages.Result:
         """Count a result by its kind."""
-        self.results.labelled(type(result).__name__).add()
+        self.result_counter.labelled(type(result).__name__).add()
         return result
 
     def count_pending(self) -> int:
@@ -311,16 +315,16 @@
         return sum(len(settler.pending) for settler in pending)
 
 
-def verdict_not_run() -> verdict.NotRun:
+def not_run_verdict() -> verdict.NotRun:
     """Return the end of an attempt that was given up before sending."""
     return verdict.NotRun(verdict.Reason.LOG_UNAVAILABLE)
 
 
-def owner_lost(address: str, dangling: bool) -> messages.NotClaimed:
+def owner_unreachable(address: str, dangling: bool) -> messages.NotClaimed:
     """Return the answer when a shard's owner did not answer."""
     return messages.NotClaimed(
         verdict.Reason.AGENT_UNAVAILABLE,
         f"the agent at {address}, which keeps this key, did not answer",
-        OWNER_LOST_RETRY_S,
+        OWNER_RETRY_S,
         dangling,
     )
--- a/src/briarseam/claims/settler.py
+++ b/src/briarseam/claims/settler.py
@@ -18,7 +18,7 @@
 RETRY_S = 0.25
 MAX_RETRY_S = 2.0
 MAX_PENDING = 50_000
-MAX_AT_ONCE = 500
+MAX_DELIVERED_AT_ONCE = 500
 STOP_JOIN_S = 5.0
 
 # Offers settlements of one shard; returns the attempts read back.
@@ -75,28 +75,30 @@
 
     def run(self) -> None:
         """Offer until stopped, backing off while nothing is taken."""
-        pauses = backoff.Backoff(RETRY_S, MAX_RETRY_S)
+        retry_delay = backoff.Backoff(RETRY_S, MAX_RETRY_S)
         while True:
-            items = self.take()
+            items = self.next_items()
             if not items:
                 return
             confirmed = self.deliver(self.shard, items)
-            self.remove(items, confirmed)
+            self.remove_confirmed(items, confirmed)
             if confirmed:
-                pauses.reset()
+                retry_delay.reset()
                 continue
             with self.changed:
-                self.changed.wait_for(lambda: self.stopping, pauses.next_s())
+                self.changed.wait_for(
+                    lambda: self.stopping, retry_delay.next_s()
+                )
 
-    def take(self) -> list[records.Settlement]:
+    def next_items(self) -> list[records.Settlement]:
         """Wait for settlements and return some; none once stopped."""
         with self.changed:
             self.changed.wait_for(lambda: self.pending or self.stopping)
             if self.stopping:
                 return []
-            return list(self.pending.values())[:MAX_AT_ONCE]
+            return list(self.pending.values())[:MAX_DELIVERED_AT_ONCE]
 
-    def remove(
+    def remove_confirmed(
         self,
         items: typing.Sequence[records.Settlement],
         confirmed: frozenset[str],
--- a/src/briarseam/claims/shard.py
+++ b/src/briarseam/claims/shard.py
@@ -26,11 +26,11 @@
 MIN_RETRY_S = 0.2
 MAX_RETRY_S = 30.0
 # A claim waits this long at most for its stream to be read up to now.
-MAX_CATCH_UP_S = 0.5
+MAX_FIRST_READ_WAIT_S = 0.5
 # How soon a claim that waits notices that the log is away.
-LOG_CHECK_S = 0.05
+LOG_CHECK_INTERVAL_S = 0.05
 FOLLOW_WAIT_MS = 1000
-CATCH_UP_RECORDS_PER_S = 5000
+READ_RECORDS_PER_S = 5000
 log = structlog.get_logger("briarseam.claims")
 
 IsAlive = typing.Callable[[records.Claim], bool]
@@ -65,16 +65,18 @@
         self.lock = threading.Lock()
         self.fold = folds.Fold(window)
         self.last_offset = 0
-        self.behind = -1
-        self.was_read = threading.Event()
+        self.records_behind = -1
+        self.first_read_done = threading.Event()
         self.halted = ""
         self.retention = retention.RetentionCheck(window.length_ms / 1000)
-        self.used_at = 0.0
-        self.claimants: dict[str, waits.Waiter] = {}
-        self.settling: dict[records.Settlement, waits.Confirmation] = {}
+        self.last_used_at = 0.0
+        self.claim_waiters: dict[str, waits.ClaimWaiter] = {}
+        self.settlement_waiters: dict[
+            records.Settlement, waits.SettlementWaiter
+        ] = {}
         self.writer = writers.Writer(stream, self, interval_s)
         self.follower = platform_log.Follower(
-            stream.log, stream.name, 0, self.take_in, FOLLOW_WAIT_MS
+            stream.log, stream.name, 0, self.apply_batch, FOLLOW_WAIT_MS
         )
 
     def start(self) -> None:
@@ -91,17 +93,17 @@
         """Return the last offset read from the stream."""
         return self.last_offset
 
-    def is_wanted(self, item: records.Item) -> bool:
+    def is_awaited(self, item: records.Item) -> bool:
         """Tell whether somebody still waits for an item."""
         with self.lock:
             if isinstance(item, records.Claim):
-                return item.attempt in self.claimants
-            return item in self.settling
+                return item.attempt in self.claim_waiters
+            return item in self.settlement_waiters
 
     def is_busy(self) -> bool:
         """Tell whether anybody waits for this shard."""
         with self.lock:
-            return bool(self.claimants or self.settling)
+            return bool(self.claim_waiters or self.settlement_waiters)
 
     def claim(self, item: records.Claim, wait_s: float) -> messages.Result:
         """Claim a key and return what the stream says.
@@ -113,30 +115,32 @@
         wait_s
             Bound on the wait, in seconds.
         """
-        finding = self.find(item, wait_s)
-        if not isinstance(finding, waits.Held):
-            return finding
+        result = self.submit_and_wait(item, wait_s)
+        if not isinstance(result, waits.Held):
+            return result
         # Asking the holder may take a while, so no lock is held here.
-        if self.is_alive(finding.claim):
-            return messages.InProgress(finding.retry_after_s)
+        if self.is_alive(result.claim):
+            return messages.InProgress(result.retry_after_s)
         return messages.Unknown(
             "the instance that sent the first request is gone"
         )
 
-    def find(self, item: records.Claim, wait_s: float) -> waits.Finding:
+    def submit_and_wait(
+        self, item: records.Claim, wait_s: float
+    ) -> waits.StreamResult:
         """Return what the stream says about a claim."""
-        until = time.monotonic() + wait_s
-        self.await_first_read(min(wait_s, MAX_CATCH_UP_S))
+        deadline = time.monotonic() + wait_s
+        self.await_first_read(min(wait_s, MAX_FIRST_READ_WAIT_S))
         with self.lock:
-            early = self.early(item)
-            if early is not None:
-                return early
-            waiter = waits.Waiter(item)
-            self.claimants[item.attempt] = waiter
+            answer = self.answer_without_append(item)
+            if answer is not None:
+                return answer
+            waiter = waits.ClaimWaiter(item)
+            self.claim_waiters[item.attempt] = waiter
         self.writer.submit([item])
-        waiter.decided.wait(max(until - time.monotonic(), 0.0))
+        waiter.done.wait(max(deadline - time.monotonic(), 0.0))
         with self.lock:
-            self.claimants.pop(item.attempt, None)
+            self.claim_waiters.pop(item.attempt, None)
         if waiter.result is not None:
             return waiter.result
         return messages.NotClaimed(
@@ -154,24 +158,26 @@
         in between would have to come back for nothing.  A stream that has
         not been read by then, or whose log is away, is refused as before.
         """
-        until = time.monotonic() + wait_s
-        while self.follower.available and not self.was_read.is_set():
-            left_s = until - time.monotonic()
-            if left_s <= 0:
+        deadline = time.monotonic() + wait_s
+        while self.follower.available and not self.first_read_done.is_set():
+            remaining_s = deadline - time.monotonic()
+            if remaining_s <= 0:
                 return
-            self.was_read.wait(min(left_s, LOG_CHECK_S))
+            self.first_read_done.wait(min(remaining_s, LOG_CHECK_INTERVAL_S))
 
-    def early(self, item: records.Claim) -> waits.Finding | None:
+    def answer_without_append(
+        self, item: records.Claim
+    ) -> waits.StreamResult | None:
         """Return the answer that needs no append; ``None`` when free.
 
         A key that is known to be held is answered from the fold also
         while the log is away; "not run" would be wrong about it.
         """
-        if self.behind == 0:
-            known = self.standing(item)
+        if self.records_behind == 0:
+            known = self.known_answer(item)
             if known is not None:
                 return known
-        return self.readiness_refusal() or self.crowded()
+        return self.readiness_refusal() or self.capacity_refusal()
 
     def settle(
         self,
@@ -185,38 +191,38 @@
         frozenset of str
             The attempts whose settlement was read back.
         """
-        confirmation = waits.Confirmation(set(settlements))
+        waiter = waits.SettlementWaiter(set(settlements))
         with self.lock:
             if self.readiness_refusal() is not None:
                 return frozenset()
             for item in settlements:
-                self.settling[item] = confirmation
+                self.settlement_waiters[item] = waiter
         self.writer.submit(settlements)
-        confirmation.decided.wait(wait_s)
+        waiter.done.wait(wait_s)
         with self.lock:
             for item in settlements:
-                self.settling.pop(item, None)
-            return frozenset(item.attempt for item in confirmation.confirmed)
+                self.settlement_waiters.pop(item, None)
+            return frozenset(item.attempt for item in waiter.confirmed)
 
     def readiness_refusal(self) -> messages.NotClaimed | None:
         """Return the refusal while the window is not known up to now."""
         if self.halted:
-            return refuse(self.halted, MAX_RETRY_S)
+            return refusal(self.halted, MAX_RETRY_S)
         if not self.follower.available:
-            return refuse(
+            return refusal(
                 "the log cannot be reached",
                 platform_log.MAX_RETRY_S,
                 verdict.Reason.LOG_UNAVAILABLE,
             )
-        if self.behind != 0:
-            return refuse("the claims are being read", self.catch_up_s())
+        if self.records_behind != 0:
+            return refusal("the claims are being read", self.catch_up_s())
         return None
 
     def catch_up_s(self) -> float:
         """Return about how long reading the window will take yet."""
-        return MIN_RETRY_S + max(self.behind, 0) / CATCH_UP_RECORDS_PER_S
+        return MIN_RETRY_S + max(self.records_behind, 0) / READ_RECORDS_PER_S
 
-    def crowded(self) -> messages.NotClaimed | None:
+    def capacity_refusal(self) -> messages.NotClaimed | None:
         """Return the refusal while more keys are held than fit.
 
         Nothing inside the window may be forgotten, so new claims wait
@@ -224,39 +230,43 @@
         """
         if self.fold.size() < MAX_ENTRIES:
             return None
-        oldest_ms = self.fold.by_age[0][0]
-        left_ms = oldest_ms + self.window.length_ms - self.fold.now_ms
-        return refuse(
+        oldest_ms = self.fold.keys_by_age[0][0]
+        remaining_ms = oldest_ms + self.window.length_ms - self.fold.now_ms
+        return refusal(
             "more keys are held than fit",
-            max(MIN_RETRY_S, left_ms / 1000),
+            max(MIN_RETRY_S, remaining_ms / 1000),
             verdict.Reason.OVERLOADED,
         )
 
-    def standing(self, item: records.Claim) -> waits.Finding | None:
+    def known_answer(self, item: records.Claim) -> waits.StreamResult | None:
         """Return the answer that the fold already has; ``None`` if free."""
         parsed = keys.parse(item.key)
-        if parsed is not None and self.fold.is_over(parsed.time_ms):
+        if parsed is not None and self.fold.is_expired(parsed.time_ms):
             return messages.KeyExpired()
-        entry = self.fold.find(item.organisation, item.key)
-        if entry is None:
+        state = self.fold.find(item.organisation, item.key)
+        if state is None:
             return None
-        if entry.body_digest not in (b"", item.body_digest):
+        if state.body_digest not in (b"", item.body_digest):
             return messages.KeyReused()
-        if entry.claim is None:
+        if state.claim is None:
             return None
-        return self.held(entry, entry.claim)
+        return self.held_answer(state, state.claim)
 
-    def held(self, entry: folds.Entry, claim: records.Claim) -> waits.Finding:
+    def held_answer(
+        self, state: folds.KeyState, claim: records.Claim
+    ) -> waits.StreamResult:
         """Return what is known about a key that an attempt holds."""
-        if entry.outcome is not None:
-            return messages.Finished(entry.outcome)
-        if entry.standing is folds.Standing.LOST:
+        if state.outcome is not None:
+            return messages.Finished(state.outcome)
+        if state.standing is folds.Standing.LOST:
             return messages.Unknown(
-                "the first request's answer was lost", entry.answer_id
+                "the first request's answer was lost", state.answer_id
             )
-        age_ms = self.fold.now_ms - entry.claimed_ms
-        left_s = (self.fold.run_ms - age_ms) / 1000
-        return waits.Held(claim, min(max(left_s, MIN_RETRY_S), MAX_RETRY_S))
+        age_ms = self.fold.now_ms - state.claimed_ms
+        remaining_s = (self.fold.mean_run_ms - age_ms) / 1000
+        return waits.Held(
+            claim, min(max(remaining_s, MIN_RETRY_S), MAX_RETRY_S)
+        )
 
     def fail(
         self,
@@ -269,19 +279,19 @@
                 if not isinstance(item, records.Claim):
                     self.close_settlement(item, False)
                     continue
-                waiter = self.claimants.pop(item.attempt, None)
+                waiter = self.claim_waiters.pop(item.attempt, None)
                 if waiter is not None:
-                    waiter.decide(not_appended(failure))
+                    waiter.decide(append_failed(failure))
 
     def close_settlement(
         self, item: records.Settlement, confirmed: bool
     ) -> None:
         """End the wait for one settlement."""
-        confirmation = self.settling.pop(item, None)
-        if confirmation is not None:
-            confirmation.close(item, confirmed)
+        waiter = self.settlement_waiters.pop(item, None)
+        if waiter is not None:
+            waiter.close(item, confirmed)
 
-    def take_in(self, batch: platform_log.Batch) -> None:
+    def apply_batch(self, batch: platform_log.Batch) -> None:
         """Fold what the follower read."""
         with self.lock:
             if self.halted:
@@ -295,16 +305,16 @@
             # What it missed is about keys that are too old by now, as all
             # that is younger is retained.
             self.last_offset = max(self.last_offset, batch.first - 1)
-            was_current = self.behind == 0
+            was_current = self.records_behind == 0
             for record in batch.records:
-                self.take_record(record)
+                self.apply_record(record)
                 if self.halted:
                     return
             if was_current and batch.records:
-                self.retention.note_arrival(self.last_offset)
-            self.behind = max(0, batch.next - 1 - self.last_offset)
-            if self.behind == 0:
-                self.was_read.set()
+                self.retention.record_arrival(self.last_offset)
+            self.records_behind = max(0, batch.next - 1 - self.last_offset)
+            if self.records_behind == 0:
+                self.first_read_done.set()
 
     def is_rolled_back(self, batch: platform_log.Batch) -> bool:
         """Halt when the log lost records that were read before.
@@ -317,7 +327,7 @@
         self.halt("the log lost records; claims are refused")
         return True
 
-    def take_record(self, record: platform_log.Record) -> None:
+    def apply_record(self, record: platform_log.Record) -> None:
         """Fold one record and wake those whose items it holds."""
         if record.offset <= self.last_offset:
             return
@@ -339,45 +349,45 @@
             )
             return
         for item in batch.items:
-            self.take_item(item)
+            self.apply_item(item)
 
-    def take_item(self, item: records.Item) -> None:
+    def apply_item(self, item: records.Item) -> None:
         """Fold one item and wake whoever waits for it."""
         if not isinstance(item, records.Claim):
             self.fold.settle(item)
             self.close_settlement(item, True)
             return
-        ruling = self.fold.claim(item)
-        waiter = self.claimants.pop(item.attempt, None)
+        decision = self.fold.claim(item)
+        waiter = self.claim_waiters.pop(item.attempt, None)
         if waiter is not None:
-            waiter.decide(self.answer(ruling, item))
+            waiter.decide(self.decision_answer(decision, item))
 
-    def answer(
-        self, ruling: folds.Ruling, item: records.Claim
-    ) -> waits.Finding:
+    def decision_answer(
+        self, decision: folds.ClaimDecision, item: records.Claim
+    ) -> waits.StreamResult:
         """Return what a claimant is told about its ruling."""
-        match ruling:
-            case folds.Ruling.WON:
+        match decision:
+            case folds.ClaimDecision.WON:
                 return messages.Won(item.attempt)
-            case folds.Ruling.REUSED:
+            case folds.ClaimDecision.REUSED:
                 return messages.KeyReused()
-            case folds.Ruling.TOO_OLD:
+            case folds.ClaimDecision.TOO_OLD:
                 return messages.KeyExpired()
-            case folds.Ruling.FROM_FUTURE:
+            case folds.ClaimDecision.FROM_FUTURE:
                 return messages.KeyInvalid("the key's time is in the future")
-            case folds.Ruling.HELD:
-                return self.standing(item) or refuse(
+            case folds.ClaimDecision.HELD:
+                return self.known_answer(item) or refusal(
                     "the attempt was given up", MIN_RETRY_S
                 )
 
     def halt(self, detail: str) -> None:
         """Refuse all claims from now on: the stream cannot be trusted."""
         self.halted = detail
-        self.was_read.set()
+        self.first_read_done.set()
         log.error("claims_halted", stream=self.stream.name, detail=detail)
 
 
-def refuse(
+def refusal(
     detail: str,
     retry_after_s: float,
     reason: verdict.Reason = verdict.Reason.NOT_CURRENT,
@@ -386,7 +396,7 @@
     return messages.NotClaimed(reason, detail, retry_after_s)
 
 
-def not_appended(failure: writers.Failure) -> messages.NotClaimed:
+def append_failed(failure: writers.Failure) -> messages.NotClaimed:
     """Return the answer to a claim whose append failed."""
     return messages.NotClaimed(
         verdict.Reason.LOG_UNAVAILABLE,
--- a/src/briarseam/claims/waits.py
+++ b/src/briarseam/claims/waits.py
@@ -25,39 +25,35 @@
     retry_after_s: float
 
 
-Finding = messages.Result | Held
+StreamResult = messages.Result | Held
 
 
 @dataclasses.dataclass
-class Waiter:
+class ClaimWaiter:
     """A claimant that waits for its claim to be read back."""
 
     claim: records.Claim
-    result: Finding | None = None
-    decided: threading.Event = dataclasses.field(
-        default_factory=threading.Event
-    )
+    result: StreamResult | None = None
+    done: threading.Event = dataclasses.field(default_factory=threading.Event)
 
-    def decide(self, result: Finding) -> None:
+    def decide(self, result: StreamResult) -> None:
         """Give the claimant its answer."""
         self.result = result
-        self.decided.set()
+        self.done.set()
 
 
 @dataclasses.dataclass
-class Confirmation:
+class SettlementWaiter:
     """Settlements that wait to be read back."""
 
-    open: set[records.Settlement]
+    pending: set[records.Settlement]
     confirmed: set[records.Settlement] = dataclasses.field(default_factory=set)
-    decided: threading.Event = dataclasses.field(
-        default_factory=threading.Event
-    )
+    done: threading.Event = dataclasses.field(default_factory=threading.Event)
 
     def close(self, item: records.Settlement, confirmed: bool) -> None:
         """Note one settlement's end; wake the waiter after the last."""
-        self.open.discard(item)
+        self.pending.discard(item)
         if confirmed:
             self.confirmed.add(item)
-        if not self.open:
-            self.decided.set()
+        if not self.pending:
+            self.done.set()
--- a/src/briarseam/claims/writer.py
+++ b/src/briarseam/claims/writer.py
@@ -19,8 +19,8 @@
 MAX_ITEMS = 2000
 # The log takes 1 MiB; an item beyond this starts the next record.
 MAX_BYTES = 768 * 1024
-FIXED_ITEM_BYTES = 192
-SETTLE_READ_MAX = 2000
+ITEM_OVERHEAD_BYTES = 192
+MAX_RESOLVE_RECORDS = 2000
 STOP_JOIN_S = 5.0
 
 
@@ -65,13 +65,13 @@
     writer: str
 
 
-class Owner(typing.Protocol):
+class ShardView(typing.Protocol):
     """What a writer needs of its shard."""
 
     def position(self) -> int:
         """Return the last offset read from the stream."""
 
-    def is_wanted(self, item: records.Item) -> bool:
+    def is_awaited(self, item: records.Item) -> bool:
         """Tell whether somebody still waits for an item."""
 
     def fail(
@@ -94,10 +94,10 @@
     """
 
     def __init__(
-        self, stream: Stream, owner: Owner, interval_s: float
+        self, stream: Stream, shard: ShardView, interval_s: float
     ) -> None:
         self.stream = stream
-        self.owner = owner
+        self.shard = shard
         self.interval_s = interval_s
         self.queue: collections.deque[records.Item] = collections.deque()
         self.changed = threading.Condition()
@@ -105,7 +105,7 @@
         self.sequence = 0
         self.appends = 0
         self.items = 0
-        self.not_before = 0.0
+        self.next_append_at = 0.0
         self.thread = threading.Thread(
             target=self.run, name=f"append-{stream.name}", daemon=True
         )
@@ -130,27 +130,27 @@
     def run(self) -> None:
         """Append until stopped."""
         while True:
-            items = self.take()
+            items = self.next_items()
             if not items:
                 return
             self.commit(items)
 
-    def take(self) -> list[records.Item]:
+    def next_items(self) -> list[records.Item]:
         """Wait for items and return one record's worth; none at the end."""
         with self.changed:
             while not self.queue and not self.stopping:
                 self.changed.wait()
             while not self.stopping and self.pause_s() > 0:
                 self.changed.wait(self.pause_s())
-            return take_some(self.queue)
+            return pop_record_items(self.queue)
 
     def pause_s(self) -> float:
         """Return the seconds until the next append may start."""
-        return self.not_before - time.monotonic()
+        return self.next_append_at - time.monotonic()
 
     def commit(self, items: list[records.Item]) -> None:
         """Append one record and settle what became of it."""
-        self.not_before = time.monotonic() + self.interval_s
+        self.next_append_at = time.monotonic() + self.interval_s
         self.sequence += 1
         batch = records.Batch(
             records.VERSION,
@@ -168,24 +168,26 @@
                 # stream back, knows whose claim came first.
                 return
             case platform_log.AppendRefused(detail, retry_after_s, True):
-                self.hold_off(items, retry_after_s)
+                self.requeue_throttled(items, retry_after_s)
             case platform_log.AppendRefused(detail, retry_after_s):
-                self.owner.fail(items, Failure(detail, retry_after_s, False))
+                self.shard.fail(items, Failure(detail, retry_after_s, False))
             case platform_log.AppendUnknown(detail):
-                self.settle_unknown(items, data, detail)
+                self.resolve_unknown(items, data, detail)
 
-    def hold_off(self, items: list[records.Item], seconds: float) -> None:
+    def requeue_throttled(
+        self, items: list[records.Item], seconds: float
+    ) -> None:
         """Put throttled items back, to go with those that gather."""
-        self.not_before = time.monotonic() + seconds
-        self.put_back(items)
+        self.next_append_at = time.monotonic() + seconds
+        self.requeue(items)
 
-    def put_back(self, items: list[records.Item]) -> None:
+    def requeue(self, items: list[records.Item]) -> None:
         """Queue again, in front, what somebody still waits for."""
-        wanted = [item for item in items if self.owner.is_wanted(item)]
+        awaited = [item for item in items if self.shard.is_awaited(item)]
         with self.changed:
-            self.queue.extendleft(reversed(wanted))
+            self.queue.extendleft(reversed(awaited))
 
-    def settle_unknown(
+    def resolve_unknown(
         self, items: list[records.Item], data: bytes, detail: str
     ) -> None:
         """Read on to learn whether an append took effect.
@@ -198,7 +200,7 @@
         """
         try:
             batch = self.stream.log.read(
-                self.stream.name, self.owner.position(), 0, SETTLE_READ_MAX
+                self.stream.name, self.shard.position(), 0, MAX_RESOLVE_RECORDS
             )
         except platform_log.LogUnavailableError as error:
             failure = Failure(
@@ -206,14 +208,14 @@
                 platform_log.DEFAULT_RETRY_AFTER_S,
                 True,
             )
-            self.owner.fail(items, failure)
+            self.shard.fail(items, failure)
             return
         if any(record.data == data for record in batch.records):
             return
-        self.put_back(items)
+        self.requeue(items)
 
 
-def take_some(
+def pop_record_items(
     queue: collections.deque[records.Item],
 ) -> list[records.Item]:
     """Take as many items from the queue as fit one record."""
@@ -236,4 +238,4 @@
         case records.Claim():
             text += len(item.holder) + len(item.incarnation)
             text += len(item.body_digest)
-    return text + FIXED_ITEM_BYTES
+    return text + ITEM_OVERHEAD_BYTES
--- a/tests/claims/test_fold.py
+++ b/tests/claims/test_fold.py
@@ -41,23 +41,27 @@
 
 def test_first_claim_wins_whoever_wrote_it() -> None:
     fold = new_fold()
-    assert fold.claim(claim("a")) is folds.Ruling.WON
-    assert fold.claim(claim("b")) is folds.Ruling.HELD
-    assert fold.claim(claim("a")) is folds.Ruling.WON
+    assert fold.claim(claim("a")) is folds.ClaimDecision.WON
+    assert fold.claim(claim("b")) is folds.ClaimDecision.HELD
+    assert fold.claim(claim("a")) is folds.ClaimDecision.WON
 
 
 def test_keys_of_two_organisations_never_meet() -> None:
     fold = new_fold()
-    assert fold.claim(claim("a", organisation="havn")) is folds.Ruling.WON
-    assert fold.claim(claim("b", organisation="kyst")) is folds.Ruling.WON
+    assert (
+        fold.claim(claim("a", organisation="havn")) is folds.ClaimDecision.WON
+    )
+    assert (
+        fold.claim(claim("b", organisation="kyst")) is folds.ClaimDecision.WON
+    )
 
 
 def test_other_body_is_refused_even_after_not_run() -> None:
     fold = new_fold()
     fold.claim(claim("a"))
     fold.settle(not_run("a"))
-    assert fold.claim(claim("b", body=b"y")) is folds.Ruling.REUSED
-    assert fold.claim(claim("c")) is folds.Ruling.WON
+    assert fold.claim(claim("b", body=b"y")) is folds.ClaimDecision.REUSED
+    assert fold.claim(claim("c")) is folds.ClaimDecision.WON
 
 
 def test_loser_cannot_free_the_winners_key() -> None:
@@ -70,7 +74,7 @@
     fold.claim(claim("a"))
     fold.claim(claim("b"))
     fold.settle(not_run("b"))
-    assert fold.claim(claim("c")) is folds.Ruling.HELD
+    assert fold.claim(claim("c")) is folds.ClaimDecision.HELD
 
 
 def test_loser_never_wins_later() -> None:
@@ -83,16 +87,16 @@
     fold.claim(claim("a"))
     fold.claim(claim("b"))
     fold.settle(not_run("a"))
-    assert fold.claim(claim("b")) is folds.Ruling.HELD
-    assert fold.claim(claim("c")) is folds.Ruling.WON
+    assert fold.claim(claim("b")) is folds.ClaimDecision.HELD
+    assert fold.claim(claim("c")) is folds.ClaimDecision.WON
 
 
 def test_claim_that_arrives_after_its_not_run_is_void() -> None:
     """The same, when the owner appends the claim only after not_run."""
     fold = new_fold()
     fold.settle(not_run("a"))
-    assert fold.claim(claim("a")) is folds.Ruling.HELD
-    assert fold.claim(claim("b")) is folds.Ruling.WON
+    assert fold.claim(claim("a")) is folds.ClaimDecision.HELD
+    assert fold.claim(claim("b")) is folds.ClaimDecision.WON
 
 
 def test_done_is_final() -> None:
@@ -101,21 +105,21 @@
     fold.settle(done("a", 201))
     fold.settle(not_run("a"))
     fold.settle(done("a", 500))
-    entry = fold.find("havn", KEYS[0])
-    assert entry is not None
-    assert entry.outcome == records.Outcome(201)
-    assert fold.claim(claim("b")) is folds.Ruling.HELD
+    state = fold.find("havn", KEYS[0])
+    assert state is not None
+    assert state.outcome == records.Outcome(201)
+    assert fold.claim(claim("b")) is folds.ClaimDecision.HELD
 
 
 def test_lost_stays_taken_until_its_outcome_turns_up() -> None:
     fold = new_fold()
     fold.claim(claim("a"))
     fold.settle(records.Lost("havn", KEYS[0], "a"))
-    assert fold.claim(claim("b")) is folds.Ruling.HELD
+    assert fold.claim(claim("b")) is folds.ClaimDecision.HELD
     fold.settle(done("a"))
-    entry = fold.find("havn", KEYS[0])
-    assert entry is not None
-    assert entry.standing is folds.Standing.DONE
+    state = fold.find("havn", KEYS[0])
+    assert state is not None
+    assert state.standing is folds.Standing.DONE
 
 
 def test_forgotten_key_is_refused_ever_after() -> None:
@@ -131,7 +135,7 @@
     fold.advance(NOW_MS + WINDOW.length_ms + 1)
     assert fold.size() == 0
     fold.advance(NOW_MS)
-    assert fold.claim(claim("b")) is folds.Ruling.TOO_OLD
+    assert fold.claim(claim("b")) is folds.ClaimDecision.TOO_OLD
     fold.settle(not_run("b"))
     assert fold.size() == 0
 
@@ -139,7 +143,7 @@
 def test_key_from_the_future_is_refused() -> None:
     fold = new_fold()
     ahead = keys.make(NOW_MS + WINDOW.skew_ms + 1)
-    assert fold.claim(claim("a", key=ahead)) is folds.Ruling.FROM_FUTURE
+    assert fold.claim(claim("a", key=ahead)) is folds.ClaimDecision.FROM_FUTURE
     assert fold.size() == 0
 
 
@@ -157,7 +161,7 @@
     assert fold.outcome_bytes == 2 * len(body)
 
 
-items = strategies.one_of(
+item_strategy = strategies.one_of(
     strategies.builds(
         claim,
         strategies.sampled_from(ATTEMPTS),
@@ -173,7 +177,7 @@
 )
 
 
-@hypothesis.given(strategies.lists(items, max_size=40))
+@hypothesis.given(strategies.lists(item_strategy, max_size=40))
 @hypothesis.settings(max_examples=400, deadline=None)
 def test_any_interleaving_has_one_holder_at_a_time(
     history: list[records.Item],
@@ -186,32 +190,34 @@
     """
     fold = new_fold()
     running: dict[tuple[str, str], str] = {}
-    over: set[tuple[str, str, str]] = set()
+    ended: set[tuple[str, str, str]] = set()
     for item in history:
         name = (item.organisation, item.key)
         if isinstance(item, records.Claim):
-            if fold.claim(item) is folds.Ruling.WON:
+            if fold.claim(item) is folds.ClaimDecision.WON:
                 assert running.setdefault(name, item.attempt) == item.attempt
-                assert (*name, item.attempt) not in over
+                assert (*name, item.attempt) not in ended
             continue
-        entry = fold.find(*name)
-        final = entry is not None and entry.standing is folds.Standing.DONE
+        state = fold.find(*name)
+        final = state is not None and state.standing is folds.Standing.DONE
         fold.settle(item)
         if isinstance(item, records.NotRun) and not final:
-            over.add((*name, item.attempt))
+            ended.add((*name, item.attempt))
             if running.get(name) == item.attempt:
                 del running[name]
 
 
-@hypothesis.given(strategies.lists(items, max_size=30), strategies.data())
+@hypothesis.given(
+    strategies.lists(item_strategy, max_size=30), strategies.data()
+)
 @hypothesis.settings(max_examples=100, deadline=None)
 def test_appending_a_batch_again_changes_no_holder(
     history: list[records.Item], data: typing.Any
 ) -> None:
     """A batch whose answer was lost is appended again, any time later."""
-    again = data.draw(strategies.integers(0, max(0, len(history) - 1)))
-    later = data.draw(strategies.integers(again, len(history)))
-    doubled = [*history[:later], *history[again:later], *history[later:]]
+    repeat_from = data.draw(strategies.integers(0, max(0, len(history) - 1)))
+    later = data.draw(strategies.integers(repeat_from, len(history)))
+    doubled = [*history[:later], *history[repeat_from:later], *history[later:]]
     once, twice = new_fold(), new_fold()
     for fold, sequence in ((once, history), (twice, doubled)):
         for item in sequence:
@@ -219,6 +225,6 @@
                 fold.claim(item)
             else:
                 fold.settle(item)
-    for name, entry in once.entries.items():
-        if entry.standing is not folds.Standing.FREE:
-            assert twice.entries[name].attempt == entry.attempt
+    for name, state in once.states.items():
+        if state.standing is not folds.Standing.FREE:
+            assert twice.states[name].attempt == state.attempt
--- a/tests/claims/test_service.py
+++ b/tests/claims/test_service.py
@@ -66,12 +66,14 @@
     agents: dict[str, Agent] = dataclasses.field(default_factory=dict)
 
     def add(self, name: str, incarnation: str = "1") -> Agent:
-        me = connections.Identity("agent", name)
+        identity = connections.Identity("agent", name)
         router = wire_server.Router()
-        server = wire_server.Server("127.0.0.1:0", me, KEY, router)
+        server = wire_server.Server("127.0.0.1:0", identity, KEY, router)
         peers = options.Peers(
             lambda shard: self.agents[self.owner].server.address,
-            lambda address: Client(self, wire_client.Client(address, me, KEY)),
+            lambda address: Client(
+                self, wire_client.Client(address, identity, KEY)
+            ),
         )
         claims = service.Claims(
             self.log,
@@ -268,7 +270,7 @@
     cell.owner = "agent-2"
     agent.claims.followed.release_unused()
     assert agent.claims.followed.all()
-    monkeypatch.setattr(followed, "RELEASE_S", -1.0)
+    monkeypatch.setattr(followed, "RELEASE_AFTER_S", -1.0)
     # The agent's own thread may be following what it owned a moment ago.
     waiting.until(
         lambda: (
--- a/tests/claims/test_shard.py
+++ b/tests/claims/test_shard.py
@@ -32,8 +32,10 @@
 ) -> typing.Iterator[typing.Callable[[], shards.Shard]]:
     with contextlib.ExitStack() as stack:
 
-        def make(cut: int = 1) -> shards.Shard:
-            stream = writers.Stream(log, "claims-00", cut, "agent-1/1")
+        def make(stream_count: int = 1) -> shards.Shard:
+            stream = writers.Stream(
+                log, "claims-00", stream_count, "agent-1/1"
+            )
             shard = shards.Shard(
                 stream, WINDOW, 0.0, lambda claim: claim.incarnation == ALIVE
             )
@@ -58,10 +60,12 @@
     log: fake_log.FakeLog,
     attempt: str,
     key: str = "",
-    life: str = ALIVE,
+    incarnation: str = ALIVE,
 ) -> records.Claim:
     name = key or keys.make(log.clock_ms)
-    return records.Claim("havn", name, attempt, b"x", "agent-1", life, "")
+    return records.Claim(
+        "havn", name, attempt, b"x", "agent-1", incarnation, ""
+    )
 
 
 def test_winner_replays_to_the_next(
@@ -80,7 +84,7 @@
 def test_holder_that_is_gone_gives_unknown_at_once(
     shard: shards.Shard, log: fake_log.FakeLog
 ) -> None:
-    first = claim(log, "a", life=GONE)
+    first = claim(log, "a", incarnation=GONE)
     shard.claim(first, WAIT_S)
     again = shard.claim(claim(log, "b", first.key), WAIT_S)
     assert isinstance(again, messages.Unknown)
@@ -188,7 +192,7 @@
     new_shard: typing.Callable[[], shards.Shard], log: fake_log.FakeLog
 ) -> None:
     """Every instance is replaced, and a booking is made once more."""
-    first = claim(log, "a", life=GONE)
+    first = claim(log, "a", incarnation=GONE)
     ready(new_shard()).claim(first, WAIT_S)
     fresh = ready(new_shard())
     again = fresh.claim(claim(log, "b", first.key), WAIT_S)
@@ -219,11 +223,11 @@
     log.held.clear()
     fresh = new_shard()
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
-        asked = pool.submit(fresh.claim, claim(log, "a"), WAIT_S)
+        pending = pool.submit(fresh.claim, claim(log, "a"), WAIT_S)
         with pytest.raises(concurrent.futures.TimeoutError):
-            asked.result(0.1)
+            pending.result(0.1)
         log.held.set()
-        assert asked.result() == messages.Won("a")
+        assert pending.result() == messages.Won("a")
 
 
 def test_claim_does_not_wait_for_a_log_that_is_known_to_be_away(
@@ -235,7 +239,7 @@
     began = time.monotonic()
     refused = fresh.claim(claim(log, "a"), 60.0)
     assert isinstance(refused, messages.NotClaimed)
-    assert time.monotonic() - began < shards.MAX_CATCH_UP_S
+    assert time.monotonic() - began < shards.MAX_FIRST_READ_WAIT_S
 
 
 def test_reader_paused_past_the_retention_goes_on_whole(
@@ -249,7 +253,7 @@
     shard.claim(claim(log, "a"), WAIT_S)
     log.unreadable = True
     waiting.until(lambda: not shard.follower.available)
-    taken = claim(log, "b", life=GONE)
+    taken = claim(log, "b", incarnation=GONE)
     writer = writers.Writer(shard.stream, shard, 0.0)
     writer.commit([claim(log, "lost-with-retention")])
     writer.commit([taken])
@@ -298,7 +302,7 @@
         case "later release":
             log.keep(b"\x92\x02\xc0")
         case "other cut":
-            shard = new_shard(cut=2)
+            shard = new_shard(stream_count=2)
     waiting.until(lambda: shard.halted)
     result = shard.claim(claim(log, "b"), WAIT_S)
     assert isinstance(result, messages.NotClaimed)
