--- a/src/briarseam/claims/__init__.py
+++ b/src/briarseam/claims/__init__.py
@@ -1,1 +1,1 @@
-"""At-most-once claims on idempotency keys, kept on the log."""
+"""At-most-once claims on idempotency keys, stored in the log."""
--- a/src/briarseam/claims/fold.py
+++ b/src/briarseam/claims/fold.py
@@ -1,16 +1,17 @@
-"""The fold of one claim stream: who holds which key.
+"""The fold of one claim stream: which attempt holds which key.
 
-Every reader takes the same records in the same order to the same state,
-whoever wrote them, so two writers of one stream or a writer that was frozen
-and resumed cannot both make an attempt win.  Per key the states are
+Every reader applies the same records in the same order and reaches the same
+state, whoever wrote them.  So two writers of one stream, or a writer that
+was frozen and resumed, cannot both make an attempt win.  The states of a key
+are
 
     free -> claimed(attempt) -> done(outcome)
       ^         |    |
       +-not_run-+    +-> lost -> done(outcome)
 
 Each attempt is decided once: the first claim record that finds the key
-free wins, and an attempt that lost or was recorded as not run never wins
-later, however often or late its claim is appended again.
+free wins.  An attempt that lost or was recorded as not run never wins later,
+however often or late its claim is appended again.
 """
 
 from __future__ import annotations
@@ -23,13 +24,15 @@
 from briarseam.claims import keys
 from briarseam.claims import records
 
+# A new run time has the weight 1 / RUN_TIME_SMOOTHING in the mean.
 RUN_TIME_SMOOTHING = 8
-# Bodies kept for replays, per stream; beyond it the oldest lose theirs.
+# Size of the bodies kept for replays, per stream; the oldest bodies beyond
+# it are dropped.
 MAX_OUTCOME_BYTES = 8 * 1024 * 1024
 
 
 class Standing(enum.Enum):
-    """Where a key stands."""
+    """State of a key."""
 
     FREE = "free"
     CLAIMED = "claimed"
@@ -38,7 +41,7 @@
 
 
 class ClaimDecision(enum.Enum):
-    """What the fold made of one claim."""
+    """Decision of the fold on one claim."""
 
     WON = "won"
     HELD = "held"
@@ -49,26 +52,26 @@
 
 @dataclasses.dataclass(slots=True)
 class KeyState:
-    """One key of one organisation.
+    """State of one key of one organisation.
 
     Attributes
     ----------
     standing
-        Its state.
+        Whether it is free, claimed, lost or done.
     attempt
         The attempt that holds or held it; empty while free.
     body_digest
-        Digest of the first body seen with it; empty before any.
+        Digest of the first body seen with the key; empty before any.
     claim
         The claim that holds the key; it names the holder.
     claimed_ms
-        The log's time of the winning claim.
+        The log's time of the winning claim, in ms since the epoch.
     outcome
-        Once done.
+        Outcome of the request; ``None`` until the key is done.
     answer_id
-        Of a prompt whose outcome was lost.
-    void
-        Attempts that can never win any more.
+        Answer id of a prompt whose outcome was lost.
+    void_attempts
+        Attempts that can no longer win.
     """
 
     standing: Standing = Standing.FREE
@@ -87,12 +90,12 @@
 class Fold:
     """The state of one claim stream.
 
-    Not safe for several threads; its shard guards it.
+    Not thread-safe; the shard's lock protects it.
 
     Parameters
     ----------
     window
-        How long keys are good for.
+        How long keys are valid.
     """
 
     def __init__(self, window: keys.Window) -> None:
@@ -106,10 +109,10 @@
         self.mean_run_ms = 0.0
 
     def advance(self, time_ms: int) -> None:
-        """Take in the log's clock and forget keys that are too old.
+        """Advance to the log's clock and drop keys that are too old.
 
-        The clock never goes back, so a key that was forgotten is refused
-        as too old ever after.  Memory is bounded by the window.
+        The clock never goes back, so a dropped key is always refused as
+        too old afterwards.  The window bounds the memory used.
         """
         self.now_ms = max(self.now_ms, time_ms)
         while self.keys_by_age and self.is_expired(self.keys_by_age[0][0]):
@@ -117,7 +120,7 @@
             self.forget(name)
 
     def is_expired(self, time_ms: int) -> bool:
-        """Tell whether a key of that time is too old by now."""
+        """Return whether a key with that time is too old by now."""
         return self.window.age(time_ms, self.now_ms) is keys.Age.TOO_OLD
 
     def forget(self, name: KeyName) -> None:
@@ -128,27 +131,27 @@
             self.outcome_bytes -= len(state.outcome.body)
 
     def find(self, organisation: str, key: str) -> KeyState | None:
-        """Return a key's entry; ``None`` when it was never seen."""
+        """Return a key's state; ``None`` if it was never seen."""
         return self.states.get((organisation, key))
 
     def size(self) -> int:
-        """Return how many keys and void attempts are in memory."""
+        """Return the number of keys and void attempts in memory."""
         return len(self.states) + self.void_count
 
     def claim(self, item: records.Claim) -> ClaimDecision:
-        """Take in one claim.
+        """Apply one claim.
 
         Returns
         -------
-        Ruling
+        ClaimDecision
             ``WON`` also for a claim that repeats the winner's.
         """
         parsed = keys.parse(item.key)
         if parsed is None:
             return ClaimDecision.FROM_FUTURE
-        # The log's time of this very record decides, never our clock: a
-        # writer that was frozen for days appends a claim whose key other
-        # readers have forgotten, and every reader refuses it alike.
+        # The log's time of this record decides, never the local clock: a
+        # writer that was frozen for days may append a claim whose key other
+        # readers have dropped, and every reader must refuse it alike.
         match self.window.age(parsed.time_ms, self.now_ms):
             case keys.Age.TOO_OLD:
                 return ClaimDecision.TOO_OLD
@@ -170,23 +173,23 @@
         return ClaimDecision.WON
 
     def claim_held_key(self, state: KeyState, attempt: str) -> ClaimDecision:
-        """Take in a claim on a key that is not free."""
+        """Apply a claim on a key that is not free."""
         if state.attempt == attempt:
             return ClaimDecision.WON
-        # An attempt that lost is over.  Without this its claim, appended
-        # once more after the holder's not_run, would win for a caller who
-        # was already answered, and the key would stay taken for good.
+        # An attempt that lost must not win later.  Otherwise its claim,
+        # appended again after the holder's not_run, would win for a caller
+        # that has already been answered, and the key would stay claimed.
         self.void_attempt(state, attempt)
         return ClaimDecision.HELD
 
     def settle(self, item: records.Settlement) -> None:
-        """Take in how an attempt ended; only its own key heeds it."""
+        """Apply the end of an attempt to its own key."""
         parsed = keys.parse(item.key)
         if parsed is None or self.is_expired(parsed.time_ms):
             return
         state = self.states.get((item.organisation, item.key))
         # Only the attempt that holds the key may settle it: a not_run of
-        # an attempt that lost would free the key under the winner.
+        # an attempt that lost would free the key while the winner runs.
         is_holder = state is not None and state.attempt == item.attempt
         match item:
             case records.NotRun():
@@ -201,11 +204,11 @@
     def settle_not_run(
         self, item: records.NotRun, parsed: keys.Key, is_holder: bool
     ) -> None:
-        """Free the key if the attempt holds it; the attempt is over.
+        """Free the key if the attempt holds it, and void the attempt.
 
-        The attempt is void even when its claim was not seen yet: a claim
-        that an owner appends only after its asker gave up finds the key
-        free and must not take it.
+        The attempt is void even if its claim has not been seen yet: a claim
+        that the owner appends only after the claimant gave up finds the key
+        free and must not win it.
         """
         state = self.get_or_create(item.organisation, parsed)
         if is_holder and state.standing is Standing.DONE:
@@ -217,7 +220,7 @@
         self.void_attempt(state, item.attempt)
 
     def settle_done(self, state: KeyState, item: records.Done) -> None:
-        """Keep the first outcome of the attempt that holds the key."""
+        """Store the first outcome of the attempt that holds the key."""
         if state.standing is Standing.DONE:
             return
         state.standing = Standing.DONE
@@ -230,7 +233,7 @@
         self.trim_bodies()
 
     def trim_bodies(self) -> None:
-        """Drop the oldest bodies beyond the bound; their status stays."""
+        """Drop the oldest bodies beyond the bound; keep their status."""
         while self.outcome_bytes > MAX_OUTCOME_BYTES and self.names_with_body:
             state = self.states.get(self.names_with_body.popleft())
             if state is None or state.outcome is None:
@@ -241,7 +244,7 @@
             )
 
     def get_or_create(self, organisation: str, key: keys.Key) -> KeyState:
-        """Return a key's entry, making a free one."""
+        """Return a key's state; create a free one if there is none."""
         name = (organisation, key.text)
         state = self.states.get(name)
         if state is None:
@@ -251,7 +254,7 @@
         return state
 
     def void_attempt(self, state: KeyState, attempt: str) -> None:
-        """Note that an attempt can never win any more."""
+        """Mark an attempt as unable to win."""
         if attempt in state.void_attempts or attempt == state.attempt:
             return
         state.void_attempts = (*state.void_attempts, attempt)
--- a/src/briarseam/claims/followed.py
+++ b/src/briarseam/claims/followed.py
@@ -1,4 +1,4 @@
-"""The shards that one agent follows: those it owns and those in use."""
+"""Shards that one agent follows: those that it owns and those in use."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
     from briarseam.claims import records
 
 REVIEW_INTERVAL_S = 2.0
-# A shard that another agent owns is followed so long after its last use.
+# How long a shard that another agent owns is followed after its last use.
 RELEASE_AFTER_S = 30.0
 
 
 class FollowedShards:
-    """Follows what its agent owns, and any other shard while it is used.
+    """Follows the shards that the agent owns, and others while in use.
 
     Parameters
     ----------
     log
         The log service.
-    me
-        This start of this agent.
+    local_holder
+        This incarnation of this agent.
     options
-        How claims work.
+        Options of the claims.
     owner
-        Returns the address of another agent that owns a shard; ``None``
-        for one of this agent's own.
+        Returns the address of the agent that owns a shard; ``None`` if
+        this agent owns it.
     is_alive
-        Tells whether the agent that made a claim is still there.
+        Returns whether the agent that made a claim is still alive.
     """
 
     def __init__(
@@ -57,11 +57,11 @@
         self.shards: dict[int, shard_module.Shard] = {}
 
     def start(self) -> None:
-        """Begin following the shards that this agent owns."""
+        """Start following the shards that this agent owns."""
         threading.Thread(target=self.run, name="claims", daemon=True).start()
 
     def stop_reviews(self) -> None:
-        """Leave what is followed as it is from now on."""
+        """Stop changing the set of followed shards."""
         self.stopping.set()
 
     def stop(self) -> None:
@@ -71,7 +71,7 @@
             shard.stop()
 
     def run(self) -> None:
-        """Review until stopped."""
+        """Update the set of followed shards until stopped."""
         while True:
             self.follow_own()
             self.release_unused()
@@ -79,13 +79,13 @@
                 return
 
     def follow_own(self) -> None:
-        """Begin to follow what this agent has come to own."""
+        """Start following shards that this agent now owns."""
         for number in range(self.options.shards):
             if self.owner(number) is None:
                 self.shard(number)
 
     def release_unused(self) -> None:
-        """Stop following shards that others own and nobody asks about."""
+        """Stop following unused shards that other agents own."""
         last_use_limit = time.monotonic() - RELEASE_AFTER_S
         with self.lock:
             unused = [
@@ -101,12 +101,12 @@
                     shard.stop()
 
     def all(self) -> list[shard_module.Shard]:
-        """Return the shards that are followed just now."""
+        """Return the shards followed at present."""
         with self.lock:
             return list(self.shards.values())
 
     def shard(self, number: int) -> shard_module.Shard:
-        """Return a shard, beginning to follow it if need be."""
+        """Return a shard; start following it if necessary."""
         with self.lock:
             shard = self.shards.get(number)
             if shard is None:
@@ -117,7 +117,7 @@
             return shard
 
     def new_shard(self, number: int) -> shard_module.Shard:
-        """Return a shard that is not yet followed."""
+        """Create a shard without starting to follow it."""
         stream = writers.Stream(
             self.log,
             options_module.stream_name(number),
@@ -132,13 +132,13 @@
         )
 
     def count_keys(self) -> int:
-        """Return how many keys and void attempts are in memory."""
+        """Return the number of keys and void attempts in memory."""
         return sum(shard.fold.size() for shard in self.all())
 
     def count_appends(self) -> int:
-        """Return how many records were appended."""
+        """Return the number of records appended."""
         return sum(shard.writer.appends for shard in self.all())
 
     def count_halted(self) -> int:
-        """Return how many streams cannot be trusted."""
+        """Return the number of streams whose claims are halted."""
         return sum(bool(shard.halted) for shard in self.all())
--- a/src/briarseam/claims/inspecting.py
+++ b/src/briarseam/claims/inspecting.py
@@ -1,4 +1,4 @@
-"""Reading what the log says about one key, for operators."""
+"""Reads the state of one key from the log, for operators."""
 
 from __future__ import annotations
 
@@ -18,23 +18,24 @@
 
 @dataclasses.dataclass(frozen=True)
 class KeyReport:
-    """What the log says about a key.
+    """State of a key according to the log.
 
     Attributes
     ----------
     organisation, key
-        What was asked.
+        The organisation and key that were looked up.
     standing
         ``never seen``, ``too old``, ``free``, ``claimed``, ``lost`` or
         ``done``.
     made_at, claimed_at
-        Times by the key itself and by the log, ISO 8601; empty if none.
+        Time in the key itself and the log's time of the winning claim,
+        in ISO 8601; empty if there is none.
     attempt
-        The attempt that holds it; also its run id at the endpoint.
+        The attempt that holds the key; also its run id at the endpoint.
     instance, incarnation
-        The agent that won it, and which start of it.
+        The agent that won the key, and its incarnation.
     status
-        HTTP status of its outcome; 0 while there is none.
+        HTTP status of the outcome; 0 while there is none.
     given_up
         Attempts that certainly did not run.
     """
@@ -57,14 +58,14 @@
     organisation: str,
     key: keys.Key,
 ) -> KeyReport:
-    """Return what the log says about a key.
+    """Read a key's state from the log.
 
     Raises
     ------
     platform_log.LogUnavailableError
-        When it cannot be read.
+        If the log cannot be read.
     records.UnknownVersionError
-        When a later release wrote to the stream.
+        If a later release wrote to the stream.
     """
     number = keys.shard_of(organisation, key.text, options.SHARDS)
     fold = folds.Fold(window)
@@ -85,7 +86,7 @@
 def read_all(
     log: platform_log.LogClient, stream: str
 ) -> typing.Iterator[platform_log.Record]:
-    """Yield what the log has of a stream by now."""
+    """Yield the records of a stream up to its present end."""
     after = 0
     while True:
         batch = log.read(stream, after)
@@ -96,7 +97,7 @@
 
 
 def report(fold: folds.Fold, organisation: str, key: keys.Key) -> KeyReport:
-    """Return what a fold says about a key."""
+    """Return the report on a key from a fold."""
     made_at = time_text(key.time_ms)
     if fold.is_expired(key.time_ms):
         return KeyReport(organisation, key.text, TOO_OLD, made_at)
@@ -119,6 +120,6 @@
 
 
 def time_text(time_ms: int) -> str:
-    """Return a time in ms since the epoch as ISO 8601 in UTC."""
+    """Format a time in ms since the epoch as ISO 8601 in UTC."""
     when = datetime.datetime.fromtimestamp(time_ms / 1000, datetime.UTC)
     return when.isoformat(timespec="milliseconds")
--- a/src/briarseam/claims/keys.py
+++ b/src/briarseam/claims/keys.py
@@ -1,8 +1,8 @@
-"""Idempotency keys: UUIDv7, whose own time tells when a key was made.
+"""Idempotency keys: UUIDv7, which contain their creation time.
 
-A key is judged only against the log service's clock, which stamps each
-record.  Our own clocks differ between instances and may be wrong, so no
-verdict on a key's age rests on them.
+The age of a key is judged only by the log service's clock, which stamps each
+record.  The clocks of the instances differ and may be wrong, so they are not
+used for this.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 import xxhash
 
-# Eight, four, four, four and twelve hex digits; version 7, variant 10.
+# 8, 4, 4, 4 and 12 hex digits; version 7, variant 0b10.
 UUID7 = re.compile(
     r"[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}"
 )
@@ -25,7 +25,7 @@
 
 
 class Age(enum.Enum):
-    """How a key's own time stands to the log's clock."""
+    """Age of a key by the log's clock."""
 
     CURRENT = "current"
     TOO_OLD = "too-old"
@@ -41,7 +41,7 @@
     text
         Canonical lower-case form.
     time_ms
-        When it was made, by its maker's clock, in ms since the epoch.
+        Creation time by the caller's clock, in ms since the epoch.
     """
 
     text: str
@@ -50,33 +50,34 @@
 
 @dataclasses.dataclass(frozen=True)
 class Window:
-    """How long a key is good for.
+    """How long a key is valid.
 
     Attributes
     ----------
     length_ms
-        Greatest age.  It must be less than the log's retention by a
-        margin larger than ``skew_ms``, so that every record about a key
-        that is still accepted is still in the log.
+        Maximum age in ms.  It must be less than the log's retention by a
+        margin larger than ``skew_ms``, so that the log still has every
+        record about a key that is still accepted.
     skew_ms
-        How far ahead of the log's clock a key's maker may be.
+        How far a caller's clock may be ahead of the log's, in ms.
     """
 
     length_ms: int
     skew_ms: int = DEFAULT_SKEW_MS
 
     def age(self, time_ms: int, now_ms: int) -> Age:
-        """Judge a key's time against the log's clock.
+        """Compare a key's time with the log's clock.
 
-        A key from the future would outlive the records about it, and one
-        older than the window already may have: both could run twice.
+        A key from the future would be valid for longer than the log has its
+        records, and the records of one older than the window may be gone
+        already: the request of either could run twice.
 
         Parameters
         ----------
         time_ms
-            The key's own time.
+            The key's own time, in ms since the epoch.
         now_ms
-            The log's clock.
+            The log's clock, in ms since the epoch.
         """
         if now_ms - time_ms > self.length_ms:
             return Age.TOO_OLD
@@ -86,7 +87,7 @@
 
 
 def parse(text: str) -> Key | None:
-    """Return the key written as ``text``; ``None`` unless a UUIDv7."""
+    """Parse a key; return ``None`` if ``text`` is not a UUIDv7."""
     lowered = text.strip().lower()
     if UUID7.fullmatch(lowered) is None:
         return None
@@ -95,7 +96,7 @@
 
 
 def make(time_ms: int) -> str:
-    """Return a fresh UUIDv7 for a time in ms since the epoch."""
+    """Generate a UUIDv7 for a time in ms since the epoch."""
     random = secrets.randbits(RANDOM_BITS)
     high = (time_ms << 16) | 0x7000 | (random >> RANDOM_B_BITS)
     low = (0b10 << RANDOM_B_BITS) | (random & ((1 << RANDOM_B_BITS) - 1))
@@ -111,10 +112,10 @@
 
 
 def shard_of(organisation: str, key: str, shards: int) -> int:
-    """Return the number of the shard that keeps a key.
+    """Return the number of the shard of a key.
 
-    The length in front of the organisation keeps two splits of the same
-    text apart.
+    The length prefix of the organisation distinguishes different splits of
+    the same text.
     """
     text = f"{len(organisation)}:{organisation}{key}"
     return xxhash.xxh3_64_intdigest(text.encode()) % shards
--- a/src/briarseam/claims/messages.py
+++ b/src/briarseam/claims/messages.py
@@ -1,7 +1,7 @@
-"""What a claim is answered with, and the messages between agents.
+"""Results of claims, and the messages between agents.
 
-The answers are messages themselves, since an agent that does not own a
-key's shard hands on what the owner answered.
+The results are messages themselves, since an agent that does not own a
+key's shard forwards the owner's result.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 @codec.message("claim")
 @dataclasses.dataclass(frozen=True)
 class ClaimRequest:
-    """Ask a shard's owner for a key.
+    """Request to a shard's owner to claim a key.
 
     Attributes
     ----------
     claim
-        What to append.
+        The claim to append.
     wait_s
-        How long the asker waits, in seconds.
+        How long the requesting agent waits, in seconds.
     """
 
     claim: records.Claim
@@ -33,7 +33,7 @@
 @codec.message("claim-won")
 @dataclasses.dataclass(frozen=True)
 class Won:
-    """The attempt alone may run the request, once."""
+    """Only this attempt may run the request, once."""
 
     attempt: str
 
@@ -49,7 +49,7 @@
 @codec.message("claim-done")
 @dataclasses.dataclass(frozen=True)
 class Finished:
-    """The key's request ran before; this was its outcome."""
+    """The key's request has run already, with this outcome."""
 
     outcome: records.Outcome
 
@@ -57,14 +57,14 @@
 @codec.message("claim-unknown")
 @dataclasses.dataclass(frozen=True)
 class Unknown:
-    """An attempt held the key and nobody can tell how it ended.
+    """An attempt held the key and how it ended is unknown.
 
     Attributes
     ----------
     detail
         One sentence for the caller.
     answer_id
-        By which a prompt's answer may still be had from its endpoint.
+        Answer id with which the endpoint may still have a prompt's answer.
     """
 
     detail: str
@@ -74,13 +74,13 @@
 @codec.message("claim-key-reused")
 @dataclasses.dataclass(frozen=True)
 class KeyReused:
-    """The key was used before with another body."""
+    """The key was used before with a different body."""
 
 
 @codec.message("claim-key-expired")
 @dataclasses.dataclass(frozen=True)
 class KeyExpired:
-    """The key is so old that the log may no longer tell about it."""
+    """The key is so old that the log may have dropped its records."""
 
 
 @codec.message("claim-key-invalid")
@@ -103,9 +103,9 @@
     detail
         One sentence for the caller.
     retry_after_s
-        Seconds after which asking again makes sense.
+        Seconds after which to claim again.
     dangling
-        Whether the claim may be in the stream all the same, now or
+        Whether the claim may be in the stream nevertheless, now or
         later; its holder then records that the attempt did not run.
     """
 
@@ -133,16 +133,16 @@
 @codec.message("claim-settle")
 @dataclasses.dataclass(frozen=True)
 class SettleRequest:
-    """Ask a shard's owner to record how attempts ended.
+    """Request to a shard's owner to record how attempts ended.
 
     Attributes
     ----------
     shard
-        The shard of all of them.
+        Number of the shard that all of the keys belong to.
     settlements
-        What to record.
+        The settlements to record.
     wait_s
-        How long the asker waits, in seconds.
+        How long the requesting agent waits, in seconds.
     """
 
     shard: int
@@ -161,7 +161,7 @@
 @codec.message("claim-holder-asked")
 @dataclasses.dataclass(frozen=True)
 class HolderAsked:
-    """Ask an agent whether it is still the start that made a claim."""
+    """Query whether an agent still is the incarnation that made a claim."""
 
     name: str
     incarnation: str
@@ -170,23 +170,23 @@
 @codec.message("claim-holder")
 @dataclasses.dataclass(frozen=True)
 class HolderTold:
-    """Whether it is."""
+    """Whether the agent still is that incarnation."""
 
     same: bool
 
 
 def verdict_of(refusal: Refusal) -> verdict.Verdict:
-    """Return what a caller is told for a claim that was not won.
+    """Return the verdict for a caller whose claim was not won.
 
     A key that is too old gives ``MayHaveRun``: an earlier attempt may
-    have run and its record be gone.
+    have run although its record is gone.
     """
     reason = verdict.Reason
     match refusal:
         case InProgress(retry_after_s):
             return verdict.MayHaveRun(
                 reason.IN_PROGRESS,
-                "a request with this key is under way",
+                "a request with this key is in progress",
                 retry_after_s,
             )
         case Unknown(detail):
@@ -194,7 +194,7 @@
         case KeyExpired():
             return verdict.MayHaveRun(
                 reason.KEY_EXPIRED,
-                "the key is older than the records that are kept",
+                "the key is older than the retained records",
             )
         case KeyReused():
             return verdict.NotRun(
@@ -203,10 +203,10 @@
         case KeyInvalid(detail):
             return verdict.NotRun(reason.KEY_INVALID, detail)
         case NotClaimed():
-            # An earlier try under the key may have run where this agent
-            # could not see it: told "not run", its caller would submit
-            # anew under another key.  Only a try that won its key can
-            # tell for sure that nothing ran.
+            # An earlier attempt with the key may have run unseen by this
+            # agent; after "not run" its caller would submit the request
+            # again with another key.  Only an attempt that won the key
+            # shows that nothing ran.
             return verdict.MayHaveRun(
                 reason(refusal.reason),
                 f"{refusal.detail}; send the same key again",
--- a/src/briarseam/claims/options.py
+++ b/src/briarseam/claims/options.py
@@ -1,4 +1,4 @@
-"""What claims are given: options, this agent, and how to reach others."""
+"""Options of the claims, this agent, and how to reach other agents."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 if typing.TYPE_CHECKING:
     from briarseam.wire import codec
 
-# How many streams the keys are cut into.  No setting: two agents that cut
-# them differently would look for one key in two streams.
+# Number of streams that the keys are distributed over.  It is no setting:
+# agents with different numbers would look for one key in two streams.
 SHARDS = 4
 STREAM_PREFIX = "claims-"
 DEFAULT_WINDOW_S = 3600.0
@@ -23,7 +23,7 @@
 
 
 class PeerClient(typing.Protocol):
-    """What asking another agent takes; see ``briarseam.wire.client``."""
+    """Client of another agent; see ``briarseam.wire.client``."""
 
     def call(self, request: codec.Message, timeout_s: float) -> codec.Message:
         """Send a message and return the reply."""
@@ -31,16 +31,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Holder:
-    """One start of an agent.
+    """One incarnation of an agent, which holds claims.
 
     Attributes
     ----------
     name
-        The agent.
+        Name of the agent.
     incarnation
-        Differs for each start of it.
+        Differs for each start of the agent.
     address
-        Where other agents reach it.
+        Address at which other agents reach it.
     """
 
     name: str
@@ -50,19 +50,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Options:
-    """How claims work.
+    """Options of the claims.
 
     Attributes
     ----------
     window_s
-        Greatest age of a key in seconds; less than the log's retention
+        Maximum age of a key in seconds; less than the log's retention
         by a margin of at least two minutes.
     batch_ms
-        Least time between two appends to one stream.
+        Minimum time between two appends to one stream, in ms.
     wait_s
-        Longest wait for a claim, in seconds.
+        Maximum wait for a claim, in seconds.
     shards
-        Into how many streams the keys are cut; the same everywhere.
+        Number of streams that the keys are distributed over; the same for
+        all agents.
     """
 
     window_s: float = DEFAULT_WINDOW_S
@@ -73,14 +74,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Peers:
-    """How claims reach the other agents.
+    """Access to the other agents.
 
     Attributes
     ----------
     owner_of
-        Address of the agent that owns a shard; ``None`` means this one.
+        Returns the address of the agent that owns a shard; ``None`` means
+        this agent.
     client_of
-        Returns a client of the agent at an address.
+        Returns a client for the agent at an address.
     """
 
     owner_of: typing.Callable[[int], str | None]
--- a/src/briarseam/claims/records.py
+++ b/src/briarseam/claims/records.py
@@ -8,16 +8,16 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What a request that ran gave, kept for a replay.
+    """Outcome of a request that ran, stored for replays.
 
     Attributes
     ----------
     status
         HTTP status of the answer.
     body
-        The answer, as far as it was kept.
+        The answer, as far as it is stored.
     whole
-        Whether ``body`` is all of it.
+        Whether ``body`` is the complete answer.
     answer_id
         Answer id of a prompt; empty for service calls.
     """
@@ -29,19 +29,19 @@
 
 
 class Claim(msgspec.Struct, frozen=True, tag="claim", array_like=True):
-    """An attempt asks for the right to run a key's request.
+    """An attempt claims the right to run a key's request.
 
     Attributes
     ----------
     organisation, key
-        What is claimed.
+        The key that is claimed, and its organisation.
     attempt
-        Random name of the attempt, never used for another.
+        Random name of the attempt, never used again.
     body_digest
-        Digest of the request, to tell a reused key.
+        Digest of the request, to detect a reused key.
     holder, incarnation, address
-        The agent that acts for the attempt, which start of it, and where
-        other agents reach it.
+        Name, incarnation and address of the agent that acts for the
+        attempt.
     """
 
     organisation: str
@@ -71,14 +71,14 @@
 
 
 class Lost(msgspec.Struct, frozen=True, tag="lost", array_like=True):
-    """The attempt may have been sent and nobody can tell its outcome.
+    """The attempt may have been sent and its outcome is unknown.
 
     Attributes
     ----------
     organisation, key, attempt
-        Which attempt.
+        The attempt and its key.
     answer_id
-        By which a prompt's answer may still be had from its endpoint.
+        Answer id with which the endpoint may still have a prompt's answer.
     """
 
     organisation: str
@@ -92,20 +92,20 @@
 
 
 class Batch(msgspec.Struct, frozen=True, array_like=True):
-    """One record: what its writer put in at once.
+    """One record: the items of one append.
 
     Attributes
     ----------
     version
-        Form of the record; comes first so that any release can read it.
+        Version of the format; comes first so that any release can read it.
     shards
-        Into how many streams the writer cuts the keys.
+        Number of streams that the writer distributes the keys over.
     writer
-        Agent and incarnation that wrote it, for the operator.
+        Agent and incarnation that wrote the record, for the operator.
     sequence
-        Counts the writer's batches, so that no two are the same bytes.
+        Number of the writer's batch; makes each record's bytes unique.
     items
-        In the order in which the fold takes them.
+        Claims and settlements in the order in which the fold applies them.
     """
 
     version: int
@@ -116,13 +116,13 @@
 
 
 class Head(msgspec.Struct, frozen=True, array_like=True):
-    """The part of a batch that no release may change."""
+    """The part of a batch that is the same in all releases."""
 
     version: int
 
 
 class UnreadableError(Exception):
-    """A record that is no batch of any release; it claims nothing."""
+    """A record that is not a batch of any release; it holds no claims."""
 
 
 class UnknownVersionError(Exception):
@@ -135,19 +135,19 @@
 
 
 def encode(batch: Batch) -> bytes:
-    """Return the record of a batch."""
+    """Encode a batch as a record."""
     return encoder.encode(batch)
 
 
 def decode(data: bytes) -> Batch:
-    """Return the batch of a record.
+    """Decode a record.
 
     Raises
     ------
     UnreadableError
-        When the record is no batch at all.
+        If the record is not a batch.
     UnknownVersionError
-        When a later release wrote it.
+        If a later release wrote the record.
     """
     try:
         version = head_decoder.decode(data).version
--- a/src/briarseam/claims/retention.py
+++ b/src/briarseam/claims/retention.py
@@ -1,4 +1,4 @@
-"""Noticing a log that keeps records for less than the window."""
+"""Detects a log that retains records for less than the window."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 import time
 import typing
 
-# So many arrivals are remembered over one window.
+# Maximum number of arrivals stored over one window.
 MAX_ARRIVALS = 360
 
 
 @dataclasses.dataclass(frozen=True)
 class Arrival:
-    """A record that this reader saw arrive.
+    """Arrival of a record at this reader.
 
     Attributes
     ----------
     offset
-        The record.
+        Offset of the record.
     read_at
-        Monotonic seconds.
+        Monotonic time of the read, in seconds.
     """
 
     offset: int
@@ -28,19 +28,19 @@
 
 
 class RetentionCheck:
-    """Tells when the log drops records that are younger than the window.
+    """Detects that the log drops records younger than the window.
 
-    With a retention shorter than the window, a key that is still accepted
-    may have lost its claim and would be free again.  It shows as a record
-    gone that this reader saw arrive less than the window ago, by its own
-    monotonic clock.
+    With a retention shorter than the window, the claim of a key that is
+    still accepted may be gone, and the key would be free again.  The check
+    fails if the log no longer has a record that this reader received less
+    than the window ago, by its own monotonic clock.
 
     Parameters
     ----------
     window_s
-        Greatest age of a key.
+        Maximum age of a key, in seconds.
     clock
-        Monotonic seconds.
+        Returns monotonic seconds.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         self.arrivals: collections.deque[Arrival] = collections.deque()
 
     def record_arrival(self, offset: int) -> None:
-        """Remember when the newest record came, now and then."""
+        """Record when the newest record arrived, unless the last is recent."""
         now = self.clock()
         if self.arrivals:
             elapsed_s = now - self.arrivals[-1].read_at
@@ -62,7 +62,7 @@
         self.arrivals.append(Arrival(offset, now))
 
     def is_short(self, first: int) -> bool:
-        """Tell whether a record younger than the window is gone.
+        """Return whether the log has dropped a record within the window.
 
         Parameters
         ----------
--- a/src/briarseam/claims/service.py
+++ b/src/briarseam/claims/service.py
@@ -1,8 +1,8 @@
-"""Claims: the right to run a non-idempotent request, at most once.
+"""Claims: the right to run a non-idempotent request at most once.
 
-An agent owns some shards (by rank over the live agents) and follows and
-writes only these; for other keys it asks their owner.  Two owners of one
-shard are harmless, since the fold of the stream alone decides.
+An agent owns some of the shards, by rank over the live agents, and follows
+and writes only these; claims on other keys go to the shard's owner.  Two
+owners of one shard do no harm, since the fold of the stream alone decides.
 """
 
 from __future__ import annotations
@@ -40,14 +40,14 @@
     ----------
     log
         The log service.
-    me
-        This start of this agent.
+    local_holder
+        This incarnation of this agent.
     peers
-        The other agents.
+        Access to the other agents.
     options
-        How claims work.
+        Options of the claims.
     metrics
-        Where to count.
+        Registry of the counters.
     """
 
     def __init__(
@@ -90,11 +90,11 @@
         )
 
     def start(self) -> None:
-        """Begin following the shards that this agent owns."""
+        """Start following the shards that this agent owns."""
         self.followed.start()
 
     def stop(self) -> None:
-        """Hand over pending settlements, then stop."""
+        """Deliver pending settlements for a bounded time, then stop."""
         self.followed.stop_reviews()
         with self.lock:
             pending = list(self.settlers.values())
@@ -103,13 +103,13 @@
         self.followed.stop()
 
     def register(self, router: wire_server.Router) -> None:
-        """Answer other agents' claims and settlements."""
+        """Register the handlers of other agents' messages."""
         router.on(messages.ClaimRequest, self.on_claim)
         router.on(messages.SettleRequest, self.on_settle)
         router.on(messages.HolderAsked, self.on_holder_asked)
 
     def new_attempt(self) -> str:
-        """Return a fresh attempt name."""
+        """Generate a name for an attempt."""
         return secrets.token_hex(ATTEMPT_BYTES)
 
     def claim(
@@ -120,26 +120,27 @@
         attempt: str,
         wait_s: float | None = None,
     ) -> messages.Result:
-        """Ask for the right to run a key's request.
+        """Claim the right to run a key's request.
 
         Parameters
         ----------
         organisation
-            Whose key it is; keys of two organisations never meet.
+            Organisation of the key; equal keys of different organisations
+            are independent.
         key
             The caller's idempotency key.
         body_digest
             Digest of the request.
         attempt
-            A fresh attempt, see :meth:`new_attempt`.
+            A new attempt, see :meth:`new_attempt`.
         wait_s
-            Bound on the wait, in seconds.
+            Maximum wait in seconds; by default that of the options.
 
         Returns
         -------
         Result
-            Only ``Won`` allows to send the request; whoever got it must
-            :meth:`settle` the attempt at the end.
+            Only ``Won`` permits sending the request; the claimant must
+            then :meth:`settle` the attempt.
         """
         parsed = keys.parse(key)
         if parsed is None:
@@ -158,7 +159,7 @@
         with self.claim_latency.time():
             result = self.claim_at_owner(messages.ClaimRequest(item, wait_s))
         if isinstance(result, messages.NotClaimed) and result.dangling:
-            # The claim may yet turn up in the stream and hold the key for
+            # The claim may still appear in the stream and hold the key for
             # an attempt that is never sent, so its end is recorded too.
             self.settle(organisation, key, attempt, not_run_verdict())
         return self.count_result(result)
@@ -171,17 +172,17 @@
         end: records.Outcome | verdict.NotRun | verdict.MayHaveRun,
         answer_id: str = "",
     ) -> None:
-        """Record how an attempt ended; returns at once.
+        """Record how an attempt ended, without waiting.
 
         Parameters
         ----------
         organisation, key, attempt
             As claimed.
         end
-            ``Outcome`` when it ran; ``NotRun`` only if the request was
-            never sent; ``MayHaveRun`` when its outcome was lost.
+            ``Outcome`` if the request ran; ``NotRun`` only if it was never
+            sent; ``MayHaveRun`` if its outcome was lost.
         answer_id
-            Of a prompt whose outcome was lost.
+            Answer id of a prompt whose outcome was lost.
         """
         parsed = keys.parse(key)
         if parsed is None:
@@ -199,18 +200,18 @@
         self.settler(number).add(item)
 
     def shard_of(self, organisation: str, key: str) -> int:
-        """Return the number of the shard that keeps a key."""
+        """Return the number of the shard of a key."""
         return keys.shard_of(organisation, key, self.options.shards)
 
     def owner(self, number: int) -> str | None:
-        """Return the address of another agent that owns a shard."""
+        """Return the address of a shard's owner; ``None`` if it is local."""
         address = self.peers.owner_of(number)
         return None if address == self.local_holder.address else address
 
     def claim_at_owner(
         self, request: messages.ClaimRequest
     ) -> messages.Result:
-        """Claim at the shard's owner."""
+        """Send a claim to the shard's owner, which may be this agent."""
         number = self.shard_of(request.claim.organisation, request.claim.key)
         address = self.owner(number)
         if address is None:
@@ -221,7 +222,7 @@
         except wire_client.NotSentError:
             return owner_unreachable(address, dangling=False)
         except connections.WireError:
-            # The owner may have got the claim and append it at any time.
+            # The owner may have received the claim and may append it later.
             return owner_unreachable(address, dangling=True)
         if isinstance(reply, codec.Failed):
             return owner_unreachable(address, dangling=True)
@@ -230,14 +231,14 @@
     def claim_locally(
         self, number: int, request: messages.ClaimRequest
     ) -> messages.Result:
-        """Claim in a shard that this agent follows."""
+        """Claim a key of a shard that this agent follows."""
         return self.followed.shard(number).claim(request.claim, request.wait_s)
 
     def is_alive(self, claim: records.Claim) -> bool:
-        """Tell whether the agent that made a claim is still there.
+        """Return whether the agent that made a claim is still alive.
 
-        It is asked itself: the heartbeats reach only agents of a cell,
-        and the resend may come to any.
+        The agent itself is queried: heartbeats reach only agents of the
+        same cell, but the caller may resend the request to any agent.
         """
         if claim.holder == self.local_holder.name:
             return claim.incarnation == self.local_holder.incarnation
@@ -253,7 +254,7 @@
     def deliver(
         self, number: int, items: typing.Sequence[records.Settlement]
     ) -> frozenset[str]:
-        """Offer settlements to the shard's owner."""
+        """Send settlements to the shard's owner; return those read back."""
         address = self.owner(number)
         if address is None:
             return self.followed.shard(number).settle(items, SETTLE_WAIT_S)
@@ -270,14 +271,14 @@
     def on_claim(
         self, peer: connections.Identity, request: messages.ClaimRequest
     ) -> messages.Result:
-        """Answer another agent's claim."""
+        """Handle another agent's claim."""
         number = self.shard_of(request.claim.organisation, request.claim.key)
         return self.claim_locally(number, request)
 
     def on_holder_asked(
         self, peer: connections.Identity, request: messages.HolderAsked
     ) -> messages.HolderTold:
-        """Tell whether this is still the start of the agent that is meant."""
+        """Answer whether this agent is the queried incarnation."""
         return messages.HolderTold(
             request.name == self.local_holder.name
             and request.incarnation == self.local_holder.incarnation
@@ -286,7 +287,7 @@
     def on_settle(
         self, peer: connections.Identity, request: messages.SettleRequest
     ) -> messages.SettleReply:
-        """Answer another agent's settlements."""
+        """Handle another agent's settlements."""
         if not 0 <= request.shard < self.options.shards:
             return messages.SettleReply(())
         shard = self.followed.shard(request.shard)
@@ -294,7 +295,7 @@
         return messages.SettleReply(tuple(sorted(confirmed)))
 
     def settler(self, number: int) -> settlers.Settler:
-        """Return a shard's settler, starting it if need be."""
+        """Return a shard's settler; start it if necessary."""
         with self.lock:
             settler = self.settlers.get(number)
             if settler is None:
@@ -304,27 +305,27 @@
             return settler
 
     def count_result(self, result: messages.Result) -> messages.Result:
-        """Count a result by its kind."""
+        """Count a result by its class and return it."""
         self.result_counter.labelled(type(result).__name__).add()
         return result
 
     def count_pending(self) -> int:
-        """Return how many settlements are not yet in the log."""
+        """Return the number of settlements not yet in the log."""
         with self.lock:
             pending = list(self.settlers.values())
         return sum(len(settler.pending) for settler in pending)
 
 
 def not_run_verdict() -> verdict.NotRun:
-    """Return the end of an attempt that was given up before sending."""
+    """Return the verdict for an attempt that was abandoned unsent."""
     return verdict.NotRun(verdict.Reason.LOG_UNAVAILABLE)
 
 
 def owner_unreachable(address: str, dangling: bool) -> messages.NotClaimed:
-    """Return the answer when a shard's owner did not answer."""
+    """Return the result for a shard whose owner did not answer."""
     return messages.NotClaimed(
         verdict.Reason.AGENT_UNAVAILABLE,
-        f"the agent at {address}, which keeps this key, did not answer",
+        f"the agent at {address}, which owns this key, did not answer",
         OWNER_RETRY_S,
         dangling,
     )
--- a/src/briarseam/claims/settler.py
+++ b/src/briarseam/claims/settler.py
@@ -1,9 +1,9 @@
-"""Settlements on their way to the log.
+"""Delivers settlements to the log.
 
-How an attempt ended is known to its own agent only, so it is kept and
-offered again until it has been read back from the stream.  Should the agent
-die first, the key stays claimed: a later caller is told that nobody can
-know.
+Only an attempt's own agent knows how the attempt ended, so it stores the
+settlement and sends it again until it has been read back from the stream.
+If the agent dies first, the key stays claimed and later callers get
+"unknown".
 """
 
 from __future__ import annotations
@@ -21,21 +21,22 @@
 MAX_DELIVERED_AT_ONCE = 500
 STOP_JOIN_S = 5.0
 
-# Offers settlements of one shard; returns the attempts read back.
+# Sends settlements of one shard; returns the attempts read back.
 Deliver = typing.Callable[
     [int, typing.Sequence[records.Settlement]], frozenset[str]
 ]
 
 
 class Settler:
-    """The settlements of one shard.
+    """Thread that delivers the settlements of one shard.
 
     Parameters
     ----------
     shard
         Number of the shard.
     deliver
-        Offers them to the shard's owner and waits.
+        Sends settlements to the shard's owner and waits for them to be read
+        back.
     """
 
     def __init__(self, shard: int, deliver: Deliver) -> None:
@@ -52,11 +53,11 @@
         )
 
     def start(self) -> None:
-        """Begin offering."""
+        """Start the thread."""
         self.thread.start()
 
     def stop(self, flush_s: float) -> None:
-        """Offer what is pending for up to ``flush_s`` seconds, then stop."""
+        """Deliver pending items for at most ``flush_s`` seconds, then stop."""
         with self.changed:
             self.changed.wait_for(lambda: not self.pending, flush_s)
             self.stopping = True
@@ -64,17 +65,18 @@
         self.thread.join(STOP_JOIN_S)
 
     def add(self, item: records.Settlement) -> None:
-        """Take a settlement; a later one of the same attempt replaces it."""
+        """Queue a settlement; it replaces an earlier one of its attempt."""
         with self.changed:
             if len(self.pending) >= MAX_PENDING:
-                # Dropping one leaves its key claimed, which is safe.
+                # Dropping a settlement leaves its key claimed, which is
+                # safe.
                 self.pending.popitem(last=False)
                 self.dropped += 1
             self.pending[item.attempt] = item
             self.changed.notify_all()
 
     def run(self) -> None:
-        """Offer until stopped, backing off while nothing is taken."""
+        """Deliver until stopped; back off while nothing is confirmed."""
         retry_delay = backoff.Backoff(RETRY_S, MAX_RETRY_S)
         while True:
             items = self.next_items()
@@ -91,7 +93,7 @@
                 )
 
     def next_items(self) -> list[records.Settlement]:
-        """Wait for settlements and return some; none once stopped."""
+        """Wait for settlements and return some; none after a stop."""
         with self.changed:
             self.changed.wait_for(lambda: self.pending or self.stopping)
             if self.stopping:
@@ -103,7 +105,7 @@
         items: typing.Sequence[records.Settlement],
         confirmed: frozenset[str],
     ) -> None:
-        """Forget what was read back, unless it was replaced meanwhile."""
+        """Remove what was read back, unless it has been replaced since."""
         with self.changed:
             for item in items:
                 if item.attempt not in confirmed:
--- a/src/briarseam/claims/shard.py
+++ b/src/briarseam/claims/shard.py
@@ -1,7 +1,7 @@
-"""One claim stream: its fold, its follower, its writer, and who waits.
+"""One claim stream: its fold, follower, writer and waiting threads.
 
-A claimant is told that it won only after the fold has read its own claim
-back from the stream as the winner.
+A claimant gets ``Won`` only after its own claim has been read back from the
+stream and the fold has made it the winner.
 """
 
 from __future__ import annotations
@@ -25,11 +25,12 @@
 MAX_ENTRIES = 2_000_000
 MIN_RETRY_S = 0.2
 MAX_RETRY_S = 30.0
-# A claim waits this long at most for its stream to be read up to now.
+# Maximum time that a claim waits for the first read of its stream.
 MAX_FIRST_READ_WAIT_S = 0.5
-# How soon a claim that waits notices that the log is away.
+# Interval at which a waiting claim checks whether the log is available.
 LOG_CHECK_INTERVAL_S = 0.05
 FOLLOW_WAIT_MS = 1000
+# Rate of reading by which the time until a stream is read is estimated.
 READ_RECORDS_PER_S = 5000
 log = structlog.get_logger("briarseam.claims")
 
@@ -37,19 +38,20 @@
 
 
 class Shard:
-    """The keys of one claim stream, as one agent follows them.
+    """The keys of one claim stream, as followed by one agent.
 
     Parameters
     ----------
     stream
-        The stream and who writes to it.
+        The stream and the name of its writer.
     window
-        How long keys are good for.
+        How long keys are valid.
     interval_s
-        Least time between two appends, in seconds.
+        Minimum time between two appends, in seconds.
     is_alive
-        Tells whether the agent that made a claim is still there.  It only
-        chooses between "in progress" and "unknown"; no safety rests on it.
+        Returns whether the agent that made a claim is still alive.  It only
+        selects between "in progress" and "unknown"; safety does not depend
+        on it.
     """
 
     def __init__(
@@ -80,45 +82,45 @@
         )
 
     def start(self) -> None:
-        """Begin reading the window."""
+        """Start reading and appending."""
         self.follower.start()
         self.writer.start()
 
     def stop(self) -> None:
-        """Append what is queued and stop."""
+        """Append queued items, then stop."""
         self.writer.stop()
         self.follower.stop()
 
     def position(self) -> int:
-        """Return the last offset read from the stream."""
+        """Return the last offset that was read from the stream."""
         return self.last_offset
 
     def is_awaited(self, item: records.Item) -> bool:
-        """Tell whether somebody still waits for an item."""
+        """Return whether a thread still waits for an item."""
         with self.lock:
             if isinstance(item, records.Claim):
                 return item.attempt in self.claim_waiters
             return item in self.settlement_waiters
 
     def is_busy(self) -> bool:
-        """Tell whether anybody waits for this shard."""
+        """Return whether any thread waits for this shard."""
         with self.lock:
             return bool(self.claim_waiters or self.settlement_waiters)
 
     def claim(self, item: records.Claim, wait_s: float) -> messages.Result:
-        """Claim a key and return what the stream says.
+        """Claim a key and return the result.
 
         Parameters
         ----------
         item
-            The claim; its attempt must be fresh.
+            The claim; its attempt must be new.
         wait_s
-            Bound on the wait, in seconds.
+            Maximum wait in seconds.
         """
         result = self.submit_and_wait(item, wait_s)
         if not isinstance(result, waits.Held):
             return result
-        # Asking the holder may take a while, so no lock is held here.
+        # The query to the holder may be slow, so no lock is held.
         if self.is_alive(result.claim):
             return messages.InProgress(result.retry_after_s)
         return messages.Unknown(
@@ -128,7 +130,7 @@
     def submit_and_wait(
         self, item: records.Claim, wait_s: float
     ) -> waits.StreamResult:
-        """Return what the stream says about a claim."""
+        """Append a claim if necessary and wait until it is read back."""
         deadline = time.monotonic() + wait_s
         self.await_first_read(min(wait_s, MAX_FIRST_READ_WAIT_S))
         with self.lock:
@@ -145,18 +147,19 @@
             return waiter.result
         return messages.NotClaimed(
             verdict.Reason.LOG_UNAVAILABLE,
-            f"the log did not take the claim within {wait_s:g} s",
+            f"the log did not accept the claim within {wait_s:g} s",
             platform_log.DEFAULT_RETRY_AFTER_S,
             dangling=True,
         )
 
     def await_first_read(self, wait_s: float) -> None:
-        """Wait while the stream is read for the first time.
+        """Wait until the stream has been read for the first time.
 
-        Guard: an agent that was just started owns streams as soon as others
-        see it, some milliseconds before it has read them.  A caller refused
-        in between would have to come back for nothing.  A stream that has
-        not been read by then, or whose log is away, is refused as before.
+        Guard: an agent that has just started owns streams as soon as other
+        agents see it, some milliseconds before it has read them.  Refusing
+        claims in between would cost callers a needless retry.  Claims are
+        still refused if the stream is not read in time or the log is
+        unavailable.
         """
         deadline = time.monotonic() + wait_s
         while self.follower.available and not self.first_read_done.is_set():
@@ -168,10 +171,10 @@
     def answer_without_append(
         self, item: records.Claim
     ) -> waits.StreamResult | None:
-        """Return the answer that needs no append; ``None`` when free.
+        """Return the result that needs no append; ``None`` if there is none.
 
-        A key that is known to be held is answered from the fold also
-        while the log is away; "not run" would be wrong about it.
+        A key that is known to be held is answered from the fold even while
+        the log is unavailable; "not run" would be wrong for it.
         """
         if self.records_behind == 0:
             known = self.known_answer(item)
@@ -189,7 +192,7 @@
         Returns
         -------
         frozenset of str
-            The attempts whose settlement was read back.
+            The attempts whose settlements were read back.
         """
         waiter = waits.SettlementWaiter(set(settlements))
         with self.lock:
@@ -205,12 +208,12 @@
             return frozenset(item.attempt for item in waiter.confirmed)
 
     def readiness_refusal(self) -> messages.NotClaimed | None:
-        """Return the refusal while the window is not known up to now."""
+        """Return the refusal while the stream is not read to its end."""
         if self.halted:
             return refusal(self.halted, MAX_RETRY_S)
         if not self.follower.available:
             return refusal(
-                "the log cannot be reached",
+                "the log is unreachable",
                 platform_log.MAX_RETRY_S,
                 verdict.Reason.LOG_UNAVAILABLE,
             )
@@ -219,27 +222,27 @@
         return None
 
     def catch_up_s(self) -> float:
-        """Return about how long reading the window will take yet."""
+        """Estimate the seconds until the stream is read to its end."""
         return MIN_RETRY_S + max(self.records_behind, 0) / READ_RECORDS_PER_S
 
     def capacity_refusal(self) -> messages.NotClaimed | None:
-        """Return the refusal while more keys are held than fit.
+        """Return the refusal while the maximum number of keys is held.
 
-        Nothing inside the window may be forgotten, so new claims wait
-        until old keys age out.
+        No key inside the window may be dropped, so new claims have to wait
+        until old keys expire.
         """
         if self.fold.size() < MAX_ENTRIES:
             return None
         oldest_ms = self.fold.keys_by_age[0][0]
         remaining_ms = oldest_ms + self.window.length_ms - self.fold.now_ms
         return refusal(
-            "more keys are held than fit",
+            "the maximum number of keys is held",
             max(MIN_RETRY_S, remaining_ms / 1000),
             verdict.Reason.OVERLOADED,
         )
 
     def known_answer(self, item: records.Claim) -> waits.StreamResult | None:
-        """Return the answer that the fold already has; ``None`` if free."""
+        """Return the result that the fold already has; ``None`` if free."""
         parsed = keys.parse(item.key)
         if parsed is not None and self.fold.is_expired(parsed.time_ms):
             return messages.KeyExpired()
@@ -255,7 +258,7 @@
     def held_answer(
         self, state: folds.KeyState, claim: records.Claim
     ) -> waits.StreamResult:
-        """Return what is known about a key that an attempt holds."""
+        """Return the result for a key that an attempt holds."""
         if state.outcome is not None:
             return messages.Finished(state.outcome)
         if state.standing is folds.Standing.LOST:
@@ -273,7 +276,7 @@
         items: typing.Sequence[records.Item],
         failure: writers.Failure,
     ) -> None:
-        """Tell those who wait that the items were not appended."""
+        """End the waits for items that were not appended."""
         with self.lock:
             for item in items:
                 if not isinstance(item, records.Claim):
@@ -292,18 +295,20 @@
             waiter.close(item, confirmed)
 
     def apply_batch(self, batch: platform_log.Batch) -> None:
-        """Fold what the follower read."""
+        """Apply a batch of records from the follower."""
         with self.lock:
             if self.halted:
                 return
             if self.is_rolled_back(batch):
                 return
             if self.retention.is_short(batch.first):
-                self.halt("the log keeps records less than [claims] window_s")
+                self.halt(
+                    "the log retains records for less than [claims] window_s"
+                )
                 return
-            # A reader that was paused longer than the retention has a gap.
-            # What it missed is about keys that are too old by now, as all
-            # that is younger is retained.
+            # A reader that was paused for longer than the retention misses
+            # records.  They are about keys that are too old by now, as all
+            # younger records are retained.
             self.last_offset = max(self.last_offset, batch.first - 1)
             was_current = self.records_behind == 0
             for record in batch.records:
@@ -317,10 +322,11 @@
                 self.first_read_done.set()
 
     def is_rolled_back(self, batch: platform_log.Batch) -> bool:
-        """Halt when the log lost records that were read before.
+        """Halt if the log lost records that have been read.
 
-        A log that went back would hand out offsets, and so keys, a second
-        time; it shows as a next offset at or below the last one read.
+        A log that was rolled back would assign offsets, and so let keys be
+        claimed, a second time.  Its next offset is not greater than the
+        last one read.
         """
         if batch.next > self.last_offset:
             return False
@@ -328,7 +334,7 @@
         return True
 
     def apply_record(self, record: platform_log.Record) -> None:
-        """Fold one record and wake those whose items it holds."""
+        """Apply one record and wake the threads that wait for its items."""
         if record.offset <= self.last_offset:
             return
         self.last_offset = record.offset
@@ -341,18 +347,18 @@
             self.halt(f"{error}: this release is too old")
             return
         if batch.shards != self.stream.shards:
-            # Keys would lie in other streams than where this agent looks,
-            # and be free in both.
+            # The writer would put a key into another stream than the one
+            # this agent reads, and each would see the key as free.
             self.halt(
-                f"claims are cut into {batch.shards} streams, "
-                f"not {self.stream.shards}"
+                f"the writer distributes claims over {batch.shards} streams,"
+                f" this agent over {self.stream.shards}"
             )
             return
         for item in batch.items:
             self.apply_item(item)
 
     def apply_item(self, item: records.Item) -> None:
-        """Fold one item and wake whoever waits for it."""
+        """Apply one item and wake the thread that waits for it."""
         if not isinstance(item, records.Claim):
             self.fold.settle(item)
             self.close_settlement(item, True)
@@ -365,7 +371,7 @@
     def decision_answer(
         self, decision: folds.ClaimDecision, item: records.Claim
     ) -> waits.StreamResult:
-        """Return what a claimant is told about its ruling."""
+        """Return the result for a claimant by the fold's decision."""
         match decision:
             case folds.ClaimDecision.WON:
                 return messages.Won(item.attempt)
@@ -377,11 +383,11 @@
                 return messages.KeyInvalid("the key's time is in the future")
             case folds.ClaimDecision.HELD:
                 return self.known_answer(item) or refusal(
-                    "the attempt was given up", MIN_RETRY_S
+                    "the attempt was abandoned", MIN_RETRY_S
                 )
 
     def halt(self, detail: str) -> None:
-        """Refuse all claims from now on: the stream cannot be trusted."""
+        """Refuse all claims from now on, as the stream is not reliable."""
         self.halted = detail
         self.first_read_done.set()
         log.error("claims_halted", stream=self.stream.name, detail=detail)
@@ -392,12 +398,12 @@
     retry_after_s: float,
     reason: verdict.Reason = verdict.Reason.NOT_CURRENT,
 ) -> messages.NotClaimed:
-    """Return the answer to a claim that was not even appended."""
+    """Return the result for a claim that is refused without append."""
     return messages.NotClaimed(reason, detail, retry_after_s)
 
 
 def append_failed(failure: writers.Failure) -> messages.NotClaimed:
-    """Return the answer to a claim whose append failed."""
+    """Return the result for a claim whose append failed."""
     return messages.NotClaimed(
         verdict.Reason.LOG_UNAVAILABLE,
         failure.detail,
--- a/src/briarseam/claims/waits.py
+++ b/src/briarseam/claims/waits.py
@@ -1,4 +1,4 @@
-"""Those who wait for a claim or a settlement to be read back."""
+"""Threads that wait for claims or settlements to be read back."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Held:
-    """Another attempt holds the key; whether it is alive is to be asked.
+    """Another attempt holds the key; its agent may be alive or gone.
 
     Attributes
     ----------
     claim
-        The claim that holds it.
+        The claim that holds the key.
     retry_after_s
-        When its outcome is expected, in seconds.
+        Seconds until its outcome is expected.
     """
 
     claim: records.Claim
@@ -30,28 +30,28 @@
 
 @dataclasses.dataclass
 class ClaimWaiter:
-    """A claimant that waits for its claim to be read back."""
+    """Waits for a claim to be read back."""
 
     claim: records.Claim
     result: StreamResult | None = None
     done: threading.Event = dataclasses.field(default_factory=threading.Event)
 
     def decide(self, result: StreamResult) -> None:
-        """Give the claimant its answer."""
+        """Set the result and wake the waiting thread."""
         self.result = result
         self.done.set()
 
 
 @dataclasses.dataclass
 class SettlementWaiter:
-    """Settlements that wait to be read back."""
+    """Waits for settlements to be read back."""
 
     pending: set[records.Settlement]
     confirmed: set[records.Settlement] = dataclasses.field(default_factory=set)
     done: threading.Event = dataclasses.field(default_factory=threading.Event)
 
     def close(self, item: records.Settlement, confirmed: bool) -> None:
-        """Note one settlement's end; wake the waiter after the last."""
+        """End the wait for one settlement; wake the thread after the last."""
         self.pending.discard(item)
         if confirmed:
             self.confirmed.add(item)
--- a/src/briarseam/claims/writer.py
+++ b/src/briarseam/claims/writer.py
@@ -1,8 +1,9 @@
 """Group commit: the appends of one claim stream.
 
-While one append is under way, further claims gather; the next append takes
+Claims that arrive during an append are queued, and the next append takes
 them all.  An idle stream appends at once, a busy one at most every
-``interval_s``, so the log's few hundred appends a second are kept.
+``interval_s``, so as not to exceed the few hundred appends per second that
+the log allows.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from briarseam.claims import records
 
 MAX_ITEMS = 2000
-# The log takes 1 MiB; an item beyond this starts the next record.
+# The log accepts 1 MiB per record; an item beyond this size starts the next.
 MAX_BYTES = 768 * 1024
 ITEM_OVERHEAD_BYTES = 192
 MAX_RESOLVE_RECORDS = 2000
@@ -26,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Failure:
-    """Why items are not in the stream.
+    """Why items were not appended.
 
     Attributes
     ----------
@@ -35,7 +36,7 @@
     retry_after_s
         Seconds after which an append may succeed.
     dangling
-        Whether they may be in the stream all the same, now or later.
+        Whether they may be in the stream nevertheless, now or later.
     """
 
     detail: str
@@ -45,18 +46,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Stream:
-    """What a writer writes to.
+    """The stream that a writer appends to.
 
     Attributes
     ----------
     log
         The log service.
     name
-        The stream.
+        Name of the stream.
     shards
-        Into how many streams the keys are cut.
+        Number of streams that the keys are distributed over.
     writer
-        Agent and incarnation, put in each batch.
+        Agent and incarnation, written to each batch.
     """
 
     log: platform_log.LogClient
@@ -66,31 +67,31 @@
 
 
 class ShardView(typing.Protocol):
-    """What a writer needs of its shard."""
+    """What a writer needs from its shard."""
 
     def position(self) -> int:
-        """Return the last offset read from the stream."""
+        """Return the last offset that was read from the stream."""
 
     def is_awaited(self, item: records.Item) -> bool:
-        """Tell whether somebody still waits for an item."""
+        """Return whether a thread still waits for an item."""
 
     def fail(
         self, items: typing.Sequence[records.Item], failure: Failure
     ) -> None:
-        """Tell those who wait that the items were not appended."""
+        """End the waits for items that were not appended."""
 
 
 class Writer:
-    """The thread that appends to one claim stream.
+    """Thread that appends to one claim stream.
 
     Parameters
     ----------
     stream
-        Where to.
-    owner
+        The stream to append to.
+    shard
         The shard, which reads the stream back.
     interval_s
-        Least time between the starts of two appends, in seconds.
+        Minimum time between the starts of two appends, in seconds.
     """
 
     def __init__(
@@ -111,11 +112,11 @@
         )
 
     def start(self) -> None:
-        """Begin appending."""
+        """Start appending."""
         self.thread.start()
 
     def stop(self) -> None:
-        """Append what is queued, then stop."""
+        """Append queued items, then stop."""
         with self.changed:
             self.stopping = True
             self.changed.notify_all()
@@ -136,7 +137,7 @@
             self.commit(items)
 
     def next_items(self) -> list[records.Item]:
-        """Wait for items and return one record's worth; none at the end."""
+        """Wait for items and return those of one record; none at the end."""
         with self.changed:
             while not self.queue and not self.stopping:
                 self.changed.wait()
@@ -145,11 +146,11 @@
             return pop_record_items(self.queue)
 
     def pause_s(self) -> float:
-        """Return the seconds until the next append may start."""
+        """Return the seconds until the next append may start; may be < 0."""
         return self.next_append_at - time.monotonic()
 
     def commit(self, items: list[records.Item]) -> None:
-        """Append one record and settle what became of it."""
+        """Append one record and handle the result of the append."""
         self.next_append_at = time.monotonic() + self.interval_s
         self.sequence += 1
         batch = records.Batch(
@@ -164,8 +165,8 @@
         self.items += len(items)
         match self.stream.log.append(self.stream.name, data):
             case platform_log.Appended():
-                # Nobody is told anything here: only the fold, reading the
-                # stream back, knows whose claim came first.
+                # The claimants are not answered yet: only the fold, which
+                # reads the stream back, knows which claim came first.
                 return
             case platform_log.AppendRefused(detail, retry_after_s, True):
                 self.requeue_throttled(items, retry_after_s)
@@ -177,12 +178,12 @@
     def requeue_throttled(
         self, items: list[records.Item], seconds: float
     ) -> None:
-        """Put throttled items back, to go with those that gather."""
+        """Queue throttled items again for the next append."""
         self.next_append_at = time.monotonic() + seconds
         self.requeue(items)
 
     def requeue(self, items: list[records.Item]) -> None:
-        """Queue again, in front, what somebody still waits for."""
+        """Queue awaited items again, in front of the others."""
         awaited = [item for item in items if self.shard.is_awaited(item)]
         with self.changed:
             self.queue.extendleft(reversed(awaited))
@@ -190,13 +191,13 @@
     def resolve_unknown(
         self, items: list[records.Item], data: bytes, detail: str
     ) -> None:
-        """Read on to learn whether an append took effect.
+        """Read the stream to find out whether an append took effect.
 
-        The answer to an append can be lost after it took effect.  Found in
-        the stream, its items are settled by the fold.  Not found, they are
-        appended again, which the fold takes as one claim of the same
-        attempt should the first append arrive after all.  With the log
-        unreadable nobody can tell: those who wait are told at once.
+        The answer to an append can be lost after the append took effect.
+        If the record is in the stream, the fold settles its items.  If not,
+        they are appended again; should the first append still arrive, the
+        fold treats both as one claim of the same attempt.  If the log is
+        unreadable the outcome is unknown, and the waits end at once.
         """
         try:
             batch = self.stream.log.read(
@@ -218,7 +219,7 @@
 def pop_record_items(
     queue: collections.deque[records.Item],
 ) -> list[records.Item]:
-    """Take as many items from the queue as fit one record."""
+    """Remove as many items from the queue as fit into one record."""
     items: list[records.Item] = []
     size = 0
     while queue and len(items) < MAX_ITEMS:
--- a/tests/claims/fake_log.py
+++ b/tests/claims/fake_log.py
@@ -1,4 +1,4 @@
-"""A log in memory whose appends fail as a test says."""
+"""In-memory log whose appends fail as a test specifies."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FakeLog:
-    """Takes the place of ``LogClient`` for any number of readers."""
+    """Replaces ``LogClient`` for any number of readers."""
 
     def __init__(self) -> None:
         self.changed = threading.Condition()
@@ -65,7 +65,7 @@
         return platform_log.Appended(offset)
 
     def arrive(self) -> None:
-        """Let the late appends take effect."""
+        """Apply the late appends."""
         late, self.late = self.late, []
         for data in late:
             self.keep(data)
--- a/tests/claims/test_fold.py
+++ b/tests/claims/test_fold.py
@@ -39,14 +39,14 @@
     return records.Done("havn", KEYS[0], attempt, records.Outcome(status))
 
 
-def test_first_claim_wins_whoever_wrote_it() -> None:
+def test_first_claim_wins_whichever_attempt_it_is() -> None:
     fold = new_fold()
     assert fold.claim(claim("a")) is folds.ClaimDecision.WON
     assert fold.claim(claim("b")) is folds.ClaimDecision.HELD
     assert fold.claim(claim("a")) is folds.ClaimDecision.WON
 
 
-def test_keys_of_two_organisations_never_meet() -> None:
+def test_keys_of_two_organisations_are_independent() -> None:
     fold = new_fold()
     assert (
         fold.claim(claim("a", organisation="havn")) is folds.ClaimDecision.WON
@@ -65,10 +65,10 @@
 
 
 def test_loser_cannot_free_the_winners_key() -> None:
-    """A caller's booking is made twice.
+    """Guards against a request that runs twice.
 
     Attempt b loses the key to a, and b's agent records that b did not
-    run.  Were that taken for the key, c would win beside a.
+    run.  If that freed the key, c would win while a runs.
     """
     fold = new_fold()
     fold.claim(claim("a"))
@@ -78,10 +78,10 @@
 
 
 def test_loser_never_wins_later() -> None:
-    """A key stays taken for good although nothing runs.
+    """Guards against a key that stays claimed although nothing runs.
 
     Attempt b loses to a and its caller is answered; a frees the key; then
-    b's claim turns up a second time.  Nobody would ever settle it.
+    b's claim arrives a second time.  If it won, it would never be settled.
     """
     fold = new_fold()
     fold.claim(claim("a"))
@@ -92,7 +92,10 @@
 
 
 def test_claim_that_arrives_after_its_not_run_is_void() -> None:
-    """The same, when the owner appends the claim only after not_run."""
+    """Guards against a key that stays claimed although nothing runs.
+
+    The owner appends the claim only after the attempt's not_run.
+    """
     fold = new_fold()
     fold.settle(not_run("a"))
     assert fold.claim(claim("a")) is folds.ClaimDecision.HELD
@@ -111,7 +114,7 @@
     assert fold.claim(claim("b")) is folds.ClaimDecision.HELD
 
 
-def test_lost_stays_taken_until_its_outcome_turns_up() -> None:
+def test_lost_key_stays_held_until_its_outcome_arrives() -> None:
     fold = new_fold()
     fold.claim(claim("a"))
     fold.settle(records.Lost("havn", KEYS[0], "a"))
@@ -122,12 +125,12 @@
     assert state.standing is folds.Standing.DONE
 
 
-def test_forgotten_key_is_refused_ever_after() -> None:
-    """A renewal is filed twice, days apart.
+def test_dropped_key_is_always_refused() -> None:
+    """Guards against a request that runs twice, days apart.
 
-    The key's records leave the fold with its window; a writer that was
-    frozen all that time appends one more claim.  The log's own time of
-    that record shows the key too old, whatever any clock of ours says.
+    The fold drops the key after the window, and a writer that was frozen
+    meanwhile appends another claim.  The log's time of that record shows
+    that the key is too old, independently of local clocks.
     """
     fold = new_fold()
     fold.claim(claim("a"))
@@ -182,11 +185,11 @@
 def test_any_interleaving_has_one_holder_at_a_time(
     history: list[records.Item],
 ) -> None:
-    """Two agents run one booking.
+    """Guards against two agents that run one request.
 
-    Records of several writers come in any order, doubled and late.  An
-    attempt that was read back as the winner counts as running until its
-    own not_run; no second one may win meanwhile, and none wins twice.
+    Records of several writers arrive in any order, duplicated and late.
+    An attempt that was read back as the winner counts as running until its
+    own not_run.  No other may win meanwhile, and none wins again later.
     """
     fold = new_fold()
     running: dict[tuple[str, str], str] = {}
@@ -211,10 +214,10 @@
     strategies.lists(item_strategy, max_size=30), strategies.data()
 )
 @hypothesis.settings(max_examples=100, deadline=None)
-def test_appending_a_batch_again_changes_no_holder(
+def test_repeated_batch_changes_no_holder(
     history: list[records.Item], data: typing.Any
 ) -> None:
-    """A batch whose answer was lost is appended again, any time later."""
+    """A batch whose append was not answered is appended again later."""
     repeat_from = data.draw(strategies.integers(0, max(0, len(history) - 1)))
     later = data.draw(strategies.integers(repeat_from, len(history)))
     doubled = [*history[:later], *history[repeat_from:later], *history[later:]]
--- a/tests/claims/test_keys.py
+++ b/tests/claims/test_keys.py
@@ -10,7 +10,7 @@
 WINDOW = keys.Window(3_600_000, 60_000)
 
 
-def test_made_key_is_a_uuid7_that_carries_its_time() -> None:
+def test_generated_key_is_a_uuid7_with_its_time() -> None:
     text = keys.make(NOW_MS)
     parsed = keys.parse(text.upper())
     assert uuid.UUID(text).version == 7
@@ -42,6 +42,6 @@
     assert WINDOW.age(made_ms, NOW_MS) is age
 
 
-def test_organisation_and_key_do_not_run_together() -> None:
+def test_shard_depends_on_where_organisation_ends() -> None:
     shards = 1 << 30
     assert keys.shard_of("ab", "c", shards) != keys.shard_of("a", "bc", shards)
--- a/tests/claims/test_service.py
+++ b/tests/claims/test_service.py
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass
 class Agent:
-    """One agent's claims, answering its peers."""
+    """Claims of one agent and the server for its peers."""
 
     claims: service.Claims
     server: wire_server.Server
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass
 class Client:
-    """Calls another agent; loses the reply when the cell says so."""
+    """Calls another agent; drops the reply if the cell says so."""
 
     cell: Cell
     client: wire_client.Client
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass
 class Cell:
-    """Some agents over one log; a test says who owns the shards."""
+    """Agents with one log; a test sets which agent owns the shards."""
 
     log: fake_log.FakeLog
     stack: contextlib.ExitStack
@@ -114,7 +114,7 @@
     [("agent-1", "agent-2"), ("agent-2", "agent-1")],
     ids=["owner first", "peer first"],
 )
-def test_key_claimed_at_one_agent_is_taken_at_the_other(
+def test_key_claimed_at_one_agent_is_held_at_the_other(
     cell: Cell, names: tuple[str, str]
 ) -> None:
     key = cell.key()
@@ -154,7 +154,7 @@
     ],
     ids=["not run", "lost"],
 )
-def test_end_of_an_attempt_decides_the_next(
+def test_settlement_determines_result_of_next_claim(
     cell: Cell, end: typing.Any, expected: type
 ) -> None:
     key = cell.key()
@@ -166,11 +166,11 @@
     assert type(agent.claim(key)) is expected
 
 
-def test_claim_given_up_is_freed_again(cell: Cell) -> None:
-    """A booking can never be made: its key is taken though nothing ran.
+def test_key_of_abandoned_claim_is_freed(cell: Cell) -> None:
+    """Guards against a key that stays claimed although nothing ran.
 
-    The log is slow, the caller is told "not run" after the bound, and
-    the claim turns up in the stream afterwards.
+    The log is slow, the caller is refused after the maximum wait, and the
+    claim appears in the stream afterwards.
     """
     key = cell.key()
     agent = cell.agents["agent-2"]
@@ -184,18 +184,18 @@
     assert isinstance(agent.claim(key), messages.Won)
 
 
-def test_owner_that_cannot_be_reached_is_not_run(cell: Cell) -> None:
+def test_claim_at_unreachable_owner_is_not_claimed(cell: Cell) -> None:
     cell.agents["agent-1"].server.stop()
     result = cell.agents["agent-2"].claim(cell.key())
     assert isinstance(result, messages.NotClaimed)
     assert result.retry_after_s > 0
 
 
-def test_ownership_moves_without_a_second_winner(cell: Cell) -> None:
-    """A booking is made twice as an instance joins.
+def test_change_of_owner_makes_no_second_winner(cell: Cell) -> None:
+    """Guards against a request that runs twice when an instance joins.
 
-    The shard's owner changes between two tries; the new one has followed
-    nothing yet and must read the window before it answers.
+    The shard's owner changes between two claims; the new owner has not
+    followed the stream and must read the window before it answers.
     """
     key = cell.key()
     assert isinstance(cell.agents["agent-1"].claim(key), messages.Won)
@@ -211,8 +211,10 @@
     assert isinstance(results[-1], messages.InProgress)
 
 
-def test_holder_gone_gives_unknown_at_another_agent(cell: Cell) -> None:
-    """An agent dies after it was granted a booking."""
+def test_key_of_stopped_holder_is_unknown_at_another_agent(
+    cell: Cell,
+) -> None:
+    """An agent stops after it won a claim."""
     key = cell.key()
     assert isinstance(cell.agents["agent-2"].claim(key), messages.Won)
     cell.agents["agent-2"].server.stop()
@@ -231,11 +233,11 @@
         assert told.retry_after_s is None
 
 
-def test_claim_whose_reply_was_lost_is_freed_again(cell: Cell) -> None:
-    """A booking can never be made: its key is taken though nothing ran.
+def test_key_of_claim_with_lost_reply_is_freed(cell: Cell) -> None:
+    """Guards against a key that stays claimed although nothing ran.
 
-    The shard's owner appended the claim and it won; the word of it was
-    lost on the way to the agent that asked.
+    The shard's owner appended the claim and it won, but the reply to the
+    claiming agent was lost.
     """
     key = cell.key()
     agent = cell.agents["agent-2"]
@@ -245,10 +247,10 @@
     assert isinstance(agent.claim(key), messages.Won)
 
 
-def test_agent_that_was_started_again_knows_its_old_claims_as_gone(
+def test_claims_before_a_restart_of_the_agent_are_unknown(
     cell: Cell,
 ) -> None:
-    """Callers are told "in progress" for good after an agent restarted."""
+    """Guards against "in progress" for ever after an agent restarts."""
     key = cell.key()
     assert isinstance(cell.agents["agent-1"].claim(key), messages.Won)
     again = cell.add("agent-1", "2")
@@ -265,13 +267,13 @@
 def test_shard_that_another_agent_owns_is_released(
     cell: Cell, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Every agent that ever owned a stream goes on polling the log."""
+    """Guards against former owners of a stream that still poll the log."""
     agent = cell.agents["agent-1"]
     cell.owner = "agent-2"
     agent.claims.followed.release_unused()
     assert agent.claims.followed.all()
     monkeypatch.setattr(followed, "RELEASE_AFTER_S", -1.0)
-    # The agent's own thread may be following what it owned a moment ago.
+    # The agent's own thread may still follow a shard that it owned.
     waiting.until(
         lambda: (
             agent.claims.followed.release_unused()
--- a/tests/claims/test_shard.py
+++ b/tests/claims/test_shard.py
@@ -68,7 +68,7 @@
     )
 
 
-def test_winner_replays_to_the_next(
+def test_outcome_of_winner_is_replayed_to_later_claims(
     shard: shards.Shard, log: fake_log.FakeLog
 ) -> None:
     first = claim(log, "a")
@@ -81,7 +81,7 @@
     assert shard.claim(again, WAIT_S) == messages.Finished(outcome)
 
 
-def test_holder_that_is_gone_gives_unknown_at_once(
+def test_key_of_stopped_holder_is_unknown_at_once(
     shard: shards.Shard, log: fake_log.FakeLog
 ) -> None:
     first = claim(log, "a", incarnation=GONE)
@@ -93,10 +93,10 @@
 def test_two_writers_of_one_shard_make_one_winner(
     new_shard: typing.Callable[[], shards.Shard], log: fake_log.FakeLog
 ) -> None:
-    """Two agents both think that they own a shard.
+    """Two agents both assume that they own a shard.
 
-    Each gets the same key at the same moment and appends its claim; the
-    fold of the stream makes one of them the winner for both.
+    Each receives the same key at the same time and appends its claim; by
+    the fold of the stream there is one winner for both agents.
     """
     owners = [ready(new_shard()), ready(new_shard())]
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
@@ -123,13 +123,13 @@
     ],
     ids=lambda fate: fate.value,
 )
-def test_append_in_doubt_is_settled_by_reading_on(
+def test_append_of_unknown_outcome_is_resolved_by_reading(
     shard: shards.Shard, log: fake_log.FakeLog, fate: fake_log.Fate
 ) -> None:
-    """A booking hangs or is made twice when an append goes wrong.
+    """Guards against a claim that hangs or wins twice if an append fails.
 
     The append's answer is lost before or after it took effect, or the
-    append turns up late or twice.  The claim is won once all the same.
+    append arrives late or twice.  The claim still wins exactly once.
     """
     log.fates.append(fate)
     first = claim(log, "a")
@@ -149,13 +149,13 @@
     assert result.retry_after_s > 0
 
 
-def test_append_in_doubt_with_the_log_away_is_answered_at_once(
+def test_append_of_unknown_outcome_with_log_down_ends_claim_at_once(
     shard: shards.Shard, log: fake_log.FakeLog
 ) -> None:
-    """The log goes down as a claim is appended, and took effect.
+    """The log becomes unavailable after an append took effect.
 
-    The claimant is told "not run" at once, though its claim holds the
-    key; its not_run, recorded later, frees the key.
+    The claimant gets "not claimed" at once, although its claim holds the
+    key; the not_run that is recorded later frees the key.
     """
     first = claim(log, "a")
     log.fates.append(fake_log.Fate.ANSWER_LOST)
@@ -173,10 +173,10 @@
     assert shard.claim(again, WAIT_S) == messages.Won("b")
 
 
-def test_known_outcome_is_told_while_the_log_is_away(
+def test_known_holder_is_reported_while_log_is_unavailable(
     shard: shards.Shard, log: fake_log.FakeLog
 ) -> None:
-    """A caller whose booking was made is told that it was not run."""
+    """Guards against "not run" for a request that ran or runs."""
     first = claim(log, "a")
     shard.claim(first, WAIT_S)
     log.unreadable = True
@@ -188,10 +188,10 @@
     assert not other.dangling
 
 
-def test_fresh_reader_knows_what_all_others_wrote(
+def test_new_reader_applies_records_of_all_writers(
     new_shard: typing.Callable[[], shards.Shard], log: fake_log.FakeLog
 ) -> None:
-    """Every instance is replaced, and a booking is made once more."""
+    """Guards against a request that runs again once instances change."""
     first = claim(log, "a", incarnation=GONE)
     ready(new_shard()).claim(first, WAIT_S)
     fresh = ready(new_shard())
@@ -199,10 +199,10 @@
     assert isinstance(again, messages.Unknown)
 
 
-def test_fresh_reader_refuses_until_it_has_read_the_window(
+def test_new_reader_refuses_until_it_has_read_the_window(
     new_shard: typing.Callable[[], shards.Shard], log: fake_log.FakeLog
 ) -> None:
-    """A caller hangs while an instance that was just started reads on."""
+    """Guards against callers that hang while a new instance reads."""
     log.held.clear()
     fresh = new_shard()
     refused = fresh.claim(claim(log, "a"), 60.0)
@@ -212,13 +212,13 @@
     assert log.appended == 0
 
 
-def test_claim_waits_while_a_fresh_reader_reads_for_the_first_time(
+def test_claim_waits_for_first_read_of_new_reader(
     new_shard: typing.Callable[[], shards.Shard], log: fake_log.FakeLog
 ) -> None:
-    """A booking is refused just after its instance's agent was restarted.
+    """Guards against refused claims just after an agent has restarted.
 
-    The other agents see the new one and ask it for the streams that it owns
-    now; it is some milliseconds away from having read them.
+    The other agents see the new one and send it claims on the streams that
+    it owns now, some milliseconds before it has read them.
     """
     log.held.clear()
     fresh = new_shard()
@@ -230,7 +230,7 @@
         assert pending.result() == messages.Won("a")
 
 
-def test_claim_does_not_wait_for_a_log_that_is_known_to_be_away(
+def test_claim_does_not_wait_for_log_known_to_be_unavailable(
     new_shard: typing.Callable[[], shards.Shard], log: fake_log.FakeLog
 ) -> None:
     log.unreadable = True
@@ -242,13 +242,13 @@
     assert time.monotonic() - began < shards.MAX_FIRST_READ_WAIT_S
 
 
-def test_reader_paused_past_the_retention_goes_on_whole(
+def test_reader_paused_past_the_retention_resumes_with_right_state(
     shard: shards.Shard, log: fake_log.FakeLog
 ) -> None:
-    """A booking is made twice after an agent was frozen for days.
+    """Guards against a request that runs twice after an agent was frozen.
 
     While it was frozen another agent claimed the key, and records that it
-    never read were dropped.  It goes on at what is retained.
+    had not read were dropped.  It resumes at the oldest retained record.
     """
     shard.claim(claim(log, "a"), WAIT_S)
     log.unreadable = True
@@ -266,10 +266,10 @@
     assert isinstance(again, messages.Unknown)
 
 
-def test_key_older_than_the_window_is_no_longer_claimed(
+def test_key_older_than_the_window_cannot_be_claimed(
     shard: shards.Shard, log: fake_log.FakeLog
 ) -> None:
-    """A caller sends a key again after the log dropped its records."""
+    """A caller resends a key after the log has dropped its records."""
     old = claim(log, "a")
     shard.claim(old, WAIT_S)
     log.clock_ms += WINDOW.length_ms + 1
@@ -283,14 +283,14 @@
 
 @pytest.mark.parametrize(
     "case",
-    ["rolled back", "short retention", "later release", "other cut"],
+    ["rolled back", "short retention", "later release", "other shards"],
 )
-def test_stream_that_cannot_be_trusted_halts_claims(
+def test_unreliable_stream_halts_claims(
     new_shard: typing.Callable[..., shards.Shard],
     log: fake_log.FakeLog,
     case: str,
 ) -> None:
-    """Keys free in this agent's view are taken in another's."""
+    """Guards against keys free for this agent but held for another."""
     shard = ready(new_shard())
     shard.claim(claim(log, "a"), WAIT_S)
     match case:
@@ -301,7 +301,7 @@
             log.expire(1)
         case "later release":
             log.keep(b"\x92\x02\xc0")
-        case "other cut":
+        case "other shards":
             shard = new_shard(stream_count=2)
     waiting.until(lambda: shard.halted)
     result = shard.claim(claim(log, "b"), WAIT_S)
@@ -323,12 +323,12 @@
     assert shard.writer.appends < 50
 
 
-def test_no_more_keys_are_taken_than_fit(
+def test_number_of_keys_in_memory_is_bounded(
     shard: shards.Shard,
     log: fake_log.FakeLog,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An agent is ended for its memory by callers who make up keys."""
+    """Guards against callers that exhaust the agent's memory with keys."""
     monkeypatch.setattr(shards, "MAX_ENTRIES", 1)
     first = claim(log, "a")
     assert shard.claim(first, WAIT_S) == messages.Won("a")
@@ -339,10 +339,13 @@
     assert isinstance(again, messages.InProgress)
 
 
-def test_large_outcomes_are_spread_over_records_that_fit(
+def test_large_outcomes_are_split_into_records_of_accepted_size(
     shard: shards.Shard, log: fake_log.FakeLog
 ) -> None:
-    """A log that takes 1 MiB refuses all claims that wait with a large one."""
+    """Guards against a record that is larger than the log's 1 MiB.
+
+    The log would refuse all claims queued with a large outcome.
+    """
     shard.writer.interval_s = 0.05
     outcome = records.Outcome(200, bytes(300 * 1024))
     ends = []
