--- a/src/briarseam/routes/__init__.py
+++ b/src/briarseam/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Which service a caller's request goes to, and under which terms."""
+"""Routing of callers' requests to services, and the limits that apply."""
--- a/src/briarseam/routes/following.py
+++ b/src/briarseam/routes/following.py
@@ -1,4 +1,4 @@
-"""The configuration in force, as the operators' topic tells it."""
+"""The configuration in force, read from the operators' topic."""
 
 from __future__ import annotations
 
@@ -27,50 +27,51 @@
         """Return a configuration; raises ``MalformedError``."""
 
     def decode_weight_goal(self, data: bytes) -> goals.WeightGoal:
-        """Return a model's wanted weights; raises ``MalformedError``."""
+        """Return a model's target weights; raises ``MalformedError``."""
 
     def is_configuration(self, key: str) -> bool:
-        """Tell whether a key names the configuration."""
+        """Return whether a key names the configuration."""
 
     def is_weight_goal(self, key: str) -> bool:
-        """Tell whether a key names a model's weights."""
+        """Return whether a key names a model's weights."""
 
 
 class OperatorFeed:
-    """Keeps the newest configuration and wanted weights.
+    """Keeps the newest configuration and target weights.
 
-    Within one start of the process a version never gives way to an older
-    one, whatever order records are read in.
+    Until the process restarts, a version is never replaced by an older one,
+    in whichever order records are read.
 
     Parameters
     ----------
     documents
-        Decodes what operators write.
+        Decodes the operators' documents.
     on_change
-        Called with each new configuration, before it is in force.
-    tally
-        Notes malformed documents, which change nothing.
+        Called with each new configuration before it takes effect.
+    malformed_counter
+        Counts malformed documents, which are otherwise ignored.
     """
 
     def __init__(
         self,
         documents: Documents,
         on_change: collections.abc.Callable[[model.Configuration], None],
-        tally: malformed.Tally | None = None,
+        malformed_counter: malformed.Tally | None = None,
     ) -> None:
-        self.tally = tally or malformed.Tally()
+        self.malformed_counter = malformed_counter or malformed.Tally()
         self.documents = documents
         self.on_change = on_change
         self.table: tables.RouteTable | None = None
-        # The configuration in force, as operators wrote it.
+        # The encoded document of the configuration in force.
         self.content = b""
-        # Configurations come from the store and from peers.
+        # Configurations from the store and from peers arrive on different
+        # threads.
         self.lock = threading.Lock()
         self.goals = goals.GoalHistory()
         self.loaded = threading.Event()
 
     def current(self) -> tables.RouteTable | None:
-        """Return the configuration in force; ``None`` before the first."""
+        """Return the route table in force; ``None`` before the first."""
         return self.table
 
     def version(self) -> int:
@@ -81,45 +82,45 @@
     def apply_all(
         self, changes: collections.abc.Sequence[records.KeyedRecord]
     ) -> None:
-        """Take in all documents."""
+        """Apply all documents of the topic."""
         self.apply_changes(changes)
 
     def apply_changes(
         self, changes: collections.abc.Sequence[records.KeyedRecord]
     ) -> None:
-        """Take in changed documents."""
+        """Apply changed documents."""
         for change in changes:
             if change.value is None:
                 continue
             try:
-                self.take_document(change.key, change.value)
+                self.apply_document(change.key, change.value)
             except malformed.MalformedError as error:
-                # The last good one stays in force.
-                self.tally.note(
+                # The last valid document stays in force.
+                self.malformed_counter.note(
                     malformed.Kind.OPERATOR_DOCUMENT, change.key, error
                 )
 
-    def take_from_peer(self, data: bytes) -> None:
-        """Take in a configuration that a peer has in force."""
+    def apply_peer_configuration(self, data: bytes) -> None:
+        """Apply the configuration that a peer has in force."""
         try:
-            self.take_configuration(data)
+            self.apply_configuration(data)
         except malformed.MalformedError as error:
-            self.tally.note(
+            self.malformed_counter.note(
                 malformed.Kind.OPERATOR_DOCUMENT, "from a peer", error
             )
 
-    def take_document(self, key: str, data: bytes) -> None:
-        """Take in one document; raises ``MalformedError``."""
+    def apply_document(self, key: str, data: bytes) -> None:
+        """Apply one document; raises ``MalformedError``."""
         if self.documents.is_configuration(key):
-            self.take_configuration(data)
+            self.apply_configuration(data)
         elif self.documents.is_weight_goal(key):
-            self.take_goal(data)
+            self.apply_goal(data)
 
     def store_lost(self) -> None:
-        """Go on with what is known: a configuration does not expire."""
+        """Keep the known configuration, which does not expire."""
 
-    def take_configuration(self, data: bytes) -> None:
-        """Put a newer configuration in force."""
+    def apply_configuration(self, data: bytes) -> None:
+        """Put a configuration in force if it is newer."""
         configuration = self.documents.decode_configuration(data)
         with self.lock:
             if self.table and configuration.version <= self.version():
@@ -135,8 +136,8 @@
             services=len(configuration.services),
         )
 
-    def take_goal(self, data: bytes) -> None:
-        """Take in wanted weights."""
+    def apply_goal(self, data: bytes) -> None:
+        """Apply a model's target weights."""
         goal = self.documents.decode_weight_goal(data)
         if self.goals.add(goal):
             log.info("weights_wanted", model=goal.model, version=goal.version)
--- a/src/briarseam/routes/model.py
+++ b/src/briarseam/routes/model.py
@@ -7,11 +7,11 @@
 
 
 class Repeat(enum.StrEnum):
-    """What may be done twice with a request of a route.
+    """Whether a route's requests may be repeated.
 
     ``SAFE`` requests may run more than once.  ``ONCE`` requests may run at
-    most once.  ``STREAM`` requests answer with a series of events and run
-    once, unless their route lets them be resumed.
+    most once.  ``STREAM`` requests are answered by a stream of events and
+    run once unless their route is resumable.
     """
 
     SAFE = "safe"
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Share:
-    """A service's part of a route's requests.
+    """A service's share of a route's requests.
 
     Attributes
     ----------
@@ -37,26 +37,26 @@
 
 @dataclasses.dataclass(frozen=True)
 class Route:
-    """Requests of one host below one path.
+    """Requests to one host below one path.
 
     Attributes
     ----------
     name
         Unique in a configuration.
     host
-        Host that requests name.
+        Host of the requests.
     prefix
-        Begins and ends with a slash.
+        Path prefix; begins and ends with a slash.
     repeat
-        What may be done twice.
+        Whether requests may be repeated.
     shares
         Services that answer.
     timeout_s
-        Longest time that a caller is kept waiting, in seconds.
+        Maximum time that a caller waits, in seconds.
     target_latency_s
-        Time to the answer, or its first event, that is aimed at.
+        Target time to the answer or its first event, in seconds.
     max_endpoints
-        Endpoints that one request may be sent to.
+        Maximum number of endpoints that one request is sent to.
     priority
         Rank among routes; 0 is the most urgent.
     anonymous
@@ -64,7 +64,7 @@
     sessions
         Whether requests carry prompts whose parts are cached.
     resumable
-        Whether another endpoint may go on with a broken stream.
+        Whether another endpoint may continue a broken stream.
     """
 
     name: str
@@ -90,20 +90,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineTraits:
-    """What the configuration says of a service of model engines.
+    """Configured properties of a service of model engines.
 
     Attributes
     ----------
     models
         Names of the models that the engines serve.
     slots
-        Requests that one engine batches.
+        Number of requests that one engine batches.
     cache_tokens
-        Tokens that fit into one engine's memory.
+        Capacity of one engine's memory, in tokens.
     token_bytes
         Size of a token's KV cache, in bytes.
     link_mbps
-        Speed of an engine's link for KV cache, in Mbit/s.
+        Bandwidth of an engine's link for KV cache, in Mbit/s.
     """
 
     models: tuple[str, ...]
@@ -115,7 +115,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class StoreTraits:
-    """What the configuration says of a store of kept KV cache.
+    """Configured properties of a store of kept KV cache.
 
     Attributes
     ----------
@@ -124,13 +124,13 @@
     zone
         Availability zone.
     capacity_tokens
-        Tokens that fit in.
+        Capacity, in tokens.
     link_mbps
-        Speed of its link, in Mbit/s.
+        Bandwidth of its link, in Mbit/s.
     first_byte_s
-        What each transfer waits before it begins, in seconds.
+        Latency before each transfer begins, in seconds.
     frees_on_request
-        Whether it frees parts only on request.
+        Whether parts are freed only on request.
     """
 
     address: str
@@ -143,20 +143,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Service:
-    """A group of endpoints that answer alike, or a store.
+    """A group of interchangeable endpoints, or a store.
 
     Attributes
     ----------
     name
         Unique in a configuration.
     health_path
-        Where an endpoint tells whether it is well.
+        Path of an endpoint's health check.
     max_connections
         Connections that one endpoint accepts from all callers together.
     engine
-        Set for model engines.
+        Set only for model engines.
     store
-        Set for a store of kept KV cache.
+        Set only for a store of kept KV cache.
     """
 
     name: str
@@ -168,14 +168,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Organisation:
-    """Who calls.
+    """A customer whose callers send requests.
 
     Attributes
     ----------
     name
         Unique in a configuration.
     priority
-        Rank that goes before a route's, or ``None``.
+        Overrides a route's priority unless ``None``.
     isolated
         Whether its KV cache is shared with no other organisation.
     """
@@ -187,14 +187,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class CallerLimits:
-    """Bounds on what a caller may send.
+    """Limits on what a caller may send.
 
     Attributes
     ----------
     header_bytes, body_bytes
-        Largest headers and body.
+        Maximum sizes of the headers and the body.
     header_timeout_s
-        Longest time for a request's headers, in seconds.
+        Maximum time to send a request's headers, in seconds.
     idle_timeout_s
         Time after which an idle connection is closed, in seconds.
     """
@@ -207,20 +207,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Configuration:
-    """One version of the whole configuration.
+    """One version of the complete configuration.
 
     Attributes
     ----------
     version
-        Higher in each newer one.
+        Increases with each change.
     routes
         All routes.
     services
-        By name.
+        Services by name.
     organisations
-        By key; ``None`` when callers need none.
+        Organisations by key; ``None`` when callers need no key.
     limits
-        Bounds on what callers send.
+        Limits on what callers send.
     """
 
     version: int
@@ -230,7 +230,7 @@
     limits: CallerLimits
 
     def stores(self) -> list[StoreTraits]:
-        """Return the stores of kept KV cache, in order of their names."""
+        """Return the stores of kept KV cache, sorted by name."""
         return [
             service.store
             for _name, service in sorted(self.services.items())
--- a/src/briarseam/routes/peer_configuration.py
+++ b/src/briarseam/routes/peer_configuration.py
@@ -1,8 +1,8 @@
-"""A newer configuration that peers hold and the store may have lost.
+"""Fetches a newer configuration from peers when the store has lost it.
 
-A store that returns from an older copy tells an instance that has just
-started an older configuration than its peers go by.  Weight goals ride on
-heartbeats anyhow.
+A store restored from an older copy gives a newly started instance an older
+configuration than its peers have in force.  Weight goals need no such fetch:
+heartbeats carry them.
 """
 
 from __future__ import annotations
@@ -21,14 +21,15 @@
 
     from briarseam.routes import following
 
-# A change that peers have read already is mostly on its way here, too.
-GRACE_S = 3.0
+# A change that peers have read usually arrives from the store within this
+# time.
+FETCH_DELAY_S = 3.0
 log = structlog.get_logger("briarseam.routes")
 
 
 @codec.message("operators-configuration-asked")
 class ConfigurationAsked(msgspec.Struct, frozen=True):
-    """Ask for the configuration in force."""
+    """Query for the configuration in force."""
 
 
 @codec.message("operators-configuration-told")
@@ -38,7 +39,7 @@
     Attributes
     ----------
     content
-        As operators wrote it; empty if there is none.
+        The operators' document; empty if there is none.
     """
 
     content: bytes
@@ -48,17 +49,17 @@
     """The other instances of the cell."""
 
     def query_configuration(self, name: str) -> ConfigurationTold:
-        """Ask an instance for its configuration.
+        """Query an instance for its configuration.
 
         Raises
         ------
         NoReplyError
-            When it does not answer.
+            When the instance does not answer.
         """
 
 
 class PeerConfiguration:
-    """Tells peers the version in force, and fetches a newer one.
+    """Publishes the version in force to peers and fetches a newer one.
 
     Parameters
     ----------
@@ -67,7 +68,7 @@
     peers
         Calls to other instances.
     clock
-        Seconds.
+        Returns the time in seconds.
     """
 
     def __init__(
@@ -80,42 +81,43 @@
         self.peers = peers
         self.clock = clock
         self.versions: dict[str, int] = {}
-        # The version that was in force when a peer's was first newer.
+        # The local version when a peer first had a newer one, and the time
+        # of that.
         self.outdated: tuple[int, float] | None = None
 
     def provide(self) -> bytes:
-        """Return the version in force here, for heartbeats."""
+        """Return the local version in force, for heartbeats."""
         return msgspec.msgpack.encode(self.feed.version())
 
     def consume(self, member: str, data: bytes) -> None:
-        """Take in the version in force at a peer."""
+        """Apply a peer's version in force."""
         self.versions[member] = msgspec.msgpack.decode(data, type=int)
 
-    def answer(self, asked: ConfigurationAsked) -> ConfigurationTold:
+    def answer(self, query: ConfigurationAsked) -> ConfigurationTold:
         """Return the configuration in force."""
-        del asked
+        del query
         return ConfigurationTold(self.feed.content)
 
     def review(self) -> None:
-        """Fetch a version that peers have had for some time."""
+        """Fetch a version that peers have had for ``FETCH_DELAY_S``."""
         own = self.feed.version()
-        member = self.newest_at()
+        member = self.newest_peer()
         if member is None or self.versions.get(member, 0) <= own:
             self.outdated = None
             return
         if self.outdated is None or self.outdated[0] != own:
             self.outdated = (own, self.clock())
-        if self.clock() - self.outdated[1] >= GRACE_S:
+        if self.clock() - self.outdated[1] >= FETCH_DELAY_S:
             self.fetch(member)
 
-    def newest_at(self) -> str | None:
-        """Return a peer with the newest version; none before one is heard."""
-        # Heartbeats add members meanwhile.
+    def newest_peer(self) -> str | None:
+        """Return a peer with the newest version; ``None`` if unknown."""
+        # Copied because heartbeats add members concurrently.
         versions = dict(self.versions)
         return max(versions, key=lambda name: versions[name], default=None)
 
     def fetch(self, member: str) -> None:
-        """Take the configuration of a peer over."""
+        """Fetch and apply the configuration of a peer."""
         try:
             reply = self.peers.query_configuration(member)
         except replies.NoReplyError as error:
@@ -123,12 +125,13 @@
                 "configuration_not_fetched", peer=member, detail=str(error)
             )
         else:
-            self.feed.take_from_peer(reply.content)
+            self.feed.apply_peer_configuration(reply.content)
             log.info("configuration_fetched", peer=member)
-        # Should it have helped nothing, another peer is asked next.
+        # If the local version is still older, the next review queries
+        # another peer.
         self.versions.pop(member, None)
 
     def keep_only(self, members: collections.abc.Collection[str]) -> None:
-        """Forget the versions of instances that are gone."""
+        """Remove the versions of instances that are gone."""
         for member in self.versions.keys() - set(members):
             self.versions.pop(member, None)
--- a/src/briarseam/routes/table.py
+++ b/src/briarseam/routes/table.py
@@ -1,4 +1,4 @@
-"""Finding the route of a request and who asks."""
+"""Finds the route and the caller of a request."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class AnonymousCaller:
-    """The route asks for no key."""
+    """The caller needs no key on the route."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -32,19 +32,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class UnknownCaller:
-    """The key is missing or belongs to nobody."""
+    """The key is missing or belongs to no organisation."""
 
 
 Caller = AnonymousCaller | KnownCaller | UnknownCaller
 
 
 class RouteTable:
-    """One configuration, indexed for lookups.
+    """A configuration indexed by host and path prefix.
 
     Parameters
     ----------
     configuration
-        The version to serve.
+        The configuration to index.
     """
 
     def __init__(self, configuration: model.Configuration) -> None:
@@ -60,9 +60,9 @@
         Parameters
         ----------
         host
-            Host as the caller named it, with or without a port.
+            Host header of the request, with or without a port.
         path
-            Path without its query.
+            Path without the query string.
         """
         prefixes = self.by_host.get(host.partition(":")[0].lower())
         if prefixes is None:
@@ -77,28 +77,29 @@
         return None
 
     def identify(self, route: model.Route, key: str) -> Caller:
-        """Return who asks on a route with a key, empty if without one."""
+        """Return the caller on a route by its key, empty if it sent none."""
         organisations = self.configuration.organisations
         if organisations is None:
             return AnonymousCaller()
-        found = organisations.get(key) if key else None
-        if found is not None:
-            return KnownCaller(found)
+        organisation = organisations.get(key) if key else None
+        if organisation is not None:
+            return KnownCaller(organisation)
         return AnonymousCaller() if route.anonymous else UnknownCaller()
 
 
 def select_service(route: model.Route, key: str) -> str:
     """Return the service that a request goes to.
 
-    The choice is made by hash, so that a session's requests reach the
-    service that holds its KV cache as long as the weights stay.
+    The service is chosen by hash, so that a session's requests reach the
+    service that holds its KV cache as long as the weights do not change.
 
     Parameters
     ----------
     route
         The request's route.
     key
-        What to keep together: the session, or the request.
+        Requests with the same key go to the same service: the session or
+        the request.
     """
     shares = [share for share in route.shares if share.weight > 0]
     if len(shares) == 1:
