--- a/tests/routes/test_following.py
+++ b/tests/routes/test_following.py
@@ -10,38 +10,41 @@
 
 
 @pytest.fixture
-def seen():
+def announced():
     return []
 
 
 @pytest.fixture
-def feed(seen):
-    return following.OperatorFeed(documents.OperatorDocuments(), seen.append)
+def feed(announced):
+    return following.OperatorFeed(
+        documents.OperatorDocuments(), announced.append
+    )
 
 
 def change(key, **document):
     return records.KeyedRecord(key, json.dumps(document).encode())
 
 
-def test_older_version_does_not_replace_a_newer_one(feed, seen):
-    """The newest records are read anew from a store that lags behind.  A
-    route that was added would be refused with 404 again.
+def test_older_version_does_not_replace_a_newer_one(feed, announced):
+    """Guards against an older configuration in force after the records are
+    read again from a store that lags behind: requests of a route that was
+    added would be refused with 404 again.
     """
     feed.apply_changes([change("config", version=9)])
     feed.apply_all([change("config", version=5)])
     assert feed.current().configuration.version == 9
-    assert [found.version for found in seen] == [9]
+    assert [configuration.version for configuration in announced] == [9]
 
 
-def test_configuration_is_announced_before_it_is_in_force(feed, seen):
+def test_configuration_is_announced_before_it_is_in_force(feed, announced):
     in_force = []
-    feed.on_change = lambda found: in_force.append(feed.current())
+    feed.on_change = lambda changed: in_force.append(feed.current())
     feed.apply_changes([change("config", version=1)])
     assert in_force == [None]
     assert feed.loaded.is_set()
 
 
-def test_wanted_weights_are_kept_by_model(feed):
+def test_newest_target_weights_are_kept_for_each_model(feed):
     feed.apply_changes(
         [
             change("version/a", model="a", version=3),
@@ -53,7 +56,7 @@
     assert newest == {"a": 3, "b": 1}
 
 
-def test_unknown_documents_and_dropped_keys_change_nothing(feed):
+def test_unknown_documents_and_deleted_keys_are_ignored(feed):
     feed.apply_changes([change("config", version=1)])
     feed.apply_changes(
         [records.KeyedRecord("config", None), change("other", x=1)]
@@ -68,33 +71,31 @@
 @pytest.mark.parametrize(
     "key, value",
     [
-        pytest.param("config", b"{", id="configuration cut short"),
-        pytest.param("config", b'{"version":"9"}', id="version a text"),
+        pytest.param("config", b"{", id="truncated configuration"),
+        pytest.param("config", b'{"version":"9"}', id="version is a string"),
         pytest.param("config", b'{"routes":[]}', id="no version"),
         pytest.param(
             "config", b'{"version":9,"routes":[{}]}', id="empty route"
         ),
         pytest.param(
-            "config", b"[" * 100_000, id="configuration nested deeply"
+            "config", b"[" * 100_000, id="deeply nested configuration"
         ),
-        pytest.param("version/b", b"\xff", id="goal no UTF-8"),
+        pytest.param("version/b", b"\xff", id="goal is not UTF-8"),
         pytest.param(
-            "version/b", b'{"model":"b","version":-1}', id="goal below zero"
+            "version/b", b'{"model":"b","version":-1}', id="negative goal"
         ),
         pytest.param(
             "version/b",
             b'{"model":"b","version":99999999999999999999999}',
-            id="goal beyond 64 bits",
+            id="goal exceeds 64 bits",
         ),
     ],
 )
-def test_malformed_document_changes_nothing_and_the_others_are_taken(
+def test_malformed_document_is_ignored_and_the_others_are_applied(
     feed, key, value
 ):
-    """A document that can't be read lies before a goal for weights.
-
-    The goal was not taken in, and requests went on to begin on weights
-    that were no longer allowed.
+    """Guards against a malformed document that hides a weight goal after it:
+    new requests would still begin on weights that are no longer allowed.
     """
     feed.apply_changes([change("config", version=5)])
     feed.apply_changes(
--- a/tests/routes/test_peer_configuration.py
+++ b/tests/routes/test_peer_configuration.py
@@ -17,14 +17,14 @@
 
     def __init__(self):
         self.known = {}
-        self.asked = []
+        self.queried = []
 
     def query_configuration(self, name):
-        self.asked.append(name)
+        self.queried.append(name)
         if name not in self.known:
             raise replies.NoReplyError("is gone")
-        asked = peer_configuration.ConfigurationAsked()
-        return self.known[name].answer(asked)
+        query = peer_configuration.ConfigurationAsked()
+        return self.known[name].answer(query)
 
 
 @pytest.fixture
@@ -38,9 +38,9 @@
 
 
 def instance(peers, clock, version):
-    """Return an instance with this version in force."""
+    """Return an instance that has this version in force."""
     feed = following.OperatorFeed(
-        documents.OperatorDocuments(), lambda _found: None
+        documents.OperatorDocuments(), lambda _changed: None
     )
     made = peer_configuration.PeerConfiguration(feed, peers, clock)
     write(made, version)
@@ -48,13 +48,13 @@
 
 
 def write(made, version):
-    """Let an instance read a version from the store."""
+    """Make an instance read a version from the store."""
     data = json.dumps({"version": version}).encode()
     made.feed.apply_changes([records.KeyedRecord("config", data)])
 
 
-def tell(made, peers, clock, name, version):
-    """Let an instance hear the heartbeat of a peer with this version."""
+def receive_heartbeat(made, peers, clock, name, version):
+    """Make an instance receive a heartbeat of a peer with this version."""
     peers.known[name] = instance(peers, clock, version)
     made.consume(name, peers.known[name].provide())
 
@@ -67,71 +67,77 @@
 
 
 def test_newer_configuration_of_a_peer_is_fetched(peers, clock):
-    """Guards against the older configuration of a store's copy."""
+    """Guards against a newcomer that keeps the older configuration of a store
+    restored from a copy.
+    """
     newcomer = instance(peers, clock, 3)
-    tell(newcomer, peers, clock, "a", 5)
+    receive_heartbeat(newcomer, peers, clock, "a", 5)
     review_for(newcomer, clock, 3)
     assert newcomer.feed.version() == 5
     assert newcomer.feed.current().configuration.version == 5
 
 
-def test_what_the_store_is_about_to_tell_is_not_fetched(peers, clock):
-    """Guards against a call of each instance for each change."""
+def test_change_that_arrives_from_the_store_is_not_fetched(peers, clock):
+    """Guards against a call by each instance for each change."""
     reader = instance(peers, clock, 3)
-    tell(reader, peers, clock, "a", 5)
+    receive_heartbeat(reader, peers, clock, "a", 5)
     review_for(reader, clock, 2)
     write(reader, 5)
     review_for(reader, clock, 5)
-    assert not peers.asked
+    assert not peers.queried
 
 
-def test_each_change_has_its_own_time(peers, clock):
-    """Guards against frequent changes that look like one long delay."""
+def test_fetch_delay_starts_again_with_each_change(peers, clock):
+    """Guards against frequent changes that are mistaken for one long delay
+    of the store.
+    """
     reader = instance(peers, clock, 1)
     for version in range(2, 8):
-        tell(reader, peers, clock, "a", version)
+        receive_heartbeat(reader, peers, clock, "a", version)
         review_for(reader, clock, 2)
         write(reader, version - 1)
         write(reader, version)
-        tell(reader, peers, clock, "a", version + 1)
+        receive_heartbeat(reader, peers, clock, "a", version + 1)
         reader.review()
-    assert not peers.asked
+    assert not peers.queried
 
 
-def test_older_configuration_of_a_peer_changes_nothing(peers, clock):
-    """Guards against peers that lag behind."""
+def test_older_configuration_of_a_peer_is_ignored(peers, clock):
+    """Guards against a return to the older version of a peer that lags."""
     holder = instance(peers, clock, 5)
-    tell(holder, peers, clock, "a", 3)
+    receive_heartbeat(holder, peers, clock, "a", 3)
     review_for(holder, clock, 5)
-    assert not peers.asked
+    assert not peers.queried
     assert holder.feed.version() == 5
 
 
-def test_another_peer_is_asked_when_one_is_gone(peers, clock):
+def test_another_peer_is_queried_when_one_is_gone(peers, clock):
     """Guards against a newcomer that waits for a lost peer."""
     newcomer = instance(peers, clock, 3)
-    tell(newcomer, peers, clock, "a", 6)
-    tell(newcomer, peers, clock, "b", 5)
+    receive_heartbeat(newcomer, peers, clock, "a", 6)
+    receive_heartbeat(newcomer, peers, clock, "b", 5)
     del peers.known["a"]
     review_for(newcomer, clock, 5)
-    assert peers.asked == ["a", "b"]
+    assert peers.queried == ["a", "b"]
     assert newcomer.feed.version() == 5
 
 
-def test_versions_of_instances_that_are_gone_are_forgotten(peers, clock):
-    """Guards against calls to a lost peer for ever."""
+def test_versions_of_instances_that_are_gone_are_removed(peers, clock):
+    """Guards against endless calls to a lost peer."""
     newcomer = instance(peers, clock, 3)
-    tell(newcomer, peers, clock, "a", 6)
+    receive_heartbeat(newcomer, peers, clock, "a", 6)
     newcomer.keep_only({"b"})
     review_for(newcomer, clock, 5)
-    assert not peers.asked
+    assert not peers.queried
 
 
-def test_malformed_configuration_of_a_peer_changes_nothing(peers, clock):
-    """Guards against a peer whose configuration can't be read."""
+def test_malformed_configuration_of_a_peer_is_ignored(peers, clock):
+    """Guards against an error in the review or a lost version when a peer's
+    configuration can't be decoded.
+    """
     newcomer = instance(peers, clock, 3)
-    tell(newcomer, peers, clock, "a", 6)
+    receive_heartbeat(newcomer, peers, clock, "a", 6)
     peers.known["a"].feed.content = b"{"
     review_for(newcomer, clock, 5)
-    assert peers.asked == ["a"]
+    assert peers.queried == ["a"]
     assert newcomer.feed.version() == 3
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -29,27 +29,27 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "found"),
+    ("path", "expected"),
     [
         pytest.param("/a/", "short", id="the-prefix-itself"),
         pytest.param("/a/x", "short", id="below"),
         pytest.param("/a/b/x/y", "long", id="longest-prefix"),
-        pytest.param("/a/bc", "short", id="no-whole-segment"),
-        pytest.param("/b/", None, id="elsewhere"),
+        pytest.param("/a/bc", "short", id="partial-segment"),
+        pytest.param("/b/", None, id="other-path"),
         pytest.param("/a", None, id="without-slash"),
         pytest.param("", None, id="empty"),
     ],
 )
-def test_longest_prefix_is_found(path, found):
+def test_route_with_the_longest_prefix_is_found(path, expected):
     routes = table.RouteTable(
         configuration(route("short", "/a/"), route("long", "/a/b/"))
     )
     chosen = routes.find("kitchens.example", path)
-    assert (chosen.name if chosen else None) == found
+    assert (chosen.name if chosen else None) == expected
 
 
 @pytest.mark.parametrize("host", ["Kitchens.Example", "kitchens.example:8080"])
-def test_host_is_compared_without_case_and_port(host):
+def test_host_matches_without_case_and_port(host):
     routes = table.RouteTable(configuration(route("only", "/")))
     assert routes.find(host, "/x").name == "only"
 
@@ -59,7 +59,7 @@
     assert routes.find("boats.example", "/x") is None
 
 
-def test_callers_are_told_apart_by_key():
+def test_callers_are_identified_by_key():
     north = model.Organisation("north")
     routes = table.RouteTable(
         configuration(
@@ -77,14 +77,14 @@
     assert routes.identify(anonymous, "key") == table.KnownCaller(north)
 
 
-def test_nobody_needs_a_key_where_no_organisations_are_configured():
+def test_callers_need_no_key_when_no_organisations_are_configured():
     only = route("only", "/")
     assert table.RouteTable(configuration(only)).identify(only, "") == (
         table.AnonymousCaller()
     )
 
 
-def test_shares_are_kept_and_a_session_stays_with_one():
+def test_requests_follow_the_weights_and_a_session_keeps_its_service():
     split = route(
         "split",
         "/",
@@ -100,7 +100,7 @@
     )
 
 
-def test_share_of_weight_zero_gets_nothing():
+def test_share_of_weight_zero_gets_no_requests():
     split = route(
         "split", "/", shares=(model.Share("a", 0), model.Share("b", 1))
     )
