--- a/src/briarseam/compose/node.py
+++ b/src/briarseam/compose/node.py
@@ -46,8 +46,8 @@
 from briarseam.placement import store_watches
 from briarseam.placement import sweeping
 from briarseam.platform import answers
-from briarseam.platform import border
 from briarseam.platform import cache
+from briarseam.platform import call_codec
 from briarseam.platform import engines
 from briarseam.platform import requests
 from briarseam.platform import store as stores
@@ -196,7 +196,7 @@
         registry = self.metrics
         return request_context.Dependencies(
             table=self.feeds.operators.current,
-            codec=border.CallBorder(),
+            codec=call_codec.CallCodec(),
             refusals=refusing.Refusals(answers.encode_verdict),
             chooser=self.chooser,
             sender=attempts.Sender(self.pool, requests.decode_answer),
--- a/src/briarseam/platform/border.py
+++ b/src/briarseam/platform/call_codec.py
@@ -5,7 +5,7 @@
 from briarseam.platform import requests
 
 
-class CallBorder:
+class CallCodec:
     """Decodes callers' requests and encodes them for endpoints."""
 
     decode_call = staticmethod(requests.decode_call)
