--- a/tests/platform/engine.py
+++ b/tests/platform/engine.py
@@ -64,7 +64,7 @@
                     "models": [{"name": self.model, "version": self.version}],
                     "busy": self.busy,
                     "seq": len(self.orders),
-                    **self.told(),
+                    **self.start_fields(),
                 },
             )
 
--- a/tests/platform/restarted_engine.py
+++ b/tests/platform/restarted_engine.py
@@ -60,7 +60,7 @@
             "slots": 8,
             "state": "ready",
             "models": [{"name": systems.MODEL, "version": 1}],
-            **self.worker.told(),
+            **self.worker.start_fields(),
             **changes,
         }
         return records.KeyedRecord(NAME, msgspec.json.encode(document))
--- a/tests/platform/system.py
+++ b/tests/platform/system.py
@@ -123,7 +123,7 @@
             "zone": "hall-a",
             "slots": 8,
             "state": state,
-            **self.workers[name].told(),
+            **self.workers[name].start_fields(),
         }
         if weights is not None:
             entry["models"] = [{"name": MODEL, "version": weights}]
--- a/tests/platform/worker.py
+++ b/tests/platform/worker.py
@@ -86,7 +86,7 @@
             self.born = born
             self.orders = []
 
-    def told(self) -> dict[str, int]:
+    def start_fields(self) -> dict[str, int]:
         """Return what stands at the top of all that it says of itself."""
         return {} if self.born is None else {"born": self.born}
 
--- a/tests/soak/serving.py
+++ b/tests/soak/serving.py
@@ -269,7 +269,7 @@
             "zone": "hall-a",
             "slots": 8,
             "state": state,
-            **endpoint.worker.told(),
+            **endpoint.worker.start_fields(),
         }
         self.store.write("keyed.servers", endpoint.worker.id, entry)
 
