--- a/bench/kept_cache_cost.py
+++ b/bench/kept_cache_cost.py
@@ -55,7 +55,7 @@
 
 def bytes_per_remembered() -> float:
     """Return the memory of a session that is remembered, in bytes."""
-    model = retention.ReturnModel(max_waiting=REMEMBERED)
+    model = retention.ReturnModel(max_awaited=REMEMBERED)
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     for number in range(REMEMBERED):
--- a/src/briarseam/cache/exporting.py
+++ b/src/briarseam/cache/exporting.py
@@ -26,7 +26,7 @@
 POLL_S = 0.2
 WAIT_POLL_S = 0.02
 EXPORT_TIMEOUT_S = 30.0
-GUESSED_BLOCK_BYTES = 65536
+DEFAULT_BLOCK_BYTES = 65536
 
 
 @dataclasses.dataclass(frozen=True)
@@ -74,11 +74,11 @@
     group: bytes
     variant: bytes
     pieces: tuple[Piece, ...]
-    worth: float
+    value: float
     queued_at: float
 
 
-class Stop(Exception):
+class ExportStoppedError(Exception):
     """The rest of a job can't be exported now."""
 
 
@@ -93,7 +93,7 @@
     def put(self, job: Job) -> Job | None:
         """Queue a job; return the one dropped for it when full."""
         with self.condition:
-            entry = (-job.worth, next(self.order), job)
+            entry = (-job.value, next(self.order), job)
             heapq.heappush(self.jobs, entry)
             self.condition.notify()
             if len(self.jobs) <= MAX_QUEUED:
@@ -103,7 +103,7 @@
             heapq.heapify(self.jobs)
             return last[2]
 
-    def take(self, timeout_s: float) -> Job | None:
+    def get(self, timeout_s: float) -> Job | None:
         """Return the worthiest job, ``None`` when there is none."""
         with self.condition:
             if not self.jobs:
@@ -112,7 +112,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Tools:
+class CacheContext:
     """What exporting works with, shared over the stores."""
 
     index: indexes.BlockIndex
@@ -142,14 +142,14 @@
     def __init__(
         self,
         store: store_state.Store,
-        tools: Tools,
+        context: CacheContext,
         stopping: threading.Event,
     ) -> None:
         self.store = store
-        self.tools = tools
+        self.context = context
         self.stopping = stopping
         self.queue = Queue()
-        self.pending: set[bytes] = set()
+        self.queued_keys: set[bytes] = set()
         self.lock = threading.Lock()
         self.thread = threading.Thread(
             target=self.work, name=f"export-{store.name}", daemon=True
@@ -159,87 +159,93 @@
         """Queue the pieces of a job that are not queued yet."""
         with self.lock:
             pieces = tuple(
-                piece for piece in job.pieces if piece.key not in self.pending
+                piece
+                for piece in job.pieces
+                if piece.key not in self.queued_keys
             )
             if not pieces:
                 return
-            self.pending.update(piece.key for piece in pieces)
+            self.queued_keys.update(piece.key for piece in pieces)
         dropped = self.queue.put(dataclasses.replace(job, pieces=pieces))
         if dropped is not None:
-            self.tools.metrics.count("exports_dropped", len(dropped.pieces))
-            self.settled(dropped)
+            self.context.metrics.count("exports_dropped", len(dropped.pieces))
+            self.release(dropped)
 
-    def settled(self, job: Job) -> None:
+    def release(self, job: Job) -> None:
         """Let the pieces of a job be queued again."""
         with self.lock:
-            self.pending.difference_update(piece.key for piece in job.pieces)
+            self.queued_keys.difference_update(
+                piece.key for piece in job.pieces
+            )
 
     def running(self) -> bool:
         """Tell whether to go on."""
-        current = self.tools.stores.is_current(self.store)
+        current = self.context.stores.is_current(self.store)
         return current and not self.stopping.is_set()
 
     def work(self) -> None:
         """Export until stopped."""
         while self.running():
-            job = self.queue.take(POLL_S)
+            job = self.queue.get(POLL_S)
             if job is not None:
-                self.carry_out(job)
+                self.run_job(job)
 
-    def carry_out(self, job: Job) -> None:
+    def run_job(self, job: Job) -> None:
         """Export a job's pieces, as far as that can be done now."""
         try:
             for piece in job.pieces:
-                self.export(job, piece)
-        except Stop as reason:
-            self.tools.metrics.count(f"exports_{reason}")
+                self.export_piece(job, piece)
+        except ExportStoppedError as reason:
+            self.context.metrics.count(f"exports_{reason}")
         finally:
-            self.settled(job)
+            self.release(job)
 
-    def export(self, job: Job, piece: Piece) -> None:
+    def export_piece(self, job: Job, piece: Piece) -> None:
         """Export one piece, confirm it and only then index it."""
-        tools = self.tools
-        known = tools.sizes.expected(job.variant)
-        size = known or GUESSED_BLOCK_BYTES
-        self.wait_for(lambda: self.store.has_room(known or 0), job)
+        context = self.context
+        expected_size = context.sizes.expected(job.variant)
+        size = expected_size or DEFAULT_BLOCK_BYTES
+        self.wait_for(lambda: self.store.has_room(expected_size or 0), job)
         self.wait_for(lambda: self.store.link.reserve_idle(size), job)
         if not self.store.alive:
-            raise Stop("refused")
-        name = tools.names.new_name(
+            raise ExportStoppedError("refused")
+        name = context.names.new_name(
             job.group, job.variant, piece.depth, piece.key
         )
-        packed = tools.names.pack(name)
+        packed = context.names.pack(name)
         # Guard: the store lists a block before its writer has confirmed
         # it; taken in by the sweep meanwhile, it would be in use when the
         # confirmation fails.  The sweep passes over what is being written.
-        tools.index.writing.add(packed)
+        context.index.in_flight_writes.add(packed)
         try:
-            self.write(job, piece, packed, size)
+            self.write_piece(job, piece, packed, size)
         finally:
-            tools.index.writing.discard(packed)
+            context.index.in_flight_writes.discard(packed)
 
-    def write(self, job: Job, piece: Piece, packed: bytes, size: int) -> None:
+    def write_piece(
+        self, job: Job, piece: Piece, packed: bytes, size: int
+    ) -> None:
         """Have one piece written under a name, confirm and index it."""
         boot_id = self.store.boot_id
         match self.transfer(job, piece, packed, size):
             case engine_kv.NotCached():
-                raise Stop("not_cached")
+                raise ExportStoppedError("not_cached")
             case engine_kv.ExportFailed():
                 self.discard(packed, size, boot_id)
-                raise Stop("failed")
+                raise ExportStoppedError("failed")
             case engine_kv.Exported() as exported:
                 block = self.confirm(packed, exported)
         if block is None:
             self.discard(packed, size, boot_id)
-            raise Stop("unconfirmed")
-        self.keep(block)
+            raise ExportStoppedError("unconfirmed")
+        self.add_to_index(block)
 
     def wait_for(self, condition: typing.Callable[[], bool], job: Job) -> None:
         """Wait until the store has room, or its link no import wants it."""
         while not condition():
-            too_old = self.tools.clock() - job.queued_at > MAX_WAIT_S
+            too_old = self.context.clock() - job.queued_at > MAX_WAIT_S
             if too_old or not self.store.alive or not self.running():
-                raise Stop("late")
+                raise ExportStoppedError("late")
             self.stopping.wait(WAIT_POLL_S)
 
     def transfer(
@@ -250,13 +256,13 @@
         transfer = link.begin(size)
         moved = 0
         try:
-            outcome = self.tools.engine.export(
+            outcome = self.context.engine.export(
                 job.engine,
                 job.model,
                 job.version,
                 piece.digest,
                 self.store.address,
-                self.tools.names.text(packed),
+                self.context.names.format(packed),
                 EXPORT_TIMEOUT_S,
             )
             if isinstance(outcome, engine_kv.Exported):
@@ -276,18 +282,18 @@
         lists must have the length and the checksum that the engine gave;
         until then no index knows the block.
         """
-        text = self.tools.names.text(packed)
+        text = self.context.names.format(packed)
         try:
-            page = self.tools.client.listing(
+            page = self.context.client.listing(
                 self.store.address, text[:-1], limit=1
             )
         except store_client.StoreUnavailableError:
             return None
         if not page.blocks or page.blocks[0].name != text:
             return None
-        found = page.blocks[0]
-        whole = found.bytes == exported.bytes
-        if not whole or found.checksum != exported.checksum:
+        listed = page.blocks[0]
+        complete = listed.bytes == exported.bytes
+        if not complete or listed.checksum != exported.checksum:
             return None
         checksum = bytes.fromhex(exported.checksum)
         return state.Block(
@@ -297,19 +303,19 @@
     def discard(self, packed: bytes, size: int, boot_id: str) -> None:
         """Have what may have been written deleted."""
         block = state.Block(packed, size, b"", self.store.name, boot_id)
-        self.tools.index.free(block, self.tools.clock())
+        self.context.index.free(block, self.context.clock())
 
-    def keep(self, block: state.Block) -> None:
+    def add_to_index(self, block: state.Block) -> None:
         """Index a confirmed block and tell who else keeps the index."""
-        tools = self.tools
-        tools.sizes.learn(block.variant, block.size)
-        mine = tools.sharing.holders(block.group).mine
-        until = tools.sharing.learned_until(mine)
+        context = self.context
+        context.sizes.record(block.variant, block.size)
+        is_owner = context.sharing.holders(block.group).is_owner
+        until = context.sharing.valid_until(is_owner)
         self.store.used += block.size
-        added = tools.index.add(block, tools.clock(), until)
-        if not added and not tools.index.holds(block):
-            tools.index.free(block, tools.clock())
+        added = context.index.add(block, context.clock(), until)
+        if not added and not context.index.contains(block):
+            context.index.free(block, context.clock())
             return
-        tools.metrics.count("exported_blocks")
-        tools.metrics.count("exported_bytes", block.size)
-        tools.sharing.added(block)
+        context.metrics.count("exported_blocks")
+        context.metrics.count("exported_bytes", block.size)
+        context.sharing.announce_added(block)
--- a/src/briarseam/cache/index.py
+++ b/src/briarseam/cache/index.py
@@ -13,8 +13,8 @@
 
 from briarseam.cache import state
 
-GROUP_MAX_BLOCKS = 4096
-FORGOTTEN_PART = 16
+MAX_GROUP_BLOCKS = 4096
+EVICTION_DIVISOR = 16
 
 
 @dataclasses.dataclass(slots=True)
@@ -40,11 +40,11 @@
     used_at: float
     uses: int = 1
     size: int = 0
-    learned_until: float = float("inf")
+    valid_until: float = float("inf")
 
 
 @dataclasses.dataclass(slots=True)
-class Reading:
+class Pin:
     """Readers of one block.
 
     Attributes
@@ -56,11 +56,11 @@
     """
 
     count: int
-    until: float
+    expires_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Dying:
+class PendingDeletion:
     """A freed block that is to be deleted.
 
     Attributes
@@ -89,17 +89,17 @@
         self.lock = threading.RLock()
         self.by_key: dict[bytes, state.Block] = {}
         self.groups: dict[bytes, Group] = {}
-        self.readings: dict[bytes, Reading] = {}
-        self.dying: dict[bytes, Dying] = {}
-        self.stored: dict[str, int] = {}
-        self.boots: dict[str, str] = {}
-        self.writing: set[bytes] = set()
+        self.pins: dict[bytes, Pin] = {}
+        self.pending_deletions: dict[bytes, PendingDeletion] = {}
+        self.bytes_by_store: dict[str, int] = {}
+        self.boot_ids: dict[str, str] = {}
+        self.in_flight_writes: set[bytes] = set()
 
     def __len__(self) -> int:
         return len(self.by_key)
 
-    def prefix(
-        self, keys: typing.Iterable[bytes], now: float, own: bytes
+    def longest_prefix(
+        self, keys: typing.Iterable[bytes], now: float, owned_group: bytes
     ) -> list[state.Block]:
         """Return the blocks of the longest run of known keys.
 
@@ -112,23 +112,23 @@
         own
             The prompt's group when this agent owns it, else empty.
         """
-        found: list[state.Block] = []
+        blocks: list[state.Block] = []
         with self.lock:
             for key in keys:
                 block = self.by_key.get(key)
-                if block is None or not self.usable(block, now, own):
+                if block is None or not self.usable(block, now, owned_group):
                     break
-                found.append(block)
-        return found
+                blocks.append(block)
+        return blocks
 
-    def usable(self, block: state.Block, now: float, own: bytes) -> bool:
+    def usable(
+        self, block: state.Block, now: float, owned_group: bytes
+    ) -> bool:
         """Tell whether a block's group may be used without asking."""
         group = block.group
-        return group == own or self.groups[group].learned_until > now
+        return group == owned_group or self.groups[group].valid_until > now
 
-    def add(
-        self, block: state.Block, now: float, learned_until: float
-    ) -> bool:
+    def add(self, block: state.Block, now: float, valid_until: float) -> bool:
         """Add a block that is confirmed; tell whether it was taken.
 
         A second copy of a piece is not taken; nor is a block that has
@@ -147,12 +147,15 @@
             # Guard: a listing or a peer's message that is late brings back
             # a block that was freed here.  It would be read while it is
             # being deleted.  Freed names stay known until they are gone.
-            if block.packed in self.dying or block.key in self.by_key:
+            if (
+                block.packed in self.pending_deletions
+                or block.key in self.by_key
+            ):
                 return False
             # Guard: a store is replaced between a block's confirmation and
             # this; as an entry of the old boot it would never be readable
             # and, being known, never be exported again.
-            if self.boots.get(block.store, block.boot_id) != block.boot_id:
+            if self.boot_ids.get(block.store, block.boot_id) != block.boot_id:
                 return False
             if len(self.by_key) >= self.max_blocks:
                 return False
@@ -160,35 +163,37 @@
             if group is None:
                 group = Group([], now)
                 self.groups[block.group] = group
-            if len(group.blocks) >= GROUP_MAX_BLOCKS:
+            if len(group.blocks) >= MAX_GROUP_BLOCKS:
                 return False
-            group.learned_until = learned_until
+            group.valid_until = valid_until
             group.blocks.append(block)
             group.size += block.size
             self.by_key[block.key] = block
-            self.account(block, block.size)
+            self.add_stored_bytes(block, block.size)
             return True
 
-    def account(self, block: state.Block, size: int) -> None:
+    def add_stored_bytes(self, block: state.Block, size: int) -> None:
         """Keep the count of bytes per store."""
-        self.stored[block.store] = self.stored.get(block.store, 0) + size
+        self.bytes_by_store[block.store] = (
+            self.bytes_by_store.get(block.store, 0) + size
+        )
 
-    def holds(self, block: state.Block) -> bool:
+    def contains(self, block: state.Block) -> bool:
         """Tell whether exactly this block is indexed."""
         with self.lock:
-            known = self.by_key.get(block.key)
-            return known is not None and known.packed == block.packed
+            indexed = self.by_key.get(block.key)
+            return indexed is not None and indexed.packed == block.packed
 
     def forget(self, block: state.Block) -> bool:
         """Take a block out without deleting it; tell whether it was in."""
         with self.lock:
-            if not self.holds(block):
+            if not self.contains(block):
                 return False
-            known = self.by_key.pop(block.key)
+            indexed = self.by_key.pop(block.key)
             group = self.groups[block.group]
-            group.blocks.remove(known)
-            group.size -= known.size
-            self.account(known, -known.size)
+            group.blocks.remove(indexed)
+            group.size -= indexed.size
+            self.add_stored_bytes(indexed, -indexed.size)
             if not group.blocks:
                 del self.groups[block.group]
             return True
@@ -214,40 +219,42 @@
             Whether it was indexed.
         """
         with self.lock:
-            was_in = self.forget(block)
-            if block.packed not in self.dying:
-                self.dying[block.packed] = Dying(block, not_before)
-            return was_in
+            was_indexed = self.forget(block)
+            if block.packed not in self.pending_deletions:
+                self.pending_deletions[block.packed] = PendingDeletion(
+                    block, not_before
+                )
+            return was_indexed
 
     def deletable(self, store: str, now: float) -> list[state.Block]:
         """Return freed blocks of a store that nobody reads any more."""
         with self.lock:
-            self.readings = {
-                packed: reading
-                for packed, reading in self.readings.items()
-                if reading.until > now
+            self.pins = {
+                packed: pin
+                for packed, pin in self.pins.items()
+                if pin.expires_at > now
             }
             return [
-                dying.block
-                for dying in self.dying.values()
-                if dying.block.store == store
-                and dying.not_before <= now
-                and not self.is_read(dying.block, now)
+                deletion.block
+                for deletion in self.pending_deletions.values()
+                if deletion.block.store == store
+                and deletion.not_before <= now
+                and not self.is_pinned(deletion.block, now)
             ]
 
-    def is_read(self, block: state.Block, now: float) -> bool:
+    def is_pinned(self, block: state.Block, now: float) -> bool:
         """Tell whether somebody reads a block."""
-        reading = self.readings.get(block.packed)
-        return reading is not None and reading.until > now
+        pin = self.pins.get(block.packed)
+        return pin is not None and pin.expires_at > now
 
-    def deleted(self, block: state.Block) -> None:
+    def finish_deletion(self, block: state.Block) -> None:
         """Note that the store no longer has a freed block."""
         with self.lock:
-            self.dying.pop(block.packed, None)
-            self.readings.pop(block.packed, None)
+            self.pending_deletions.pop(block.packed, None)
+            self.pins.pop(block.packed, None)
 
-    def borrow(
-        self, blocks: typing.Sequence[state.Block], until: float
+    def pin(
+        self, blocks: typing.Sequence[state.Block], expires_at: float
     ) -> int:
         """Begin to read blocks; return how many from the first on.
 
@@ -265,26 +272,24 @@
         with self.lock:
             count = 0
             for block in blocks:
-                if not self.holds(block):
+                if not self.contains(block):
                     break
-                reading = self.readings.setdefault(
-                    block.packed, Reading(0, until)
-                )
-                reading.count += 1
-                reading.until = max(reading.until, until)
+                pin = self.pins.setdefault(block.packed, Pin(0, expires_at))
+                pin.count += 1
+                pin.expires_at = max(pin.expires_at, expires_at)
                 count += 1
             return count
 
-    def give_back(self, blocks: typing.Sequence[state.Block]) -> None:
+    def unpin(self, blocks: typing.Sequence[state.Block]) -> None:
         """End the reading of blocks."""
         with self.lock:
             for block in blocks:
-                reading = self.readings.get(block.packed)
-                if reading is None:
+                pin = self.pins.get(block.packed)
+                if pin is None:
                     continue
-                reading.count -= 1
-                if reading.count <= 0:
-                    del self.readings[block.packed]
+                pin.count -= 1
+                if pin.count <= 0:
+                    del self.pins[block.packed]
 
     def record_use(self, group: bytes, now: float) -> None:
         """Note that a group was wanted."""
@@ -294,28 +299,30 @@
                 known.used_at = now
                 known.uses += 1
 
-    def forget_oldest(self, room: int) -> None:
+    def evict_oldest(self, needed: int) -> None:
         """Make room for some blocks in memory, never in the stores.
 
         What is forgotten is found again by the next listing, if it is
         this agent's to keep.
         """
         with self.lock:
-            over = len(self) + room - self.max_blocks
-            if over <= 0:
+            excess = len(self) + needed - self.max_blocks
+            if excess <= 0:
                 return
-            over += self.max_blocks // FORGOTTEN_PART
+            excess += self.max_blocks // EVICTION_DIVISOR
             oldest = sorted(
                 self.groups.values(), key=lambda group: group.used_at
             )
             for group in oldest:
-                if over <= 0:
+                if excess <= 0:
                     return
-                over -= len(group.blocks)
+                excess -= len(group.blocks)
                 for block in list(group.blocks):
                     self.forget(block)
 
-    def drop_boot(self, store: str, boot_id: str) -> list[state.Block]:
+    def drop_earlier_boots(
+        self, store: str, boot_id: str
+    ) -> list[state.Block]:
         """Forget what a store held before its present boot.
 
         Guard: a store that came back, perhaps refilled by others, no
@@ -331,17 +338,18 @@
             Its present boot; what is of this boot stays.
         """
         with self.lock:
-            self.boots[store] = boot_id
-            gone = [
+            self.boot_ids[store] = boot_id
+            dropped = [
                 block
                 for block in self.by_key.values()
                 if block.store == store and block.boot_id != boot_id
             ]
-            for block in gone:
+            for block in dropped:
                 self.forget(block)
-            self.dying = {
-                packed: dying
-                for packed, dying in self.dying.items()
-                if dying.block.store != store or dying.block.boot_id == boot_id
+            self.pending_deletions = {
+                packed: deletion
+                for packed, deletion in self.pending_deletions.items()
+                if deletion.block.store != store
+                or deletion.block.boot_id == boot_id
             }
-            return gone
+            return dropped
--- a/src/briarseam/cache/links.py
+++ b/src/briarseam/cache/links.py
@@ -10,12 +10,12 @@
 UNKNOWN_RATE = 1e9
 SLOWER_GAIN = 0.6
 FASTER_GAIN = 0.3
-RELAX_S = 30.0
+RECOVERY_DOUBLING_S = 30.0
 MAX_IDLE_S = 1800.0
 MIN_ELAPSED_S = 1e-4
 MIN_AGE_S = 0.05
 LATENCY_S = 0.002
-CUT_PART = 0.25
+ABORTED_FRACTION = 0.25
 
 
 @dataclasses.dataclass
@@ -33,12 +33,12 @@
     """
 
     size: int
-    began: float
-    area_before: float
+    started_at: float
+    transfer_seconds_before: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Outlook:
+class TransferEstimate:
     """What a transfer must expect.
 
     Attributes
@@ -49,12 +49,12 @@
         Bytes per second from then on.
     """
 
-    begins_s: float
+    start_delay_s: float
     rate: float
 
-    def after_s(self, size: int) -> float:
+    def duration_s(self, size: int) -> float:
         """Return the seconds until ``size`` bytes are through."""
-        return self.begins_s + size / self.rate
+        return self.start_delay_s + size / self.rate
 
 
 class Link:
@@ -79,35 +79,35 @@
         self.limit = limit
         self.lock = threading.Lock()
         self.tokens = limit * BURST_S
-        self.filled_at = clock()
-        self.observed: float | None = None
+        self.refilled_at = clock()
+        self.observed_rate: float | None = None
         self.observed_at = clock()
-        self.best = 0.0
+        self.best_rate = 0.0
         self.active: list[Transfer] = []
-        self.area = 0.0
-        self.area_at = clock()
-        self.bytes = 0
+        self.transfer_seconds = 0.0
+        self.integrated_at = clock()
+        self.total_bytes = 0
 
     def configure(self, limit: float) -> None:
         """Set the budget, in bytes per second."""
         with self.lock:
             if limit != self.limit:
-                self.fill()
+                self.refill()
                 self.limit = limit
                 self.tokens = min(self.tokens, limit * BURST_S)
 
-    def fill(self) -> None:
+    def refill(self) -> None:
         """Add the tokens earned since the last call."""
         now = self.clock()
-        earned = (now - self.filled_at) * self.limit
+        earned = (now - self.refilled_at) * self.limit
         self.tokens = min(self.tokens + earned, self.limit * BURST_S)
-        self.filled_at = now
+        self.refilled_at = now
 
     def wait_s(self) -> float:
         """Return seconds until the debt is paid."""
         if self.limit <= 0:
             return 0.0
-        self.fill()
+        self.refill()
         return max(-self.tokens, 0.0) / self.limit
 
     def reserve(self, size: int, max_wait_s: float) -> float | None:
@@ -143,7 +143,7 @@
         with self.lock:
             if self.limit <= 0:
                 return True
-            self.fill()
+            self.refill()
             if self.tokens < min(size, self.limit * BURST_S * 0.99):
                 return False
             self.tokens -= size
@@ -153,11 +153,13 @@
         """Note the start of a transfer."""
         with self.lock:
             self.integrate()
-            transfer = Transfer(size, self.clock(), self.area)
+            transfer = Transfer(size, self.clock(), self.transfer_seconds)
             self.active.append(transfer)
             return transfer
 
-    def end(self, transfer: Transfer, moved: int, cut: bool = False) -> None:
+    def end(
+        self, transfer: Transfer, moved_bytes: int, aborted: bool = False
+    ) -> None:
         """Note the end of a transfer.
 
         Parameters
@@ -173,35 +175,39 @@
         with self.lock:
             self.integrate()
             self.active.remove(transfer)
-            self.bytes += moved
-            elapsed = max(self.clock() - transfer.began, MIN_ELAPSED_S)
-            sharing = (self.area - transfer.area_before) / elapsed
-            size = transfer.size * CUT_PART if cut else moved
-            sample = size * max(sharing, 1.0) / elapsed
-            known = self.relaxed(transfer.began)
-            if size and not (cut and sample > known):
-                self.learn(sample, known, cut)
+            self.total_bytes += moved_bytes
+            elapsed = max(self.clock() - transfer.started_at, MIN_ELAPSED_S)
+            concurrency = (
+                self.transfer_seconds - transfer.transfer_seconds_before
+            ) / elapsed
+            size = transfer.size * ABORTED_FRACTION if aborted else moved_bytes
+            sample = size * max(concurrency, 1.0) / elapsed
+            current_rate = self.recovered_rate(transfer.started_at)
+            if size and not (aborted and sample > current_rate):
+                self.add_sample(sample, current_rate, aborted)
 
     def integrate(self) -> None:
         """Bring the integral of transfers under way up to now."""
         now = self.clock()
-        self.area += len(self.active) * (now - self.area_at)
-        self.area_at = now
+        self.transfer_seconds += len(self.active) * (now - self.integrated_at)
+        self.integrated_at = now
 
-    def learn(self, sample: float, known: float, cut: bool) -> None:
+    def add_sample(
+        self, sample: float, current_rate: float, aborted: bool
+    ) -> None:
         """Take in one sample of the link's whole rate.
 
         Rates are averaged by their logarithms: a link may fall to a
         thousandth, and a plain average would stay near the old rate.
         """
-        gain = SLOWER_GAIN if sample < known else FASTER_GAIN
-        if self.observed is None or cut:
+        gain = SLOWER_GAIN if sample < current_rate else FASTER_GAIN
+        if self.observed_rate is None or aborted:
             gain = 1.0
-        self.observed = known ** (1.0 - gain) * sample**gain
+        self.observed_rate = current_rate ** (1.0 - gain) * sample**gain
         self.observed_at = self.clock()
-        self.best = max(self.best, sample)
+        self.best_rate = max(self.best_rate, sample)
 
-    def relaxed(self, at: float) -> float:
+    def recovered_rate(self, at: float) -> float:
         """Return the observed rate, trusted less as it grows old.
 
         Guard: a link that was slow once would be predicted slow for ever,
@@ -209,11 +215,13 @@
         estimate doubles every ``RELAX_S`` idle seconds without a sample,
         up to the budget or, without one, the best rate seen.
         """
-        if self.observed is None:
+        if self.observed_rate is None:
             return self.limit or UNKNOWN_RATE
-        ceiling = self.limit or self.best
+        ceiling = self.limit or self.best_rate
         idle_s = min(max(at - self.observed_at, 0.0), MAX_IDLE_S)
-        return min(self.observed * 2 ** (idle_s / RELAX_S), ceiling)
+        return min(
+            self.observed_rate * 2 ** (idle_s / RECOVERY_DOUBLING_S), ceiling
+        )
 
     def rate(self) -> float:
         """Return the bytes per second to count on now.
@@ -223,22 +231,22 @@
         """
         now = self.clock()
         oldest = self.active[0] if self.active else None
-        rate = self.relaxed(oldest.began if oldest else now)
+        rate = self.recovered_rate(oldest.started_at if oldest else now)
         if oldest is not None:
-            age_s = now - oldest.began
+            age_s = now - oldest.started_at
             if age_s > MIN_AGE_S:
                 bound = oldest.size * len(self.active) / age_s
                 rate = min(rate, bound)
         return max(rate, 1.0)
 
-    def outlook(self) -> Outlook:
+    def estimate(self) -> TransferEstimate:
         """Return what a transfer that is asked for now must expect."""
         with self.lock:
             rate = self.rate()
             waiting = sum(transfer.size for transfer in self.active)
-            begins_s = self.wait_s() + LATENCY_S + waiting / rate
-            return Outlook(begins_s, rate)
+            start_delay_s = self.wait_s() + LATENCY_S + waiting / rate
+            return TransferEstimate(start_delay_s, rate)
 
-    def predict_s(self, size: int) -> float:
+    def predict_duration_s(self, size: int) -> float:
         """Return the predicted seconds for a transfer asked for now."""
-        return self.outlook().after_s(size)
+        return self.estimate().duration_s(size)
--- a/src/briarseam/cache/keeping.py
+++ b/src/briarseam/cache/maintenance.py
@@ -24,11 +24,11 @@
 
 POLL_S = 1.0
 LOW_WATER = 0.05
-READING_S = 10.0
+MAX_IMPORT_S = 10.0
 log = structlog.get_logger("briarseam.cache")
 
 
-class Keeper:
+class StoreMaintainer:
     """Keeps one store in order.
 
     Parameters
@@ -54,22 +54,24 @@
     def __init__(
         self,
         store: store_state.Store,
-        tools: exporting.Tools,
+        context: exporting.CacheContext,
         ranker: typing.Callable[[], retention.Ranker],
         view: typing.Callable[[], schema.View],
         stopping: threading.Event,
         wall_clock: typing.Callable[[], float],
         poll_s: float = POLL_S,
-        rest_s: float = sweeping.REST_S,
+        sweep_pause_s: float = sweeping.MIN_PAUSE_S,
     ) -> None:
         self.store = store
-        self.tools = tools
+        self.context = context
         self.ranker = ranker
         self.view = view
         self.stopping = stopping
         self.poll_s = poll_s
-        self.sweeper = sweeping.Sweeper(store, tools, view, wall_clock, rest_s)
-        self.chance = random.Random(store.name)
+        self.sweeper = sweeping.Sweeper(
+            store, context, view, wall_clock, sweep_pause_s
+        )
+        self.rng = random.Random(store.name)
         self.thread = threading.Thread(
             target=self.work, name=f"keep-{store.name}", daemon=True
         )
@@ -80,12 +82,12 @@
             try:
                 self.step()
             except store_client.StoreUnavailableError as error:
-                self.tools.stores.failed(self.store, str(error))
+                self.context.stores.record_failure(self.store, str(error))
             self.stopping.wait(self.poll_s)
 
     def running(self) -> bool:
         """Tell whether to go on."""
-        current = self.tools.stores.is_current(self.store)
+        current = self.context.stores.is_current(self.store)
         return current and not self.stopping.is_set()
 
     def step(self) -> None:
@@ -98,28 +100,28 @@
         """
         self.poll()
         self.delete_freed()
-        self.sweeper.take_page()
+        self.sweeper.read_page()
         self.make_room()
 
     def poll(self) -> None:
         """Take in the store's state."""
-        answered = self.tools.client.state(self.store.address)
-        if self.tools.stores.answered(self.store, answered):
-            gone = self.tools.index.drop_boot(
+        answered = self.context.client.state(self.store.address)
+        if self.context.stores.apply_state(self.store, answered):
+            dropped = self.context.index.drop_earlier_boots(
                 self.store.name, answered.boot_id
             )
-            self.tools.metrics.count("lost_blocks", len(gone))
-            self.sweeper.begin_anew()
+            self.context.metrics.count("lost_blocks", len(dropped))
+            self.sweeper.restart()
 
     def delete_freed(self) -> None:
         """Delete freed blocks that nobody reads any more."""
-        now = self.tools.clock()
-        for block in self.tools.index.deletable(self.store.name, now):
-            text = self.tools.names.text(block.packed)
-            self.tools.client.delete(self.store.address, text)
-            self.tools.index.deleted(block)
+        now = self.context.clock()
+        for block in self.context.index.deletable(self.store.name, now):
+            text = self.context.names.format(block.packed)
+            self.context.client.delete(self.store.address, text)
+            self.context.index.finish_deletion(block)
             self.store.used = max(self.store.used - block.size, 0)
-            self.tools.metrics.count("deleted_blocks")
+            self.context.metrics.count("deleted_blocks")
 
     def make_room(self) -> None:
         """Free what is worth least while the store is too full.
@@ -128,70 +130,70 @@
         """
         fill = self.view().kept_cache.fill
         limit = fill * self.store.capacity
-        used = self.store.used - self.dying_bytes()
+        used = self.store.used - self.pending_deletion_bytes()
         if used <= limit:
-            self.store.bar = 0.0
+            self.store.min_value = 0.0
             return
         excess = used - max(fill - LOW_WATER, 0.0) * self.store.capacity
-        mine = self.my_bytes()
-        need = excess * min(mine / used, 1.0) if used else 0.0
-        need -= self.sweeper.free_unknown(need)
-        groups = self.groups_here() if need > 0 else []
-        while need > 0 and groups:
-            freed = self.free_one(groups, need)
+        owned = self.owned_bytes()
+        needed = excess * min(owned / used, 1.0) if used else 0.0
+        needed -= self.sweeper.free_unadopted(needed)
+        groups = self.store_groups() if needed > 0 else []
+        while needed > 0 and groups:
+            freed = self.free_lowest(groups, needed)
             if not freed:
                 return
-            need -= freed
+            needed -= freed
 
-    def dying_bytes(self) -> int:
+    def pending_deletion_bytes(self) -> int:
         """Return the bytes that are freed but not yet deleted."""
-        with self.tools.index.lock:
+        with self.context.index.lock:
             return sum(
-                dying.block.size
-                for dying in self.tools.index.dying.values()
-                if dying.block.store == self.store.name
+                deletion.block.size
+                for deletion in self.context.index.pending_deletions.values()
+                if deletion.block.store == self.store.name
             )
 
-    def my_bytes(self) -> int:
+    def owned_bytes(self) -> int:
         """Return the bytes that this agent answers for."""
-        lost = self.sweeper.unknown_bytes()
-        return self.tools.index.stored.get(self.store.name, 0) + lost
+        lost = self.sweeper.unadopted_bytes()
+        return self.context.index.bytes_by_store.get(self.store.name, 0) + lost
 
-    def groups_here(self) -> list[bytes]:
+    def store_groups(self) -> list[bytes]:
         """Return groups with blocks here that may have to go."""
-        index = self.tools.index
+        index = self.context.index
         with index.lock:
-            over = self.organisations_over()
+            over_share = self.organisations_over_share()
             return [
                 name
                 for name, group in index.groups.items()
                 if group.blocks[0].store == self.store.name
-                and (not over or name[:4] in over)
+                and (not over_share or name[:4] in over_share)
             ]
 
-    def free_one(self, groups: list[bytes], need: float) -> int:
+    def free_lowest(self, groups: list[bytes], needed: float) -> int:
         """Free the end of the worst of some groups; return its bytes."""
         ranker = self.ranker()
         victim = ranker.victim(self.candidates(groups))
         if victim is None:
             return 0
-        self.store.bar = ranker.worth(victim)
-        return self.free_tail(victim.group, need)
+        self.store.min_value = ranker.value(victim)
+        return self.free_from_end(victim.group, needed)
 
     def candidates(self, groups: list[bytes]) -> list[retention.Candidate]:
         """Return what is known of some groups that this agent owns."""
-        now = self.tools.clock()
-        holders = self.tools.sharing.holders
-        with self.tools.index.lock:
+        now = self.context.clock()
+        holders = self.context.sharing.holders
+        with self.context.index.lock:
             return [
                 self.candidate(name, now)
-                for name in retention.sample_groups(groups, self.chance)
-                if name in self.tools.index.groups and holders(name).mine
+                for name in retention.sample_groups(groups, self.rng)
+                if name in self.context.index.groups and holders(name).is_owner
             ]
 
     def candidate(self, name: bytes, now: float) -> retention.Candidate:
         """Return what is known of a group."""
-        group = self.tools.index.groups[name]
+        group = self.context.index.groups[name]
         model = self.ranker().model
         group_class = model.group_class(name, len(group.blocks))
         cost = 1.0
@@ -201,19 +203,19 @@
             name, group_class, now - group.used_at, cost
         )
 
-    def organisations_over(self) -> set[bytes]:
+    def organisations_over_share(self) -> set[bytes]:
         """Return organisations that fill more than their share."""
         view = self.view()
         shares = {
-            self.tools.names.organisation(name): organisation.cache_share
+            self.context.names.organisation(name): organisation.cache_share
             for name, organisation in view.organisations.items()
             if organisation.cache_share < 1.0
         }
         if not shares:
             return set()
-        total = max(self.my_bytes(), 1)
+        total = max(self.owned_bytes(), 1)
         filled: dict[bytes, int] = {}
-        for name, group in self.tools.index.groups.items():
+        for name, group in self.context.index.groups.items():
             if group.blocks[0].store == self.store.name:
                 filled[name[:4]] = filled.get(name[:4], 0) + group.size
         return {
@@ -222,27 +224,27 @@
             if size > shares.get(name, 1.0) * total
         }
 
-    def free_tail(self, name: bytes, need: float) -> int:
+    def free_from_end(self, name: bytes, needed: float) -> int:
         """Free a group's blocks from its end; return their bytes.
 
         The end goes first: a block is of no use without those in front
         of it.
         """
-        tools = self.tools
-        wait_s = tools.sharing.free_wait_s(
-            tools.sharing.holders(name), READING_S
+        context = self.context
+        wait_s = context.sharing.deletion_delay_s(
+            context.sharing.holders(name), MAX_IMPORT_S
         )
-        not_before = tools.clock() + wait_s
-        with tools.index.lock:
-            group = tools.index.groups.get(name)
+        not_before = context.clock() + wait_s
+        with context.index.lock:
+            group = context.index.groups.get(name)
             blocks = list(group.blocks) if group is not None else []
         blocks.sort(key=lambda block: block.depth, reverse=True)
         freed = 0
         for block in blocks:
-            if freed >= need:
+            if freed >= needed:
                 break
-            if tools.index.free(block, not_before):
+            if context.index.free(block, not_before):
                 freed += block.size
-                tools.sharing.freed(block)
-                tools.metrics.count("freed_blocks")
+                context.sharing.announce_freed(block)
+                context.metrics.count("freed_blocks")
         return freed
--- a/src/briarseam/cache/names.py
+++ b/src/briarseam/cache/names.py
@@ -58,7 +58,7 @@
     nonce: bytes
 
 
-def joined(parts: typing.Iterable[str]) -> bytes:
+def length_prefixed(parts: typing.Iterable[str]) -> bytes:
     """Return the parts with their lengths.
 
     The length in front keeps two different splits of the same text from
@@ -92,7 +92,7 @@
             self.derive_organisation
         )
 
-    def digest(self, label: bytes, data: bytes, size: int) -> bytes:
+    def keyed_hash(self, label: bytes, data: bytes, size: int) -> bytes:
         """Return a keyed hash for one use."""
         return hashlib.blake2b(
             data, digest_size=size, key=self.secret, person=label
@@ -102,23 +102,23 @@
         self, organisation: str, model: str, adapter: str, version: str
     ) -> bytes:
         """Return the secret under which a variant's pieces are named."""
-        data = joined((organisation, model, adapter, version))
-        return self.digest(b"pieces", data, 32)
+        data = length_prefixed((organisation, model, adapter, version))
+        return self.keyed_hash(b"pieces", data, 32)
 
     def derive_variant(self, model: str, adapter: str, version: str) -> bytes:
         """Return the hash of what a block was computed with."""
-        data = joined((model, adapter, version))
-        return self.digest(b"variant", data, VARIANT_BYTES)
+        data = length_prefixed((model, adapter, version))
+        return self.keyed_hash(b"variant", data, VARIANT_BYTES)
 
     def derive_organisation(self, organisation: str) -> bytes:
         """Return the hash of an organisation."""
         data = organisation.encode()
-        return self.digest(b"organisation", data, ORGANISATION_BYTES)
+        return self.keyed_hash(b"organisation", data, ORGANISATION_BYTES)
 
     def derive_session(self, organisation: str, session: str) -> bytes:
         """Return the hash of a session."""
-        data = joined((organisation, session))
-        return self.digest(b"session", data, SESSION_BYTES)
+        data = length_prefixed((organisation, session))
+        return self.keyed_hash(b"session", data, SESSION_BYTES)
 
     def group(self, organisation: str, session: str) -> bytes:
         """Return the hash of an organisation and one of its sessions."""
@@ -127,7 +127,7 @@
 
     def salt(self, organisation: str) -> str:
         """Return the cache salt an engine is given for an organisation."""
-        return self.digest(b"salt", organisation.encode(), 16).hex()
+        return self.keyed_hash(b"salt", organisation.encode(), 16).hex()
 
     def keys(
         self,
@@ -162,9 +162,9 @@
         depth = DEPTH.pack(min(name.depth, MAX_DEPTH))
         return name.group + name.variant + depth + name.key + name.nonce
 
-    def text(self, packed: bytes) -> str:
+    def format(self, packed: bytes) -> str:
         """Return the name as the store has it."""
-        tag = self.digest(b"tag", packed, TAG_BYTES)
+        tag = self.keyed_hash(b"tag", packed, TAG_BYTES)
         return (
             packed[:-NONCE_BYTES].hex()
             + "-"
@@ -186,31 +186,31 @@
         packed, tag = data[:-TAG_BYTES], data[-TAG_BYTES:]
         if len(packed) != PACKED_BYTES:
             return None
-        expected = self.digest(b"tag", packed, TAG_BYTES)
+        expected = self.keyed_hash(b"tag", packed, TAG_BYTES)
         return packed if hmac.compare_digest(tag, expected) else None
 
 
 PACKED_BYTES = (
     GROUP_BYTES + VARIANT_BYTES + DEPTH.size + KEY_BYTES + NONCE_BYTES
 )
-VARIANT_AT = GROUP_BYTES
-DEPTH_AT = VARIANT_AT + VARIANT_BYTES
-KEY_AT = DEPTH_AT + DEPTH.size
-NONCE_AT = KEY_AT + KEY_BYTES
+VARIANT_OFFSET = GROUP_BYTES
+DEPTH_OFFSET = VARIANT_OFFSET + VARIANT_BYTES
+KEY_OFFSET = DEPTH_OFFSET + DEPTH.size
+NONCE_OFFSET = KEY_OFFSET + KEY_BYTES
 
 
 def unpack(packed: bytes) -> BlockName:
     """Return the parts of a packed name."""
     return BlockName(
-        group=packed[:VARIANT_AT],
-        variant=packed[VARIANT_AT:DEPTH_AT],
-        depth=DEPTH.unpack_from(packed, DEPTH_AT)[0],
-        key=packed[KEY_AT:NONCE_AT],
-        nonce=packed[NONCE_AT:],
+        group=packed[:VARIANT_OFFSET],
+        variant=packed[VARIANT_OFFSET:DEPTH_OFFSET],
+        depth=DEPTH.unpack_from(packed, DEPTH_OFFSET)[0],
+        key=packed[KEY_OFFSET:NONCE_OFFSET],
+        nonce=packed[NONCE_OFFSET:],
     )
 
 
-def rank(group: bytes, store: str) -> bytes:
+def store_rank(group: bytes, store: str) -> bytes:
     """Return a store's place for a group; the lowest is its home."""
     data = group + store.encode()
     return hashlib.blake2b(data, digest_size=SESSION_BYTES).digest()
--- a/src/briarseam/cache/owners.py
+++ b/src/briarseam/cache/owners.py
@@ -17,8 +17,8 @@
 from briarseam.cache import state
 from briarseam.membership import state as members
 
-MAX_REMEMBERED = 8192
-RANKED = 4
+MAX_CACHED_GROUPS = 8192
+MAX_RANKED = 4
 
 
 class Layout(typing.Protocol):
@@ -39,47 +39,53 @@
         Gives the present agents; the same object while nothing changes.
     """
 
-    def __init__(self, me: str, layout: typing.Callable[[], Layout]) -> None:
-        self.me = me
+    def __init__(
+        self, own_name: str, layout: typing.Callable[[], Layout]
+    ) -> None:
+        self.own_name = own_name
         self.layout = layout
         self.lock = threading.Lock()
-        self.known: Layout | None = None
+        self.ranked_layout: Layout | None = None
         self.epoch = 0
-        self.remembered: dict[bytes, state.Holders] = {}
+        self.cached: dict[bytes, state.Holders] = {}
 
     def __call__(self, group: bytes) -> state.Holders:
         """Return who keeps a group's index."""
         layout = self.layout()
         with self.lock:
-            if layout is not self.known:
-                self.known = layout
+            if layout is not self.ranked_layout:
+                self.ranked_layout = layout
                 self.epoch += 1
-                self.remembered.clear()
-            found = self.remembered.get(group)
-            if found is None:
-                if len(self.remembered) >= MAX_REMEMBERED:
-                    self.remembered.clear()
-                found = self.work_out(group, layout)
-                self.remembered[group] = found
-            return found
+                self.cached.clear()
+            holders = self.cached.get(group)
+            if holders is None:
+                if len(self.cached) >= MAX_CACHED_GROUPS:
+                    self.cached.clear()
+                holders = self.compute(group, layout)
+                self.cached[group] = holders
+            return holders
 
-    def work_out(self, group: bytes, layout: Layout) -> state.Holders:
+    def compute(self, group: bytes, layout: Layout) -> state.Holders:
         """Return who keeps a group's index among the present agents."""
         key = group[names.ORGANISATION_BYTES :].hex()
         order = [
             member
-            for member in layout.order(key, RANKED)
+            for member in layout.order(key, MAX_RANKED)
             if member.state is members.MemberState.ALIVE
         ]
         if not order:
             return state.Holders(epoch=self.epoch)
         owner = order[0]
-        keeping = [owner]
-        keeping += [one for one in order if one.zone != owner.zone][:1]
+        holding = [owner]
+        holding += [member for member in order if member.zone != owner.zone][
+            :1
+        ]
         return state.Holders(
-            mine=owner.name == self.me,
+            is_owner=owner.name == self.own_name,
             others=tuple(
-                one.agent_address for one in keeping if one.name != self.me
+                member.agent_address
+                for member in holding
+                if member.name != self.own_name
             ),
             epoch=self.epoch,
         )
--- a/src/briarseam/cache/planning.py
+++ b/src/briarseam/cache/planning.py
@@ -28,34 +28,34 @@
 
     def __init__(
         self,
-        tools: exporting.Tools,
+        context: exporting.CacheContext,
         view: typing.Callable[[], schema.View],
         salt: typing.Callable[[str, str], str],
     ) -> None:
-        self.tools = tools
+        self.context = context
         self.view = view
         self.salt = salt
 
     def plan(self, prompt: state.Prompt, cached_pieces: int) -> state.Plan:
         """Return what can be imported after the cached pieces."""
-        wanted = prompt.chain[cached_pieces:]
-        if not wanted or self.view().kept_cache.policy == "off":
+        missing = prompt.chain[cached_pieces:]
+        if not missing or self.view().kept_cache.policy == "off":
             return state.Plan(prompt.model, prompt.version, cached_pieces)
-        tools = self.tools
+        context = self.context
         group = self.group(prompt)
-        variant = tools.names.variant(
+        variant = context.names.variant(
             prompt.model, prompt.adapter, prompt.version
         )
-        tools.sharing.ask(group, variant)
-        now = tools.clock()
-        own = group if tools.sharing.holders(group).mine else b""
-        keys = self.keys(prompt, wanted)
-        found = tools.index.prefix(keys, now, own)
+        context.sharing.query(group, variant)
+        now = context.clock()
+        owned_group = group if context.sharing.holders(group).is_owner else b""
+        keys = self.keys(prompt, missing)
+        blocks_found = context.index.longest_prefix(keys, now, owned_group)
         salt = self.engine_salt(prompt)
         blocks = tuple(
             state.Planned(pieces.salted(digest, salt), block)
             for digest, block in zip(
-                wanted, self.readable(found), strict=False
+                missing, self.readable(blocks_found), strict=False
             )
         )
         arrival_s = self.predict(blocks)
@@ -67,7 +67,7 @@
         self, prompt: state.Prompt, chain: typing.Sequence[bytes]
     ) -> typing.Iterator[bytes]:
         """Yield the keys of some pieces of a prompt."""
-        return self.tools.names.keys(
+        return self.context.names.keys(
             prompt.organisation,
             prompt.model,
             prompt.adapter,
@@ -82,14 +82,14 @@
     def group(self, prompt: state.Prompt) -> bytes:
         """Return a prompt's group; without a session, its start's."""
         session = prompt.session or prompt.chain[0].hex()
-        return self.tools.names.group(prompt.organisation, session)
+        return self.context.names.group(prompt.organisation, session)
 
     def readable(
         self, blocks: typing.Iterable[state.Block]
     ) -> typing.Iterator[state.Block]:
         """Yield blocks up to the first whose store is away."""
         for block in blocks:
-            if not self.tools.stores.readable(block.store, block.boot_id):
+            if not self.context.stores.readable(block.store, block.boot_id):
                 return
             yield block
 
@@ -100,24 +100,26 @@
 
         An engine fetches in order, so times over several links add up.
         """
-        lanes: dict[str, Lane] = {}
+        transfers: dict[str, LinkTransfer] = {}
         total_s = 0.0
         arrival_s = []
         for planned in blocks:
             block = planned.block
-            lane = lanes.get(block.store)
-            if lane is None:
-                store = self.tools.stores.get(block.store)
+            transfer = transfers.get(block.store)
+            if transfer is None:
+                store = self.context.stores.get(block.store)
                 if store is None:
                     break
-                lane = lanes[block.store] = Lane(store.link.outlook())
-            total_s += lane.add(block.size)
+                transfer = transfers[block.store] = LinkTransfer(
+                    store.link.estimate()
+                )
+            total_s += transfer.add(block.size)
             arrival_s.append(total_s)
         return tuple(arrival_s)
 
 
 @dataclasses.dataclass(slots=True)
-class Lane:
+class LinkTransfer:
     """What a plan moves over one link.
 
     Attributes
@@ -130,14 +132,14 @@
         Seconds so far.
     """
 
-    outlook: links.Outlook
+    estimate: links.TransferEstimate
     size: int = 0
-    spent_s: float = 0.0
+    elapsed_s: float = 0.0
 
     def add(self, size: int) -> float:
         """Add a block; return the seconds that it takes longer."""
         self.size += size
-        arrival_s = self.outlook.after_s(self.size)
-        longer_s = arrival_s - self.spent_s
-        self.spent_s = arrival_s
-        return longer_s
+        arrival_s = self.estimate.duration_s(self.size)
+        added_s = arrival_s - self.elapsed_s
+        self.elapsed_s = arrival_s
+        return added_s
--- a/src/briarseam/cache/residents.py
+++ b/src/briarseam/cache/residents.py
@@ -126,7 +126,7 @@
         else:
             self.sink.removed(self.name, prefix)
 
-    def lost(self) -> None:
+    def mark_unreachable(self) -> None:
         """Forget everything: the engine does not answer."""
         if self.boot_id:
             self.sink.forget(self.name)
@@ -170,7 +170,7 @@
         self.client = engine_events.EventClient()
         self.by_name: dict[str, EngineCacheFollower] = {}
         self.thread = threading.Thread(
-            target=self.match, name="cache-events", daemon=True
+            target=self.watch_configuration, name="cache-events", daemon=True
         )
 
     def start(self) -> None:
@@ -181,7 +181,7 @@
         """Stop following."""
         self.stopping.set()
 
-    def match(self) -> None:
+    def watch_configuration(self) -> None:
         """Keep one thread for each configured engine until stopped."""
         while not self.stopping.is_set():
             self.refresh()
@@ -189,10 +189,10 @@
 
     def refresh(self) -> None:
         """Take over the configured engines."""
-        wanted = self.wanted()
-        for name in set(self.by_name) - set(wanted):
+        followed_engines = self.followed_engines()
+        for name in set(self.by_name) - set(followed_engines):
             del self.by_name[name]
-        for name, address in wanted.items():
+        for name, address in followed_engines.items():
             known = self.by_name.get(name)
             if known is None or known.address != address:
                 self.follow(
@@ -201,7 +201,7 @@
                     )
                 )
 
-    def wanted(self) -> dict[str, str]:
+    def followed_engines(self) -> dict[str, str]:
         """Return the addresses of the engines to follow, by name."""
         engines = [
             (endpoint.zone != self.zone, name, endpoint.address)
@@ -211,32 +211,32 @@
         followed = sorted(engines)[:MAX_FOLLOWED]
         return {name: address for _, name, address in followed}
 
-    def follow(self, resident: EngineCacheFollower) -> None:
+    def follow(self, follower: EngineCacheFollower) -> None:
         """Follow one engine's events in a thread of its own."""
-        self.by_name[resident.name] = resident
+        self.by_name[follower.name] = follower
         threading.Thread(
-            target=self.work,
-            args=(resident,),
-            name=f"events-{resident.name}",
+            target=self.poll,
+            args=(follower,),
+            name=f"events-{follower.name}",
             daemon=True,
         ).start()
 
-    def work(self, resident: EngineCacheFollower) -> None:
+    def poll(self, follower: EngineCacheFollower) -> None:
         """Read an engine's events until it is not configured any more."""
         idle_s = max(IDLE_POLL_S, self.poll_s)
         wait_s = self.poll_s
         while not self.stopping.is_set():
-            if self.by_name.get(resident.name) is not resident:
-                self.sink.forget(resident.name)
+            if self.by_name.get(follower.name) is not follower:
+                self.sink.forget(follower.name)
                 return
             try:
-                busy = resident.read()
+                busy = follower.read()
             except engine_events.EventsUnavailableError:
-                resident.lost()
+                follower.mark_unreachable()
                 busy = False
             wait_s = self.poll_s if busy else min(2 * wait_s, idle_s)
-            self.stopping.wait(max(wait_s, self.least_wait_s()))
+            self.stopping.wait(max(wait_s, self.min_wait_s()))
 
-    def least_wait_s(self) -> float:
+    def min_wait_s(self) -> float:
         """Return the wait that keeps all reads together within bounds."""
         return len(self.by_name) / MAX_READS_PER_S
--- a/src/briarseam/cache/retention.py
+++ b/src/briarseam/cache/retention.py
@@ -24,10 +24,10 @@
 MAX_USES = 2
 MAX_CLASS_EVENTS = 4000.0
 DECAY = 0.5
-PRIOR_EVENTS = 8.0
-STALE_PART = 0.02
-SHARED_CLASSES = 1024
-SAMPLE = 32
+PRIOR_WEIGHT_EVENTS = 8.0
+UPDATE_FRACTION = 0.02
+MAX_INTERNED_CLASSES = 1024
+SAMPLE_SIZE = 32
 
 
 class Policy(enum.StrEnum):
@@ -79,7 +79,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Waiting:
+class AwaitedReturn:
     """A group that may return.
 
     Attributes
@@ -91,17 +91,17 @@
     """
 
     group_class: GroupClass
-    since: float
+    started_at: float
 
 
-def class_of(organisation: bytes, pieces: int, uses: int) -> GroupClass:
+def classify(organisation: bytes, pieces: int, uses: int) -> GroupClass:
     """Return the class of a group."""
     length = max(pieces, 1).bit_length()
-    return shared(organisation, length, min(uses, MAX_USES))
+    return interned_class(organisation, length, min(uses, MAX_USES))
 
 
-@functools.lru_cache(SHARED_CLASSES)
-def shared(organisation: bytes, length: int, uses: int) -> GroupClass:
+@functools.lru_cache(MAX_INTERNED_CLASSES)
+def interned_class(organisation: bytes, length: int, uses: int) -> GroupClass:
     """Return one object for all groups of a class; they are many."""
     return GroupClass(organisation, length, uses)
 
@@ -116,43 +116,46 @@
     return float(1.5 * 2.0**index - 1.0)
 
 
-MIDDLES = [bin_middle(index) for index in range(AGE_BINS)]
+BIN_MIDDLES = [bin_middle(index) for index in range(AGE_BINS)]
 
 
-class Ages:
+class AgeHistogram:
     """Counts of the ages at which groups of one class ended a wait."""
 
     def __init__(self) -> None:
         self.returned = array.array("f", [0.0] * AGE_BINS)
-        self.given_up = array.array("f", [0.0] * AGE_BINS)
+        self.expired = array.array("f", [0.0] * AGE_BINS)
         self.total = 0.0
-        self.stale = 0.0
+        self.events_since_update = 0.0
         self.densities: list[float] = []
 
-    def note(self, age_s: float, returned: bool) -> None:
+    def record_outcome(self, age_s: float, returned: bool) -> None:
         """Count one end of a wait."""
-        counts = self.returned if returned else self.given_up
+        counts = self.returned if returned else self.expired
         counts[age_bin(age_s)] += 1.0
         self.total += 1.0
-        self.stale += 1.0
+        self.events_since_update += 1.0
         if self.total > MAX_CLASS_EVENTS:
-            self.fade()
+            self.decay_counts()
 
-    def fade(self) -> None:
+    def decay_counts(self) -> None:
         """Let old counts weigh less, so that a change is learned."""
         for index in range(AGE_BINS):
             self.returned[index] *= DECAY
-            self.given_up[index] *= DECAY
+            self.expired[index] *= DECAY
         self.total *= DECAY
 
     def density(self, age_s: float) -> float:
         """Return hits per second of keeping a group of this age."""
-        if not self.densities or self.stale > self.total * STALE_PART:
-            self.densities = self.work_out()
-            self.stale = 0.0
+        if (
+            not self.densities
+            or self.events_since_update > self.total * UPDATE_FRACTION
+        ):
+            self.densities = self.compute_densities()
+            self.events_since_update = 0.0
         return self.densities[age_bin(age_s)]
 
-    def work_out(self) -> list[float]:
+    def compute_densities(self) -> list[float]:
         """Return the density for each bin.
 
         For bin ``a``: the hits at ages of ``a`` and above, by the time
@@ -165,10 +168,12 @@
             stay_s = 0.0
             for index in range(start, AGE_BINS):
                 returned = self.returned[index]
-                ended = returned + self.given_up[index]
+                ended = returned + self.expired[index]
                 hits += returned
                 stay_s += ended * max(
-                    MIDDLES[index] - MIDDLES[start], MIDDLES[start] / 3, 0.5
+                    BIN_MIDDLES[index] - BIN_MIDDLES[start],
+                    BIN_MIDDLES[start] / 3,
+                    0.5,
                 )
             densities.append(hits / stay_s if stay_s > 0.0 else 0.0)
         return densities
@@ -190,14 +195,14 @@
     """
 
     def __init__(
-        self, max_waiting: int = 20000, max_classes: int = 1024
+        self, max_awaited: int = 20000, max_classes: int = 1024
     ) -> None:
-        self.max_waiting = max_waiting
+        self.max_awaited = max_awaited
         self.max_classes = max_classes
         self.lock = threading.Lock()
-        self.everything = Ages()
-        self.classes: dict[GroupClass, Ages] = {}
-        self.waiting: collections.OrderedDict[bytes, Waiting] = (
+        self.all_groups = AgeHistogram()
+        self.classes: dict[GroupClass, AgeHistogram] = {}
+        self.awaited: collections.OrderedDict[bytes, AwaitedReturn] = (
             collections.OrderedDict()
         )
 
@@ -215,30 +220,32 @@
         """
         organisation = group[:4]
         with self.lock:
-            before = self.waiting.pop(group, None)
+            before = self.awaited.pop(group, None)
             uses = 1
             if before is not None:
-                self.note(
-                    before.group_class, now - before.since, returned=True
+                self.record_outcome(
+                    before.group_class, now - before.started_at, returned=True
                 )
                 uses = before.group_class.uses + 1
-            group_class = class_of(organisation, pieces, uses)
-            self.waiting[group] = Waiting(group_class, now)
-            while len(self.waiting) > self.max_waiting:
-                _, old = self.waiting.popitem(last=False)
-                self.note(old.group_class, now - old.since, returned=False)
+            group_class = classify(organisation, pieces, uses)
+            self.awaited[group] = AwaitedReturn(group_class, now)
+            while len(self.awaited) > self.max_awaited:
+                _, old = self.awaited.popitem(last=False)
+                self.record_outcome(
+                    old.group_class, now - old.started_at, returned=False
+                )
 
-    def note(
+    def record_outcome(
         self, group_class: GroupClass, age_s: float, returned: bool
     ) -> None:
         """Count one end of a wait, for the class and over all."""
-        self.everything.note(age_s, returned)
-        ages = self.classes.get(group_class)
-        if ages is None:
+        self.all_groups.record_outcome(age_s, returned)
+        histogram = self.classes.get(group_class)
+        if histogram is None:
             if len(self.classes) >= self.max_classes:
                 return
-            ages = self.classes[group_class] = Ages()
-        ages.note(age_s, returned)
+            histogram = self.classes[group_class] = AgeHistogram()
+        histogram.record_outcome(age_s, returned)
 
     def density(self, group_class: GroupClass, age_s: float) -> float:
         """Return hits per second of keeping such a group.
@@ -246,20 +253,20 @@
         A class seen seldom leans on what all groups do.
         """
         with self.lock:
-            common = self.everything.density(age_s)
-            ages = self.classes.get(group_class)
-            if ages is None:
+            common = self.all_groups.density(age_s)
+            histogram = self.classes.get(group_class)
+            if histogram is None:
                 return common
-            weight = ages.total / (ages.total + PRIOR_EVENTS)
-            return weight * ages.density(age_s) + (1.0 - weight) * common
+            weight = histogram.total / (histogram.total + PRIOR_WEIGHT_EVENTS)
+            return weight * histogram.density(age_s) + (1.0 - weight) * common
 
     def group_class(self, group: bytes, pieces: int) -> GroupClass:
         """Return the class of a group, by what is remembered of it."""
         with self.lock:
-            known = self.waiting.get(group)
+            known = self.awaited.get(group)
         if known is not None:
             return known.group_class
-        return class_of(group[:4], pieces, 1)
+        return classify(group[:4], pieces, 1)
 
 
 class Ranker:
@@ -277,7 +284,7 @@
         self.model = model
         self.policy = policy
 
-    def worth(self, candidate: Candidate) -> float:
+    def value(self, candidate: Candidate) -> float:
         """Return what keeping a group is worth; the lowest goes first."""
         match self.policy:
             case Policy.LRU:
@@ -297,15 +304,15 @@
         """
         return min(
             candidates,
-            key=lambda candidate: (self.worth(candidate), -candidate.age_s),
+            key=lambda candidate: (self.value(candidate), -candidate.age_s),
             default=None,
         )
 
 
 def sample_groups(
-    groups: typing.Sequence[bytes], chance: random.Random
+    groups: typing.Sequence[bytes], rng: random.Random
 ) -> list[bytes]:
     """Return a bounded random part of the groups."""
-    if len(groups) <= SAMPLE:
+    if len(groups) <= SAMPLE_SIZE:
         return list(groups)
-    return [groups[chance.randrange(len(groups))] for _ in range(SAMPLE)]
+    return [groups[rng.randrange(len(groups))] for _ in range(SAMPLE_SIZE)]
--- a/src/briarseam/cache/saving.py
+++ b/src/briarseam/cache/saving.py
@@ -32,13 +32,13 @@
 
     def __init__(
         self,
-        tools: exporting.Tools,
+        context: exporting.CacheContext,
         view: typing.Callable[[], schema.View],
         planner: planning.Planner,
         returns: retention.ReturnModel,
         exporters: typing.Mapping[str, exporting.Exporter],
     ) -> None:
-        self.tools = tools
+        self.context = context
         self.view = view
         self.planner = planner
         self.returns = returns
@@ -54,28 +54,28 @@
         engine
             ``ip:port`` of where it ran.
         """
-        tools = self.tools
+        context = self.context
         policy = self.view().kept_cache
         length = len(prompt.chain)
         if policy.policy == "off" or length < max(policy.min_pieces, 1):
             return
-        now = tools.clock()
+        now = context.clock()
         group = self.planner.group(prompt)
         self.returns.record_use(group, length, now)
-        tools.index.record_use(group, now)
+        context.index.record_use(group, now)
         missing = self.missing(prompt)
         if not missing:
             return
-        tools.index.forget_oldest(len(missing))
-        variant = tools.names.variant(
+        context.index.evict_oldest(len(missing))
+        variant = context.names.variant(
             prompt.model, prompt.adapter, prompt.version
         )
-        worth = self.returns.density(
+        value = self.returns.density(
             self.returns.group_class(group, length), 0.0
         )
-        exporter = self.exporter_for(group, variant, worth)
+        exporter = self.exporter_for(group, variant, value)
         if exporter is None:
-            tools.metrics.count("exports_refused", len(missing))
+            context.metrics.count("exports_refused", len(missing))
             return
         exporter.submit(
             exporting.Job(
@@ -85,7 +85,7 @@
                 group,
                 variant,
                 tuple(missing),
-                worth,
+                value,
                 now,
             )
         )
@@ -94,7 +94,7 @@
         """Return the pieces of a prompt that are not kept."""
         salt = self.planner.engine_salt(prompt)
         keys = self.planner.keys(prompt, prompt.chain)
-        known = self.tools.index.by_key
+        known = self.context.index.by_key
         return [
             exporting.Piece(pieces.salted(digest, salt), key, depth)
             for depth, (digest, key) in enumerate(
@@ -104,17 +104,17 @@
         ]
 
     def exporter_for(
-        self, group: bytes, variant: bytes, worth: float
+        self, group: bytes, variant: bytes, value: float
     ) -> exporting.Exporter | None:
         """Return the exporter of the store that a group should lie in."""
-        size = self.tools.sizes.expected(variant) or 0
-        with self.tools.index.lock:
-            known = self.tools.index.groups.get(group)
+        size = self.context.sizes.expected(variant) or 0
+        with self.context.index.lock:
+            known = self.context.index.groups.get(group)
             home = known.blocks[0].store if known is not None else ""
         usable = [
             store
-            for store in self.tools.stores.writable()
-            if store.bar <= 0.0 or worth >= store.bar
+            for store in self.context.stores.writable()
+            if store.min_value <= 0.0 or value >= store.min_value
         ]
         if not usable:
             return None
@@ -124,7 +124,7 @@
                 store.name != home,
                 not store.has_room(size),
                 store.fullness() > self.view().kept_cache.fill,
-                block_names.rank(group, store.name),
+                block_names.store_rank(group, store.name),
             ),
         )
         return self.exporters.get(chosen.name)
--- a/src/briarseam/cache/service.py
+++ b/src/briarseam/cache/service.py
@@ -10,7 +10,7 @@
 from briarseam.cache import exporting
 from briarseam.cache import importing
 from briarseam.cache import index as indexes
-from briarseam.cache import keeping
+from briarseam.cache import maintenance
 from briarseam.cache import names as block_names
 from briarseam.cache import pieces
 from briarseam.cache import planning
@@ -30,12 +30,12 @@
 REFRESH_S = 0.5
 
 
-def alone(group: bytes) -> state.Holders:
+def owns_all_groups(group: bytes) -> state.Holders:
     """Own every group: there are no other agents."""
     return state.Holders()
 
 
-def whole(link: str = "") -> float:
+def full_link_share(link: str = "") -> float:
     """Use the whole of each link: there are no other agents."""
     return 1.0
 
@@ -64,9 +64,9 @@
         Seconds since the epoch.
     """
 
-    holders: typing.Callable[[bytes], state.Holders] = alone
-    call: index_sharing.Call = index_sharing.no_call
-    link_share: typing.Callable[[], float] = whole
+    holders: typing.Callable[[bytes], state.Holders] = owns_all_groups
+    call: index_sharing.Call = index_sharing.unreachable
+    link_share: typing.Callable[[], float] = full_link_share
     salt: typing.Callable[[str], str] | None = None
     session_hash: block_names.SessionHash | None = None
     clock: typing.Callable[[], float] = time.monotonic
@@ -101,15 +101,15 @@
         metrics: state.Metrics | None = None,
         ports: Ports | None = None,
         max_blocks: int = MAX_BLOCKS,
-        poll_s: float = keeping.POLL_S,
-        rest_s: float = sweeping.REST_S,
+        poll_s: float = maintenance.POLL_S,
+        sweep_pause_s: float = sweeping.MIN_PAUSE_S,
     ) -> None:
         self.view = view
         self.ports = ports or Ports()
         self.clock = self.ports.clock
         self.metrics = metrics or state.NoMetrics()
         self.poll_s = poll_s
-        self.rest_s = rest_s
+        self.sweep_pause_s = sweep_pause_s
         self.names = block_names.Names(key, self.ports.session_hash)
         self.index = indexes.BlockIndex(max_blocks)
         self.returns = retention.ReturnModel()
@@ -123,7 +123,7 @@
             self.clock,
             self.metrics,
         )
-        self.tools = exporting.Tools(
+        self.context = exporting.CacheContext(
             index=self.index,
             names=self.names,
             sizes=sizes.Sizes(),
@@ -134,15 +134,15 @@
             clock=self.clock,
             metrics=self.metrics,
         )
-        self.sharing.on_added = self.learn_size
+        self.sharing.on_block_added = self.record_size
         self.stopping = threading.Event()
         self.exporters: dict[str, exporting.Exporter] = {}
-        self.planner = planning.Planner(self.tools, view, self.engine_salt)
+        self.planner = planning.Planner(self.context, view, self.engine_salt)
         self.saver = saving.Saver(
-            self.tools, view, self.planner, self.returns, self.exporters
+            self.context, view, self.planner, self.returns, self.exporters
         )
-        self.importer = importing.Importer(self.tools, self.stopping)
-        self.keepers: dict[str, keeping.Keeper] = {}
+        self.importer = importing.Importer(self.context, self.stopping)
+        self.maintainers: dict[str, maintenance.StoreMaintainer] = {}
         self.thread = threading.Thread(
             target=self.work, name="kept-cache", daemon=True
         )
@@ -170,30 +170,32 @@
     def refresh(self) -> None:
         """Take over the configured stores; one thread pair for each."""
         for store in self.update_stores():
-            self.keepers[store.name].thread.start()
+            self.maintainers[store.name].thread.start()
             self.exporters[store.name].thread.start()
 
     def update_stores(self) -> list[store_state.Store]:
         """Take over the configured stores; return the new ones."""
         new = self.stores.refresh()
         for store in new:
-            self.keepers[store.name] = self.keeper(store)
+            self.maintainers[store.name] = self.build_maintainer(store)
             self.exporters[store.name] = exporting.Exporter(
-                store, self.tools, self.stopping
+                store, self.context, self.stopping
             )
         return new
 
-    def keeper(self, store: store_state.Store) -> keeping.Keeper:
+    def build_maintainer(
+        self, store: store_state.Store
+    ) -> maintenance.StoreMaintainer:
         """Return the keeper of a store, not started."""
-        return keeping.Keeper(
+        return maintenance.StoreMaintainer(
             store,
-            self.tools,
+            self.context,
             self.ranker,
             self.view,
             self.stopping,
             self.ports.wall_clock,
             self.poll_s,
-            self.rest_s,
+            self.sweep_pause_s,
         )
 
     def ranker(self) -> retention.Ranker:
@@ -203,9 +205,9 @@
             policy = retention.Policy.LRU
         return retention.Ranker(self.returns, policy)
 
-    def learn_size(self, block: state.Block) -> None:
+    def record_size(self, block: state.Block) -> None:
         """Learn the size of whole blocks from another agent's export."""
-        self.tools.sizes.learn(block.variant, block.size)
+        self.context.sizes.record(block.variant, block.size)
 
     def salt(self, organisation: str) -> str:
         """Return the cache salt that engines are given."""
@@ -253,7 +255,10 @@
         )
 
     def import_to(
-        self, address: str, plan: state.Plan, max_s: float = keeping.READING_S
+        self,
+        address: str,
+        plan: state.Plan,
+        max_s: float = maintenance.MAX_IMPORT_S,
     ) -> state.Imported:
         """Let an endpoint import a plan's blocks; wait for it.
 
--- a/src/briarseam/cache/sharing.py
+++ b/src/briarseam/cache/sharing.py
@@ -22,20 +22,20 @@
 from briarseam.wire import connection as connections
 from briarseam.wire import server
 
-ASK_TIMEOUT_S = 0.008
+QUERY_TIMEOUT_S = 0.008
 CHANGE_TIMEOUT_S = 1.0
-LEARNED_S = 10.0
-QUIET_S = 1.0
-COLD_S = 30.0
+COPY_TTL_S = 10.0
+BACKOFF_S = 1.0
+WARM_UP_S = 30.0
 MAX_QUEUED_CHANGES = 10000
-MAX_ASKED = 4096
+MAX_QUERIED_GROUPS = 4096
 MAX_BATCH = 256
 POLL_S = 0.2
 Call = typing.Callable[[str, codec.Message, float], codec.Message]
 log = structlog.get_logger("briarseam.cache")
 
 
-def no_call(
+def unreachable(
     address: str, request: codec.Message, timeout_s: float
 ) -> codec.Message:
     """Reach nobody: the agent is alone."""
@@ -72,39 +72,43 @@
         self.call = call
         self.clock = clock
         self.metrics = metrics
-        self.quiet_until: dict[str, float] = {}
-        self.asked: collections.OrderedDict[bytes, float] = (
+        self.backoff_until: dict[str, float] = {}
+        self.next_query_at: collections.OrderedDict[bytes, float] = (
             collections.OrderedDict()
         )
         self.epoch = -1
-        self.cold_until = clock() + COLD_S
-        self.on_added: typing.Callable[[state.Block], None] = lambda _: None
+        self.warm_up_until = clock() + WARM_UP_S
+        self.on_block_added: typing.Callable[[state.Block], None] = lambda _: (
+            None
+        )
         self.changes: queue.Queue[Change] = queue.Queue(MAX_QUEUED_CHANGES)
         self.stopping = threading.Event()
         self.thread = threading.Thread(
-            target=self.tell, name="kept-changes", daemon=True
+            target=self.send_changes, name="kept-changes", daemon=True
         )
 
     def register(self, router: server.Router) -> None:
         """Answer other agents' messages."""
         router.on(messages.KeptAsk, self.answer)
-        router.on(messages.KeptChange, self.take)
+        router.on(messages.KeptChange, self.apply_change)
 
-    def learned_until(self, mine: bool) -> float:
+    def valid_until(self, is_owner: bool) -> float:
         """Return how long a block that is added now may be used."""
-        return float("inf") if mine else self.clock() + LEARNED_S
+        return float("inf") if is_owner else self.clock() + COPY_TTL_S
 
-    def free_wait_s(self, holders: state.Holders, reading_s: float) -> float:
+    def deletion_delay_s(
+        self, holders: state.Holders, max_import_s: float
+    ) -> float:
         """Return how long other agents may use a block that is freed now.
 
         Parameters
         ----------
         holders
             The agents.
-        reading_s
+        max_import_s
             Longest time one import takes.
         """
-        return LEARNED_S + reading_s if holders.others else 0.0
+        return COPY_TTL_S + max_import_s if holders.others else 0.0
 
     def answer(
         self, peer: connections.Identity, request: messages.KeptAsk
@@ -123,114 +127,114 @@
         blocks.sort(key=lambda block: block.depth)
         return messages.KeptAnswer(tuple(blocks[: messages.MAX_BLOCKS]))
 
-    def take(
+    def apply_change(
         self, peer: connections.Identity, change: messages.KeptChange
     ) -> messages.KeptNoted:
         """Take in what another agent exported or freed."""
-        self.take_freed(change.freed)
+        self.apply_freed(change.freed)
         for block in change.added:
-            mine = self.holders(block.group).mine
-            until = self.learned_until(mine)
-            if self.index.add(block, self.clock(), until):
-                self.on_added(block)
+            is_owner = self.holders(block.group).is_owner
+            valid_until = self.valid_until(is_owner)
+            if self.index.add(block, self.clock(), valid_until):
+                self.on_block_added(block)
         return messages.KeptNoted()
 
-    def take_freed(self, freed: typing.Sequence[bytes]) -> None:
+    def apply_freed(self, freed: typing.Sequence[bytes]) -> None:
         """Forget blocks; their owner deletes them."""
-        gone = set(freed)
+        freed_names = set(freed)
         with self.index.lock:
-            known = [
+            known_blocks = [
                 block
-                for packed in gone
-                for block in [self.index.by_key.get(key_of(packed))]
+                for packed in freed_names
+                for block in [self.index.by_key.get(block_key(packed))]
                 if block is not None and block.packed == packed
             ]
-            for block in known:
+            for block in known_blocks:
                 self.index.forget(block)
 
-    def ask(self, group: bytes, variant: bytes) -> None:
+    def query(self, group: bytes, variant: bytes) -> None:
         """Learn a group from who keeps it, within a few milliseconds.
 
         Does nothing when this agent's own copy will do.
         """
         holders = self.holders(group)
-        if not self.needs(group, holders):
+        if not self.needs_query(group, holders):
             return
         for address in holders.others:
-            if self.quiet_until.get(address, 0.0) > self.clock():
+            if self.backoff_until.get(address, 0.0) > self.clock():
                 continue
-            if self.ask_one(address, group, variant, holders.mine):
+            if self.query_agent(address, group, variant, holders.is_owner):
                 return
 
-    def needs(self, group: bytes, holders: state.Holders) -> bool:
+    def needs_query(self, group: bytes, holders: state.Holders) -> bool:
         """Tell whether others may know more of a group."""
         now = self.clock()
         if holders.epoch != self.epoch:
             self.epoch = holders.epoch
-            self.cold_until = now + COLD_S
+            self.warm_up_until = now + WARM_UP_S
         if not holders.others:
             return False
         with self.index.lock:
-            known = self.index.groups.get(group)
-            if holders.mine:
-                cold = known is None and now < self.cold_until
-                return cold and self.asked.get(group, 0.0) <= now
-            if known is not None and known.learned_until > now:
+            group_entry = self.index.groups.get(group)
+            if holders.is_owner:
+                warming_up = group_entry is None and now < self.warm_up_until
+                return warming_up and self.next_query_at.get(group, 0.0) <= now
+            if group_entry is not None and group_entry.valid_until > now:
                 return False
-        return self.asked.get(group, 0.0) <= now
+        return self.next_query_at.get(group, 0.0) <= now
 
-    def ask_one(
-        self, address: str, group: bytes, variant: bytes, mine: bool
+    def query_agent(
+        self, address: str, group: bytes, variant: bytes, is_owner: bool
     ) -> bool:
         """Ask one agent; tell whether it answered."""
         self.metrics.count("kept_index_asks")
         request = messages.KeptAsk(group, variant)
         try:
-            reply = self.call(address, request, ASK_TIMEOUT_S)
+            reply = self.call(address, request, QUERY_TIMEOUT_S)
         except connections.WireError:
             # Guard: a peer that is gone would cost every decision the
             # whole timeout.  It is left alone for a while; without it the
             # prompt is recomputed, which is never wrong.
-            self.quiet_until[address] = self.clock() + QUIET_S
+            self.backoff_until[address] = self.clock() + BACKOFF_S
             self.metrics.count("kept_index_asks_lost")
             return False
         if not isinstance(reply, messages.KeptAnswer):
             return False
-        self.learn(group, reply, mine)
+        self.apply_reply(group, reply, is_owner)
         return True
 
-    def learn(
-        self, group: bytes, reply: messages.KeptAnswer, mine: bool
+    def apply_reply(
+        self, group: bytes, reply: messages.KeptAnswer, is_owner: bool
     ) -> None:
         """Put a reply into the index in place of what was known."""
         now = self.clock()
-        until = self.learned_until(mine)
+        valid_until = self.valid_until(is_owner)
         with self.index.lock:
-            fresh = {block.packed for block in reply.blocks}
-            known = self.index.groups.get(group)
-            old = list(known.blocks) if known is not None else []
+            current = {block.packed for block in reply.blocks}
+            group_entry = self.index.groups.get(group)
+            old = list(group_entry.blocks) if group_entry is not None else []
             for block in old:
-                if block.packed not in fresh and not mine:
+                if block.packed not in current and not is_owner:
                     self.index.forget(block)
             for block in reply.blocks:
                 if block.group == group:
-                    self.index.add(block, now, until)
-            known = self.index.groups.get(group)
-            if known is not None:
-                known.learned_until = until
-        self.asked[group] = now + LEARNED_S
-        while len(self.asked) > MAX_ASKED:
-            self.asked.popitem(last=False)
-
-    def added(self, block: state.Block) -> None:
+                    self.index.add(block, now, valid_until)
+            group_entry = self.index.groups.get(group)
+            if group_entry is not None:
+                group_entry.valid_until = valid_until
+        self.next_query_at[group] = now + COPY_TTL_S
+        while len(self.next_query_at) > MAX_QUERIED_GROUPS:
+            self.next_query_at.popitem(last=False)
+
+    def announce_added(self, block: state.Block) -> None:
         """Tell who keeps a group of a block that was confirmed."""
-        self.queue(block.group, messages.KeptChange(added=(block,)))
+        self.enqueue(block.group, messages.KeptChange(added=(block,)))
 
-    def freed(self, block: state.Block) -> None:
+    def announce_freed(self, block: state.Block) -> None:
         """Tell who keeps a group of a block that was freed."""
-        self.queue(block.group, messages.KeptChange(freed=(block.packed,)))
+        self.enqueue(block.group, messages.KeptChange(freed=(block.packed,)))
 
-    def queue(self, group: bytes, change: messages.KeptChange) -> None:
+    def enqueue(self, group: bytes, change: messages.KeptChange) -> None:
         """Have a change sent to the agents that keep a group."""
         for address in self.holders(group).others:
             try:
@@ -248,38 +252,38 @@
         """Stop sending."""
         self.stopping.set()
 
-    def tell(self) -> None:
+    def send_changes(self) -> None:
         """Send changes until stopped, those for one agent together."""
         while not self.stopping.is_set():
-            self.tell_once(POLL_S)
+            self.send_batch(POLL_S)
 
-    def tell_once(self, timeout_s: float) -> None:
+    def send_batch(self, timeout_s: float) -> None:
         """Send the changes that are waiting or come in time."""
-        for address, change in self.batch(timeout_s).items():
+        for address, change in self.next_batch(timeout_s).items():
             try:
                 self.call(address, change, CHANGE_TIMEOUT_S)
             except connections.WireError:
                 self.metrics.count("kept_changes_lost")
 
-    def batch(self, timeout_s: float) -> dict[str, messages.KeptChange]:
+    def next_batch(self, timeout_s: float) -> dict[str, messages.KeptChange]:
         """Return waiting changes by the agent they are for."""
         try:
-            waiting = [self.changes.get(timeout=timeout_s)]
+            pending = [self.changes.get(timeout=timeout_s)]
         except queue.Empty:
             return {}
-        while len(waiting) < MAX_BATCH:
+        while len(pending) < MAX_BATCH:
             try:
-                waiting.append(self.changes.get_nowait())
+                pending.append(self.changes.get_nowait())
             except queue.Empty:
                 break
-        joined: dict[str, messages.KeptChange] = {}
-        for item in waiting:
-            before = joined.get(item.address, messages.KeptChange())
-            joined[item.address] = messages.KeptChange(
+        merged: dict[str, messages.KeptChange] = {}
+        for item in pending:
+            before = merged.get(item.address, messages.KeptChange())
+            merged[item.address] = messages.KeptChange(
                 added=before.added + item.change.added,
                 freed=before.freed + item.change.freed,
             )
-        return joined
+        return merged
 
 
 class Change(typing.NamedTuple):
@@ -289,6 +293,6 @@
     change: messages.KeptChange
 
 
-def key_of(packed: bytes) -> bytes:
+def block_key(packed: bytes) -> bytes:
     """Return the key in a packed name."""
     return state.Block(packed, 0, b"", "", "").key
--- a/src/briarseam/cache/sizes.py
+++ b/src/briarseam/cache/sizes.py
@@ -17,18 +17,18 @@
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
-        self.known: collections.OrderedDict[bytes, int] = (
+        self.by_variant: collections.OrderedDict[bytes, int] = (
             collections.OrderedDict()
         )
 
-    def learn(self, variant: bytes, size: int) -> None:
+    def record(self, variant: bytes, size: int) -> None:
         """Take in the size of a block confirmed with its writer."""
         with self.lock:
-            self.known[variant] = size
-            self.known.move_to_end(variant)
-            while len(self.known) > MAX_VARIANTS:
-                self.known.popitem(last=False)
+            self.by_variant[variant] = size
+            self.by_variant.move_to_end(variant)
+            while len(self.by_variant) > MAX_VARIANTS:
+                self.by_variant.popitem(last=False)
 
     def expected(self, variant: bytes) -> int | None:
         """Return the size of a whole block, ``None`` when not known."""
-        return self.known.get(variant)
+        return self.by_variant.get(variant)
--- a/src/briarseam/cache/state.py
+++ b/src/briarseam/cache/state.py
@@ -35,22 +35,24 @@
     @property
     def key(self) -> bytes:
         """What a prompt's piece has to match."""
-        return self.packed[names.KEY_AT : names.NONCE_AT]
+        return self.packed[names.KEY_OFFSET : names.NONCE_OFFSET]
 
     @property
     def group(self) -> bytes:
         """Organisation and session, hashed."""
-        return self.packed[: names.VARIANT_AT]
+        return self.packed[: names.VARIANT_OFFSET]
 
     @property
     def variant(self) -> bytes:
         """Model, adapter and weight version, hashed."""
-        return self.packed[names.VARIANT_AT : names.DEPTH_AT]
+        return self.packed[names.VARIANT_OFFSET : names.DEPTH_OFFSET]
 
     @property
     def depth(self) -> int:
         """Pieces in front of this one."""
-        depth: int = names.DEPTH.unpack_from(self.packed, names.DEPTH_AT)[0]
+        depth: int = names.DEPTH.unpack_from(self.packed, names.DEPTH_OFFSET)[
+            0
+        ]
         return depth
 
 
@@ -181,7 +183,7 @@
         Changes with the set of agents.
     """
 
-    mine: bool = True
+    is_owner: bool = True
     others: tuple[str, ...] = ()
     epoch: int = 0
 
--- a/src/briarseam/cache/stores.py
+++ b/src/briarseam/cache/stores.py
@@ -13,8 +13,8 @@
 from briarseam.configuration import values
 from briarseam.endpoints import store as store_client
 
-FAILED_POLLS = 2
-EXPORT_FILL = 0.98
+MAX_FAILED_POLLS = 2
+MAX_EXPORT_FILL = 0.98
 log = structlog.get_logger("briarseam.cache")
 
 
@@ -47,11 +47,11 @@
     failed_polls: int = 0
     used: int = 0
     capacity: int = 0
-    bar: float = 0.0
+    min_value: float = 0.0
 
     def has_room(self, size: int) -> bool:
         """Tell whether a block would fit."""
-        return self.used + size <= self.capacity * EXPORT_FILL
+        return self.used + size <= self.capacity * MAX_EXPORT_FILL
 
     def fullness(self) -> float:
         """Return the part of the capacity in use."""
@@ -88,14 +88,14 @@
         share = self.link_share()
         new = []
         with self.lock:
-            wanted = {
+            configured = {
                 name: endpoint
                 for name, endpoint in self.view().endpoints.items()
                 if endpoint.kind is values.EndpointKind.STORE
             }
-            for name in set(self.by_name) - set(wanted):
+            for name in set(self.by_name) - set(configured):
                 del self.by_name[name]
-            for name, endpoint in wanted.items():
+            for name, endpoint in configured.items():
                 store = self.by_name.get(name)
                 if store is None or store.address != endpoint.address:
                     link = links.Link(self.clock)
@@ -130,7 +130,9 @@
             and endpoints[store.name].state is serving
         ]
 
-    def answered(self, store: Store, state: store_client.StoreState) -> bool:
+    def apply_state(
+        self, store: Store, state: store_client.StoreState
+    ) -> bool:
         """Take in a store's state; tell whether it has booted anew."""
         rebooted = store.boot_id != state.boot_id
         if rebooted and store.boot_id:
@@ -144,7 +146,9 @@
         store.alive = True
         return rebooted
 
-    def failed(self, store: Store, detail: str, at_once: bool = False) -> None:
+    def record_failure(
+        self, store: Store, detail: str, at_once: bool = False
+    ) -> None:
         """Note that a store did not answer.
 
         Parameters
@@ -157,7 +161,7 @@
             An engine could not reach it: use it no more until it answers.
         """
         store.failed_polls += 1
-        gone = at_once or store.failed_polls >= FAILED_POLLS
-        if gone and store.alive:
+        unavailable = at_once or store.failed_polls >= MAX_FAILED_POLLS
+        if unavailable and store.alive:
             store.alive = False
             log.warning("store_unavailable", store=store.name, detail=detail)
--- a/src/briarseam/cache/sweeping.py
+++ b/src/briarseam/cache/sweeping.py
@@ -17,16 +17,16 @@
 from briarseam.configuration import schema
 from briarseam.endpoints import store as store_client
 
-PAGE = 500
-REST_S = 300.0
-REST_FACTOR = 9.0
-MAX_UNKNOWN = 10000
+PAGE_BLOCKS = 500
+MIN_PAUSE_S = 300.0
+PAUSE_FACTOR = 9.0
+MAX_UNADOPTED = 10000
 MS = 1000.0
 ANY_GROUP = bytes(names.GROUP_BYTES)
 
 
 @dataclasses.dataclass(frozen=True)
-class Unknown:
+class UnadoptedBlock:
     """A listed block that can't be adopted as yet.
 
     Attributes
@@ -64,11 +64,15 @@
     """
 
     after: str = ""
-    unknown: dict[bytes, Unknown] = dataclasses.field(default_factory=dict)
-    seen_before: dict[bytes, Unknown] = dataclasses.field(default_factory=dict)
+    unadopted: dict[bytes, UnadoptedBlock] = dataclasses.field(
+        default_factory=dict
+    )
+    unadopted_before: dict[bytes, UnadoptedBlock] = dataclasses.field(
+        default_factory=dict
+    )
     passes: int = 0
-    began: float = 0.0
-    rest_until: float = 0.0
+    started_at: float = 0.0
+    paused_until: float = 0.0
     epoch: int = -1
 
 
@@ -92,28 +96,28 @@
     def __init__(
         self,
         store: store_state.Store,
-        tools: exporting.Tools,
+        context: exporting.CacheContext,
         view: typing.Callable[[], schema.View],
         wall_clock: typing.Callable[[], float],
-        rest_s: float = REST_S,
+        sweep_pause_s: float = MIN_PAUSE_S,
     ) -> None:
         self.store = store
-        self.tools = tools
+        self.context = context
         self.view = view
         self.wall_clock = wall_clock
-        self.rest_s = rest_s
+        self.sweep_pause_s = sweep_pause_s
         self.sweep = Sweep()
 
-    def begin_anew(self) -> None:
+    def restart(self) -> None:
         """Forget what was seen: it was another boot's."""
         self.sweep = Sweep()
 
-    def unknown_bytes(self) -> int:
+    def unadopted_bytes(self) -> int:
         """Return the bytes of blocks that can't be adopted as yet."""
-        unknown = {**self.sweep.seen_before, **self.sweep.unknown}
-        return sum(one.block.size for one in unknown.values())
+        unadopted = {**self.sweep.unadopted_before, **self.sweep.unadopted}
+        return sum(one.block.size for one in unadopted.values())
 
-    def take_page(self) -> None:
+    def read_page(self) -> None:
         """Take in the next part of the store's listing.
 
         Listings are long, so between two passes there is a rest, at least
@@ -122,29 +126,31 @@
         groups.
         """
         sweep = self.sweep
-        now = self.tools.clock()
-        epoch = self.tools.sharing.holders(ANY_GROUP).epoch
+        now = self.context.clock()
+        epoch = self.context.sharing.holders(ANY_GROUP).epoch
         if not sweep.after:
-            if now < sweep.rest_until and sweep.epoch == epoch:
-                self.adopt_known()
+            if now < sweep.paused_until and sweep.epoch == epoch:
+                self.retry_adoption()
                 return
-            sweep.began = now
+            sweep.started_at = now
             sweep.epoch = epoch
-        page = self.tools.client.listing(self.store.address, sweep.after, PAGE)
+        page = self.context.client.listing(
+            self.store.address, sweep.after, PAGE_BLOCKS
+        )
         if page.boot_id != self.store.boot_id:
             return
         for listed in page.blocks:
-            self.take_listed(listed, page.boot_id)
+            self.handle_listed(listed, page.boot_id)
         if page.more:
             sweep.after = page.blocks[-1].name
             return
         self.end_pass()
 
-    def adopt_known(self) -> None:
+    def retry_adoption(self) -> None:
         """Adopt what was passed over, once its whole size is known."""
-        for packed, unknown in list(self.sweep.seen_before.items()):
-            if self.adopt(unknown.block, unknown.time_ms):
-                del self.sweep.seen_before[packed]
+        for packed, unadopted in list(self.sweep.unadopted_before.items()):
+            if self.adopt(unadopted.block, unadopted.time_ms):
+                del self.sweep.unadopted_before[packed]
 
     def end_pass(self) -> None:
         """Free what two passes could not adopt, and begin anew.
@@ -153,40 +159,42 @@
         pass or has failed.
         """
         sweep = self.sweep
-        now = self.tools.clock()
-        for packed, unknown in sweep.seen_before.items():
-            if packed in sweep.unknown and self.is_waste(unknown.block):
-                self.tools.index.free(unknown.block, now)
-                self.tools.metrics.count("orphans_freed")
-        rest_s = max(self.rest_s, REST_FACTOR * (now - sweep.began))
+        now = self.context.clock()
+        for packed, unadopted in sweep.unadopted_before.items():
+            if packed in sweep.unadopted and self.is_orphan(unadopted.block):
+                self.context.index.free(unadopted.block, now)
+                self.context.metrics.count("orphans_freed")
+        sweep_pause_s = max(
+            self.sweep_pause_s, PAUSE_FACTOR * (now - sweep.started_at)
+        )
         self.sweep = Sweep(
-            seen_before=sweep.unknown,
+            unadopted_before=sweep.unadopted,
             passes=sweep.passes + 1,
-            rest_until=now + rest_s,
+            paused_until=now + sweep_pause_s,
             epoch=sweep.epoch,
         )
 
-    def is_waste(self, block: state.Block) -> bool:
+    def is_orphan(self, block: state.Block) -> bool:
         """Tell whether a block that can't be adopted never will be."""
-        if self.tools.index.holds(block):
+        if self.context.index.contains(block):
             return False
-        size = self.tools.sizes.expected(block.variant)
+        size = self.context.sizes.expected(block.variant)
         if size is not None and size != block.size:
             return True
-        if self.tools.index.by_key.get(block.key) is not None:
+        if self.context.index.by_key.get(block.key) is not None:
             return True
         return block.variant not in self.current_variants()
 
     def current_variants(self) -> set[bytes]:
         """Return what new requests are computed with."""
         return {
-            self.tools.names.variant(name, model.adapter, model.version)
+            self.context.names.variant(name, model.adapter, model.version)
             for name, model in self.view().models.items()
         }
 
-    def take_listed(self, listed: store_client.Listed, boot_id: str) -> None:
+    def handle_listed(self, listed: store_client.Listed, boot_id: str) -> None:
         """Adopt a listed block if it is this agent's to keep."""
-        packed = self.tools.names.parse(listed.name)
+        packed = self.context.names.parse(listed.name)
         if packed is None:
             return
         block = state.Block(
@@ -196,18 +204,23 @@
             self.store.name,
             boot_id,
         )
-        tools = self.tools
-        if not tools.sharing.holders(block.group).mine:
+        context = self.context
+        if not context.sharing.holders(block.group).is_owner:
             return
-        index = tools.index
-        if packed in index.writing or packed in index.dying:
+        index = context.index
+        if (
+            packed in index.in_flight_writes
+            or packed in index.pending_deletions
+        ):
             return
-        if index.holds(block):
+        if index.contains(block):
             return
         if self.adopt(block, listed.time_ms):
             return
-        if len(self.sweep.unknown) < MAX_UNKNOWN:
-            self.sweep.unknown[packed] = Unknown(block, listed.time_ms)
+        if len(self.sweep.unadopted) < MAX_UNADOPTED:
+            self.sweep.unadopted[packed] = UnadoptedBlock(
+                block, listed.time_ms
+            )
 
     def adopt(self, block: state.Block, time_ms: float) -> bool:
         """Index a listed block if it is certainly whole.
@@ -216,27 +229,29 @@
         writer is gone.  Only a block of the size that whole blocks of its
         variant have is taken; its engine still checks its checksum.
         """
-        tools = self.tools
+        context = self.context
         if block.variant not in self.current_variants():
             return False
-        if tools.sizes.expected(block.variant) != block.size:
+        if context.sizes.expected(block.variant) != block.size:
             return False
         age_s = max(self.wall_clock() - time_ms / MS, 0.0)
-        until = tools.sharing.learned_until(True)
-        adopted = tools.index.add(block, tools.clock() - age_s, until)
+        valid_until = context.sharing.valid_until(True)
+        adopted = context.index.add(
+            block, context.clock() - age_s, valid_until
+        )
         if adopted:
-            tools.metrics.count("adopted_blocks")
+            context.metrics.count("adopted_blocks")
         return adopted
 
-    def free_unknown(self, need: float) -> int:
+    def free_unadopted(self, need: float) -> int:
         """Free blocks that can't be adopted; return their bytes."""
         freed = 0
-        for packed in list(self.sweep.seen_before):
+        for packed in list(self.sweep.unadopted_before):
             if freed >= need:
                 break
-            block = self.sweep.seen_before.pop(packed).block
-            self.sweep.unknown.pop(packed, None)
-            if not self.tools.index.holds(block):
-                self.tools.index.free(block, self.tools.clock())
+            block = self.sweep.unadopted_before.pop(packed).block
+            self.sweep.unadopted.pop(packed, None)
+            if not self.context.index.contains(block):
+                self.context.index.free(block, self.context.clock())
                 freed += block.size
         return freed
--- a/tests/cache/random_world.py
+++ b/tests/cache/simulation.py
@@ -20,14 +20,14 @@
 from tests.cache import site as sites
 
 CAPACITY = 80_000
-BLOCK = 4085
+BLOCK_BYTES = 4085
 ORGANISATIONS = ("kitchen", "crew", "portal")
 VERSIONS = ("v1", "v2")
 CHAINS = [sites.chain(3, seed) for seed in range(4)]
 
 
 @dataclasses.dataclass
-class Never:
+class Violations:
     """Counts of what must never happen, and of what shows it was tried."""
 
     half_read: int = 0
@@ -41,7 +41,7 @@
     plans: int = 0
     faults: int = 0
 
-    def broken(self):
+    def occurred(self):
         return {
             name: count
             for name, count in dataclasses.asdict(self).items()
@@ -49,31 +49,31 @@
         }
 
 
-class WatchedStore(sites.RecordingStore):
+class CheckedStore(sites.RecordingStore):
     """Counts reads of halves and deletions under a reader."""
 
     def answer(self, request):
         match request.method, request.path:
             case "GET", ("blocks", name):
                 found = self.blocks.read(name, 1 << 30)
-                if found and len(found.block.content) < BLOCK:
-                    self.never.half_read += 1
+                if found and len(found.block.content) < BLOCK_BYTES:
+                    self.violations.half_read += 1
             case "DELETE", ("blocks", name):
                 if name in self.reading:
-                    self.never.deleted_under_reader += 1
+                    self.violations.deleted_under_reader += 1
         return super().answer(request)
 
 
-class World:
+class Simulation:
     """Agents, two stores, one engine, one clock, one seed."""
 
     def __init__(self, seed, agents=2, all_own=False):
         self.all_own = all_own
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.now = 1000.0
-        self.never = Never()
+        self.violations = Violations()
         self.reading = []
-        self.depth = 0
+        self.nesting = 0
         self.site = sites.Site(("keep-a", "keep-b"), fill=0.8)
         for store in self.site.stores.values():
             self.watch(store)
@@ -81,8 +81,8 @@
         self.agents = [self.agent(me) for me in range(agents)]
 
     def watch(self, store):
-        store.__class__ = WatchedStore
-        store.never = self.never
+        store.__class__ = CheckedStore
+        store.violations = self.violations
         store.reading = self.reading
         store.set(capacity=CAPACITY)
 
@@ -90,18 +90,20 @@
         def holders(group):
             if self.count == 1:
                 return state.Holders()
-            mine = self.all_own or group[-1] % 2 == me
-            return state.Holders(mine=mine, others=(str(1 - me),), epoch=1)
+            is_owner = self.all_own or group[-1] % 2 == me
+            return state.Holders(
+                is_owner=is_owner, others=(str(1 - me),), epoch=1
+            )
 
         def call(address, request, timeout_s):
-            if self.chance.random() < 0.1:
+            if self.rng.random() < 0.1:
                 raise connections.WireError("lost")
             other = self.agents[int(address)]
             payload = codec.encode(request)[codec.LENGTH.size :]
             message = codec.decode(payload)
             handlers = {
                 "KeptAsk": other.sharing.answer,
-                "KeptChange": other.sharing.take,
+                "KeptChange": other.sharing.apply_change,
             }
             return handlers[type(message).__name__](None, message)
 
@@ -112,15 +114,17 @@
             wall_clock=lambda: self.now,
         )
         kept = service.KeptCache(
-            self.site.view, sites.KEY, sites.Counts(), ports, rest_s=0.0
+            self.site.view, sites.KEY, sites.Counts(), ports, sweep_pause_s=0.0
         )
         kept.update_stores()
-        write = kept.tools.engine.export
-        kept.tools.engine.export = lambda *given: self.exporting(write, given)
+        write = kept.context.engine.export
+        kept.context.engine.export = lambda *given: self.exporting(
+            write, given
+        )
         for exporter in kept.exporters.values():
-            exporter.wait_for = without_waiting
-        order = kept.tools.engine.import_blocks
-        kept.tools.engine.import_blocks = lambda *given: self.importing(
+            exporter.wait_for = check_without_waiting
+        order = kept.context.engine.import_blocks
+        kept.context.engine.import_blocks = lambda *given: self.importing(
             kept, order, *given
         )
         return kept
@@ -128,10 +132,15 @@
     def importing(self, kept, order, address, request, timeout_s):
         """Let other things happen before an import's reads."""
         names = [wanted.block for wanted in request.blocks]
-        dying = {kept.names.text(packed) for packed in kept.index.dying}
-        self.never.freed_read += len(dying.intersection(names))
+        pending_deletions = {
+            kept.names.format(packed)
+            for packed in kept.index.pending_deletions
+        }
+        self.violations.freed_read += len(
+            pending_deletions.intersection(names)
+        )
         self.reading.extend(names)
-        self.meanwhile()
+        self.interleave()
         try:
             return order(address, request, timeout_s)
         finally:
@@ -141,109 +150,109 @@
     def exporting(self, write, given):
         """Let other things happen between a write and its confirmation."""
         written = write(*given)
-        self.meanwhile()
+        self.interleave()
         return written
 
-    def meanwhile(self):
-        if self.depth == 0:
-            self.depth += 1
-            for _ in range(self.chance.randrange(4)):
+    def interleave(self):
+        if self.nesting == 0:
+            self.nesting += 1
+            for _ in range(self.rng.randrange(4)):
                 self.step()
-            self.depth -= 1
+            self.nesting -= 1
 
     def step(self):
-        kept = self.chance.choice(self.agents)
-        operation = self.chance.choices(
+        kept = self.rng.choice(self.agents)
+        operation = self.rng.choices(
             [
                 self.run,
-                self.come_back,
-                self.export,
-                self.keep,
-                self.tell,
-                self.pass_time,
-                self.fault,
+                self.return_session,
+                self.export_once,
+                self.maintain,
+                self.send_changes,
+                self.advance_clock,
+                self.inject_fault,
             ],
             [4, 6, 8, 6, 4, 2, 1],
         )[0]
         operation(kept)
 
     def run(self, kept):
-        chain = self.chance.choice(CHAINS)[: self.chance.randrange(1, 4)]
-        session = f"s{self.chance.randrange(6)}"
-        organisation = self.chance.choice(ORGANISATIONS)
+        chain = self.rng.choice(CHAINS)[: self.rng.randrange(1, 4)]
+        session = f"s{self.rng.randrange(6)}"
+        organisation = self.rng.choice(ORGANISATIONS)
         version = self.site.models["draft"].version
         self.site.run(kept, organisation, chain, version, session)
 
-    def come_back(self, kept):
-        organisation = self.chance.choice(ORGANISATIONS)
+    def return_session(self, kept):
+        organisation = self.rng.choice(ORGANISATIONS)
         version = self.site.models["draft"].version
-        session = f"s{self.chance.randrange(6)}"
-        chain = self.chance.choice(CHAINS)
+        session = f"s{self.rng.randrange(6)}"
+        chain = self.rng.choice(CHAINS)
         plan = self.site.plan(
             kept, organisation, chain, version, session=session
         )
-        self.never.plans += 1
+        self.violations.plans += 1
         self.check(kept, organisation, version, plan)
-        if self.chance.random() < 0.3:
-            self.keep(self.chance.choice(self.agents))
+        if self.rng.random() < 0.3:
+            self.maintain(self.rng.choice(self.agents))
         if plan.blocks:
-            self.never.imports += 1
+            self.violations.imports += 1
             done = kept.import_to(self.site.engine.address, plan)
-            self.never.imported += done.pieces
+            self.violations.imported += done.pieces
 
     def check(self, kept, organisation, version, plan):
         own = kept.names.organisation(organisation)
         variant = kept.names.variant("draft", "", version)
         for planned in plan.blocks:
             block = planned.block
-            self.never.other_organisation += block.group[:4] != own
-            self.never.other_version += block.variant != variant
+            self.violations.other_organisation += block.group[:4] != own
+            self.violations.other_version += block.variant != variant
             boot = kept.stores.get(block.store).boot_id
-            self.never.stale_boot_read += block.boot_id != boot
+            self.violations.stale_boot_read += block.boot_id != boot
 
-    def export(self, kept):
+    def export_once(self, kept):
         for exporter in kept.exporters.values():
-            job = exporter.queue.take(0)
+            job = exporter.queue.get(0)
             if job is not None:
-                exporter.carry_out(job)
+                exporter.run_job(job)
 
-    def keep(self, kept):
-        for keeper in kept.keepers.values():
+    def maintain(self, kept):
+        for maintainer in kept.maintainers.values():
             try:
-                keeper.step()
+                maintainer.step()
             except store_client.StoreUnavailableError as error:
-                kept.stores.failed(keeper.store, str(error))
+                kept.stores.record_failure(maintainer.store, str(error))
 
-    def tell(self, kept):
+    def send_changes(self, kept):
         if not kept.sharing.changes.empty():
-            kept.sharing.tell_once(0.01)
+            kept.sharing.send_batch(0.01)
 
-    def pass_time(self, kept):
-        longest = 2 if self.depth else 3
-        self.now += self.chance.choice((0.1, 3.0, 12.0)[:longest])
+    def advance_clock(self, kept):
+        longest = 2 if self.nesting else 3
+        self.now += self.rng.choice((0.1, 3.0, 12.0)[:longest])
 
-    def fault(self, kept):
-        self.never.faults += 1
-        name = self.chance.choice(list(self.site.stores))
+    def inject_fault(self, kept):
+        self.violations.faults += 1
+        name = self.rng.choice(list(self.site.stores))
         store = self.site.stores[name]
-        match self.chance.randrange(7):
+        match self.rng.randrange(7):
             case 0 | 1:
                 store.set(half_writes=2)
             case 2:
                 store.set(corrupt_reads=1)
             case 3:
-                store.boot_id = f"boot-{self.chance.random()}"
+                store.boot_id = f"boot-{self.rng.random()}"
                 store.blocks.__init__()
             case 4:
                 self.agents[self.agents.index(kept)] = self.agent(
                     self.agents.index(kept)
                 )
             case 5:
-                self.roll_out()
+                self.replace_weights()
             case 6:
                 self.site.forget()
 
-    def roll_out(self):
+    def replace_weights(self):
         old = self.site.models["draft"].version
         new = VERSIONS[1 - VERSIONS.index(old)]
         self.site.models = {"draft": values.Model(version=new)}
@@ -251,15 +260,15 @@
         present = weights.models["draft"]
         weights.models["draft"] = dataclasses.replace(present, version=new)
 
-    def go(self, operations):
+    def run_steps(self, operations):
         try:
             for _ in range(operations):
                 self.step()
         finally:
             self.site.stop()
-        return self.never
+        return self.violations
 
 
-def without_waiting(condition, job):
+def check_without_waiting(condition, job):
     if not condition():
-        raise exporting.Stop("late")
+        raise exporting.ExportStoppedError("late")
--- a/tests/cache/site.py
+++ b/tests/cache/site.py
@@ -117,7 +117,7 @@
             Counts(),
             ports,
             poll_s=POLL_S,
-            **{"rest_s": 0.0, **options},
+            **{"sweep_pause_s": 0.0, **options},
         )
         self.agents.append(kept)
         kept.start()
--- a/tests/cache/test_index.py
+++ b/tests/cache/test_index.py
@@ -30,11 +30,11 @@
     """
     read = block()
     index.add(read, 0.0, FOREVER)
-    index.borrow([read], until=10.0)
+    index.pin([read], expires_at=10.0)
     index.free(read, not_before=0.0)
 
     assert index.deletable("keep-a", now=5.0) == []
-    index.give_back([read])
+    index.unpin([read])
     assert index.deletable("keep-a", now=5.0) == [read]
 
 
@@ -42,7 +42,7 @@
     """An agent's thread dies in an import; its bound frees the block."""
     read = block()
     index.add(read, 0.0, FOREVER)
-    index.borrow([read], until=10.0)
+    index.pin([read], expires_at=10.0)
     index.free(read, not_before=0.0)
 
     assert index.deletable("keep-a", now=11.0) == [read]
@@ -58,7 +58,7 @@
     index.free(freed, not_before=5.0)
 
     assert not index.add(freed, 1.0, FOREVER)
-    assert index.prefix([freed.key], 1.0, b"") == []
+    assert index.longest_prefix([freed.key], 1.0, b"") == []
 
 
 def test_a_plan_that_was_overtaken_reads_only_what_is_still_there(index):
@@ -68,18 +68,18 @@
         index.add(each, 0.0, FOREVER)
     index.free(blocks[1], not_before=0.0)
 
-    assert index.borrow(blocks, until=10.0) == 1
+    assert index.pin(blocks, expires_at=10.0) == 1
     assert index.deletable("keep-a", now=0.0) == [blocks[1]]
 
 
 def test_a_copy_of_another_agents_index_runs_out(index):
     """The owner may have freed the block since; it waits this long."""
     copied = block()
-    index.add(copied, 0.0, learned_until=10.0)
+    index.add(copied, 0.0, valid_until=10.0)
 
-    assert index.prefix([copied.key], 9.0, b"") == [copied]
-    assert index.prefix([copied.key], 10.0, b"") == []
-    assert index.prefix([copied.key], 10.0, copied.group) == [copied]
+    assert index.longest_prefix([copied.key], 9.0, b"") == [copied]
+    assert index.longest_prefix([copied.key], 10.0, b"") == []
+    assert index.longest_prefix([copied.key], 10.0, copied.group) == [copied]
 
 
 def test_what_another_boot_of_a_store_held_is_forgotten(index):
@@ -90,8 +90,8 @@
     for each in (old, new, other):
         index.add(each, 0.0, FOREVER)
 
-    assert index.drop_boot("keep-a", "boot-2") == [old]
-    assert index.stored == {"keep-a": 100, "keep-b": 100}
+    assert index.drop_earlier_boots("keep-a", "boot-2") == [old]
+    assert index.bytes_by_store == {"keep-a": 100, "keep-b": 100}
 
 
 def test_a_block_confirmed_in_an_earlier_boot_is_not_taken(index):
@@ -101,7 +101,7 @@
     exported again.
     """
     late = block(0)
-    index.drop_boot("keep-a", "boot-2")
+    index.drop_earlier_boots("keep-a", "boot-2")
 
     assert not index.add(late, 0.0, FOREVER)
     assert len(index) == 0
@@ -114,7 +114,7 @@
         small.add(block(number, session=f"s{number}"), number, FOREVER)
     assert not small.add(block(40, session="new"), 40.0, FOREVER)
 
-    small.forget_oldest(room=1)
+    small.evict_oldest(needed=1)
 
     assert small.add(block(40, session="new"), 40.0, FOREVER)
     assert NAMES.group("kitchen", "s0") not in small.groups
--- a/tests/cache/test_links.py
+++ b/tests/cache/test_links.py
@@ -67,14 +67,14 @@
     link.configure(0)
     for _ in range(5):
         move(link, clock, 1000, RATE)
-    before = link.predict_s(1000)
+    before = link.predict_duration_s(1000)
 
     move(link, clock, 1000, RATE / 10)
 
-    assert link.predict_s(1000) > 2 * before
+    assert link.predict_duration_s(1000) > 2 * before
     move(link, clock, 1000, RATE / 10)
     move(link, clock, 1000, RATE / 10)
-    assert link.predict_s(1000) > 5 * before
+    assert link.predict_duration_s(1000) > 5 * before
 
 
 def test_an_overdue_transfer_is_noticed_before_it_ends(link, clock):
@@ -85,12 +85,12 @@
     for _ in range(3):
         move(link, clock, 1000, RATE)
         clock.now_s += 5
-    before = link.predict_s(100)
+    before = link.predict_duration_s(100)
     link.begin(1000)
 
     clock.now_s += 20.0
 
-    assert link.predict_s(100) > 10 * before
+    assert link.predict_duration_s(100) > 10 * before
 
 
 def test_a_link_that_was_slow_is_tried_again(link, clock):
@@ -100,11 +100,11 @@
     """
     for _ in range(5):
         move(link, clock, 100, RATE / 100)
-    assert link.predict_s(1000) > 20
+    assert link.predict_duration_s(1000) > 20
 
-    clock.now_s += 10 * links.RELAX_S
+    clock.now_s += 10 * links.RECOVERY_DOUBLING_S
 
-    assert link.predict_s(1000) == pytest.approx(
+    assert link.predict_duration_s(1000) == pytest.approx(
         1.0 + links.LATENCY_S, rel=0.1
     )
 
@@ -118,4 +118,4 @@
     link.end(first, 1000)
     link.end(second, 1000)
 
-    assert link.relaxed(clock.now_s) == pytest.approx(RATE, rel=0.05)
+    assert link.recovered_rate(clock.now_s) == pytest.approx(RATE, rel=0.05)
--- a/tests/cache/test_keeping.py
+++ b/tests/cache/test_maintenance.py
@@ -51,7 +51,7 @@
         self.store = self.kept.stores.by_name["keep-a"]
         self.store.alive = True
         self.store.boot_id = "boot"
-        self.keeper = self.kept.keepers["keep-a"]
+        self.maintainer = self.kept.maintainers["keep-a"]
 
     def view(self):
         endpoint = values.Endpoint(
@@ -92,7 +92,7 @@
         ]
 
     def left(self, blocks):
-        return sum(self.kept.index.holds(block) for block in blocks)
+        return sum(self.kept.index.contains(block) for block in blocks)
 
 
 @pytest.fixture
@@ -109,10 +109,10 @@
     new = bench.put("kitchen", "new")
     bench.store.capacity = 18 * SIZE
 
-    bench.keeper.make_room()
+    bench.maintainer.make_room()
 
     assert bench.left(new) == 5
-    assert [bench.kept.index.holds(block) for block in old] == [
+    assert [bench.kept.index.contains(block) for block in old] == [
         *[True] * 3,
         *[False] * 2,
     ]
@@ -132,7 +132,7 @@
     large = [bench.put("large", f"l{number}") for number in range(3)]
     bench.store.capacity = 36 * SIZE
 
-    bench.keeper.make_room()
+    bench.maintainer.make_room()
 
     assert bench.left(small) == 5
     assert sum(bench.left(blocks) for blocks in large) < 15
@@ -148,7 +148,7 @@
     replaced = bench.put("kitchen", "replaced", version="v1")
     bench.store.capacity = 18 * SIZE
 
-    bench.keeper.make_room()
+    bench.maintainer.make_room()
 
     assert bench.left(current) == 5
     assert bench.left(replaced) == 3
@@ -161,20 +161,20 @@
     than control may use.  A change of agents ends the rest.
     """
     client = Listings()
-    tools = dataclasses.replace(bench.kept.tools, client=client)
+    context = dataclasses.replace(bench.kept.context, client=client)
     sweeper = sweeping.Sweeper(
-        bench.store, tools, bench.view, lambda: bench.now
+        bench.store, context, bench.view, lambda: bench.now
     )
     for _ in range(10):
-        sweeper.take_page()
+        sweeper.read_page()
         bench.now += 1.0
     assert client.count == 1
 
     bench.epoch += 1
-    sweeper.take_page()
+    sweeper.read_page()
     assert client.count == 2
-    bench.now += sweeping.REST_S
-    sweeper.take_page()
+    bench.now += sweeping.MIN_PAUSE_S
+    sweeper.read_page()
     assert client.count == 3
 
 
@@ -185,44 +185,46 @@
     """
     prompt = state.Prompt("kitchen", "s", "draft", "", "v2", chain("s"))
     block = bench.blocks(prompt)[0]
-    name = bench.kept.names.text(block.packed)
+    name = bench.kept.names.format(block.packed)
     listed = store_client.Listed(name, SIZE, "63" * 16, 900_000.0)
-    tools = dataclasses.replace(bench.kept.tools, client=Listings((listed,)))
+    context = dataclasses.replace(
+        bench.kept.context, client=Listings((listed,))
+    )
     sweeper = sweeping.Sweeper(
-        bench.store, tools, bench.view, lambda: bench.now
+        bench.store, context, bench.view, lambda: bench.now
     )
-    sweeper.take_page()
-    assert not bench.kept.index.holds(block)
+    sweeper.read_page()
+    assert not bench.kept.index.contains(block)
 
-    bench.kept.tools.sizes.learn(block.variant, SIZE)
-    sweeper.take_page()
+    bench.kept.context.sizes.record(block.variant, SIZE)
+    sweeper.read_page()
 
-    assert bench.kept.index.holds(block)
+    assert bench.kept.index.contains(block)
 
 
 def test_a_new_session_worth_less_than_what_was_freed_is_not_kept(bench):
     """Logs that never return must not push histories out of the store."""
     bench.policy = dataclasses.replace(bench.policy, policy="value")
     bench.store.capacity = 100 * SIZE
-    bench.store.bar = 1e9
+    bench.store.min_value = 1e9
     prompt = state.Prompt("kitchen", "log", "draft", "", "v2", chain("s"))
 
     bench.kept.saver.after_run(prompt, "127.0.0.1:1")
 
-    assert bench.kept.exporters["keep-a"].queue.take(0) is None
+    assert bench.kept.exporters["keep-a"].queue.get(0) is None
 
 
 def test_the_chain_that_is_worth_most_is_exported_first():
     """The link is slow, and a log came before a history."""
     queue = exporting.Queue()
     jobs = {
-        worth: exporting.Job("e", "m", "v", b"", b"", (), worth, 0.0)
-        for worth in (0.1, 0.9, 0.5)
+        value: exporting.Job("e", "m", "v", b"", b"", (), value, 0.0)
+        for value in (0.1, 0.9, 0.5)
     }
     for job in jobs.values():
         queue.put(job)
 
-    assert [queue.take(0).worth for _ in jobs] == [0.9, 0.5, 0.1]
+    assert [queue.get(0).value for _ in jobs] == [0.9, 0.5, 0.1]
 
 
 def test_value_keeps_what_returns_and_lru_what_came_last():
@@ -237,15 +239,17 @@
         model.record_use(group, 40, 90_000.0)
         model.record_use(b"logs" + bytes([number]) * 8, 4, 90_000.0)
     for number in range(60):
-        model.waiting.pop(b"logs" + bytes([number]) * 8)
-        model.note(retention.class_of(b"logs", 4, 1), 500_000.0, False)
+        model.awaited.pop(b"logs" + bytes([number]) * 8)
+        model.record_outcome(
+            retention.classify(b"logs", 4, 1), 500_000.0, False
+        )
     history = retention.Candidate(
-        b"h", retention.class_of(b"hist", 40, 1), 50_000.0
+        b"h", retention.classify(b"hist", 40, 1), 50_000.0
     )
-    log = retention.Candidate(b"l", retention.class_of(b"logs", 4, 1), 10.0)
+    log = retention.Candidate(b"l", retention.classify(b"logs", 4, 1), 10.0)
 
-    value = retention.Ranker(model, retention.Policy.VALUE)
-    lru = retention.Ranker(model, retention.Policy.LRU)
+    by_value = retention.Ranker(model, retention.Policy.VALUE)
+    by_lru = retention.Ranker(model, retention.Policy.LRU)
 
-    assert value.victim([history, log]) is log
-    assert lru.victim([history, log]) is history
+    assert by_value.victim([history, log]) is log
+    assert by_lru.victim([history, log]) is history
--- a/tests/cache/test_names.py
+++ b/tests/cache/test_names.py
@@ -36,10 +36,10 @@
         NAMES.new_name(NAMES.group("k", "s"), b"v" * 4, 7, DIGEST)
         for _ in range(1000)
     ]
-    texts = {NAMES.text(NAMES.pack(name)) for name in made}
+    texts = {NAMES.format(NAMES.pack(name)) for name in made}
 
     assert len(texts) == 1000
-    read = NAMES.parse(NAMES.text(NAMES.pack(made[0])))
+    read = NAMES.parse(NAMES.format(NAMES.pack(made[0])))
     assert read is not None
     assert block_names.unpack(read) == made[0]
 
@@ -55,4 +55,4 @@
     forger = block_names.Names(b"guess")
     name = forger.new_name(NAMES.group("k", "s"), b"v" * 4, 0, DIGEST)
 
-    assert NAMES.parse(forger.text(forger.pack(name))) is None
+    assert NAMES.parse(forger.format(forger.pack(name))) is None
--- a/tests/cache/test_random.py
+++ b/tests/cache/test_random.py
@@ -12,12 +12,12 @@
 from briarseam.cache import state
 from briarseam.cache import stores
 from briarseam.cache import sweeping
-from tests.cache import random_world
+from tests.cache import simulation
 
 OPERATIONS = 600
 
 
-def whole(self, packed, exported):
+def confirm_without_checking(self, packed, exported):
     """Take any export for whole, without looking."""
     checksum = bytes.fromhex(exported.checksum)
     return state.Block(
@@ -25,58 +25,61 @@
     )
 
 
-def adopt_all(self, block, time_ms):
+def adopt_without_checking(self, block, time_ms):
     """Adopt whatever is listed."""
-    return self.tools.index.add(block, self.tools.clock(), float("inf"))
+    return self.context.index.add(block, self.context.clock(), float("inf"))
 
 
-def one_key(self, organisation, model, adapter, version):
-    return self.digest(b"pieces", version.encode(), 32)
+def key_without_organisation(self, organisation, model, adapter, version):
+    return self.keyed_hash(b"pieces", version.encode(), 32)
 
 
-def one_version(self, organisation, model, adapter, version):
-    return self.digest(b"pieces", organisation.encode(), 32)
+def key_without_version(self, organisation, model, adapter, version):
+    return self.keyed_hash(b"pieces", organisation.encode(), 32)
 
 
-def borrow_any(self, blocks, until):
+def pin_without_checking(self, blocks, until):
     return len(blocks)
 
 
-def readable(self, name, boot_id):
+def readable_without_boot_check(self, name, boot_id):
     store = self.by_name.get(name)
     return store is not None and store.alive
 
 
 @dataclasses.dataclass(frozen=True)
-class Removal:
+class DisabledGuard:
     """A guard taken out, and the count that shows it."""
 
-    shown: str
+    violation: str
     patches: tuple
 
 
 INDEX = indexes.BlockIndex
 GUARDS = {
-    "organisation in the key": Removal(
-        "other_organisation", ((block_names.Names, "derive_key", one_key),)
+    "organisation in the key": DisabledGuard(
+        "other_organisation",
+        ((block_names.Names, "derive_key", key_without_organisation),),
     ),
-    "version in the key": Removal(
-        "other_version", ((block_names.Names, "derive_key", one_version),)
+    "version in the key": DisabledGuard(
+        "other_version",
+        ((block_names.Names, "derive_key", key_without_version),),
     ),
-    "confirmation of writes": Removal(
-        "half_read", ((exporting.Exporter, "confirm", whole),)
+    "confirmation of writes": DisabledGuard(
+        "half_read",
+        ((exporting.Exporter, "confirm", confirm_without_checking),),
     ),
-    "size of adopted blocks": Removal(
-        "half_read", ((sweeping.Sweeper, "adopt", adopt_all),)
+    "size of adopted blocks": DisabledGuard(
+        "half_read", ((sweeping.Sweeper, "adopt", adopt_without_checking),)
     ),
-    "check when reading begins": Removal(
-        "freed_read", ((INDEX, "borrow", borrow_any),)
+    "check when reading begins": DisabledGuard(
+        "freed_read", ((INDEX, "pin", pin_without_checking),)
     ),
-    "boot of the store": Removal(
+    "boot of the store": DisabledGuard(
         "stale_boot_read",
         (
-            (INDEX, "drop_boot", lambda self, store, boot: []),
-            (stores.Stores, "readable", readable),
+            (INDEX, "drop_earlier_boots", lambda self, store, boot: []),
+            (stores.Stores, "readable", readable_without_boot_check),
         ),
     ),
 }
@@ -88,11 +91,11 @@
     """Sessions come and go over halves, wrong bytes, restarts, rollouts
     and full stores.  A caller would see another's text, or wrong tokens.
     """
-    never = random_world.World(seed, agents).go(OPERATIONS)
+    violations = simulation.Simulation(seed, agents).run_steps(OPERATIONS)
 
-    assert never.broken() == {}
-    assert never.imported > 20, never
-    assert never.faults > 10, never
+    assert violations.occurred() == {}
+    assert violations.imported > 20, violations
+    assert violations.faults > 10, violations
 
 
 def test_two_agents_that_both_own_everything_do_no_harm():
@@ -101,12 +104,14 @@
     One deletes what the other still has in its index.  That costs
     recomputation; it must not bring a half, another's or an old block.
     """
-    never = random_world.World(4, agents=2, all_own=True).go(OPERATIONS)
+    violations = simulation.Simulation(4, agents=2, all_own=True).run_steps(
+        OPERATIONS
+    )
 
-    broken = never.broken()
-    broken.pop("deleted_under_reader", None)
-    assert broken == {}
-    assert never.imported > 20, never
+    occurred = violations.occurred()
+    occurred.pop("deleted_under_reader", None)
+    assert occurred == {}
+    assert violations.imported > 20, violations
 
 
 def test_an_agent_that_wakes_reads_nothing_that_was_deleted_meanwhile():
@@ -115,53 +120,53 @@
     The owner frees the blocks, waits for all copies and deletes them.
     The agent wakes long after its bounds and gives its order.
     """
-    world = random_world.World(1)
-    owner, frozen = world.agents
+    simulated = simulation.Simulation(1)
+    owner, frozen = simulated.agents
     session = next(
         name
         for name in map(str, range(9))
-        if owner.ports.holders(owner.names.group("crew", name)).mine
+        if owner.ports.holders(owner.names.group("crew", name)).is_owner
     )
-    world.chance.random = lambda: 1.0
-    world.meanwhile = lambda: None
-    world.keep(owner)
-    world.keep(frozen)
-    world.site.run(owner, "crew", random_world.CHAINS[0], session=session)
-    world.export(owner)
-    plan = world.site.plan(
-        frozen, "crew", random_world.CHAINS[0], session=session
+    simulated.rng.random = lambda: 1.0
+    simulated.interleave = lambda: None
+    simulated.maintain(owner)
+    simulated.maintain(frozen)
+    simulated.site.run(owner, "crew", simulation.CHAINS[0], session=session)
+    simulated.export_once(owner)
+    plan = simulated.site.plan(
+        frozen, "crew", simulation.CHAINS[0], session=session
     )
-    world.site.forget()
+    simulated.site.forget()
 
     def sleep():
         for planned in plan.blocks:
-            owner.index.free(planned.block, world.now + 20.0)
-        world.now += 60.0
-        world.keep(owner)
+            owner.index.free(planned.block, simulated.now + 20.0)
+        simulated.now += 60.0
+        simulated.maintain(owner)
 
-    world.meanwhile = sleep
-    done = frozen.import_to(world.site.engine.address, plan)
-    world.site.stop()
+    simulated.interleave = sleep
+    done = frozen.import_to(simulated.site.engine.address, plan)
+    simulated.site.stop()
 
     assert len(plan.blocks) == 3
     assert (done.pieces, done.failed) == (0, "missing")
-    assert world.never.half_read == 0
-    assert world.site.stores["keep-a"].reads == []
-    assert world.site.stores["keep-b"].reads == []
+    assert simulated.violations.half_read == 0
+    assert simulated.site.stores["keep-a"].reads == []
+    assert simulated.site.stores["keep-b"].reads == []
 
 
-@pytest.mark.parametrize("removal", GUARDS.values(), ids=GUARDS.keys())
-def test_without_its_guard_it_happens(monkeypatch, removal):
+@pytest.mark.parametrize("disabled", GUARDS.values(), ids=GUARDS.keys())
+def test_without_its_guard_it_happens(monkeypatch, disabled):
     """Each guard is taken out in turn; the same run must then fail.
 
     A guard whose absence nothing shows is not known to hold anything.
     """
-    for patch in removal.patches:
+    for patch in disabled.patches:
         monkeypatch.setattr(*patch)
-    never = random_world.Never()
+    violations = simulation.Violations()
     for seed in range(1, 13):
-        never = random_world.World(seed).go(OPERATIONS)
-        if removal.shown in never.broken():
+        violations = simulation.Simulation(seed).run_steps(OPERATIONS)
+        if disabled.violation in violations.occurred():
             break
 
-    assert removal.shown in never.broken(), never
+    assert disabled.violation in violations.occurred(), violations
--- a/tests/cache/test_residents.py
+++ b/tests/cache/test_residents.py
@@ -51,7 +51,7 @@
 
 
 @pytest.fixture
-def resident(engine, clock, known):
+def follower(engine, clock, known):
     made = residents.EngineCacheFollower(
         "engine-0",
         engine.address,
@@ -74,21 +74,21 @@
     )
 
 
-def test_events_tell_what_an_engine_has(engine, resident, known):
+def test_events_tell_what_an_engine_has(engine, follower, known):
     """A run leaves two prefixes in the engine; a third follows."""
     hold(engine, digests(2))
-    resident.read()
+    follower.read()
     assert known.have("draft", "v1", digests(3)) == 2
 
     hold(engine, digests(3))
-    resident.read()
+    follower.read()
 
     assert known.have("draft", "v1", digests(3)) == 3
     assert known.have("draft", "v2", digests(3)) == 0
 
 
 def test_a_lost_removal_is_found_by_the_gap_in_the_numbers(
-    engine, resident, clock, known
+    engine, follower, clock, known
 ):
     """An engine evicts a prefix and the event never comes.
 
@@ -96,18 +96,18 @@
     is sent to it, though it could be imported.
     """
     hold(engine, digests(2))
-    resident.read()
+    follower.read()
     clock.now_s += residents.RELOAD_MIN_S
     engine.set(event_loss=1.0)
     engine.cache.drop_version("draft", "v1")
 
-    resident.read()
+    follower.read()
 
     assert known.have("draft", "v1", digests(2)) == 0
 
 
 def test_what_is_known_does_not_count_until_a_gap_is_read_up(
-    engine, resident, clock, known
+    engine, follower, clock, known
 ):
     """Gaps come faster than an engine may be listed.
 
@@ -115,26 +115,26 @@
     the truth.
     """
     hold(engine, digests(2))
-    resident.read()
+    follower.read()
     engine.set(event_loss=1.0)
     hold(engine, digests(1, start=9))
-    resident.read()
+    follower.read()
     assert known.have("draft", "v1", digests(2)) == 0
 
     clock.now_s += residents.RELOAD_MIN_S
-    resident.read()
+    follower.read()
 
     assert known.have("draft", "v1", digests(2)) == 2
 
 
-def test_an_engine_that_was_started_anew_has_nothing(engine, resident, known):
+def test_an_engine_that_was_started_anew_has_nothing(engine, follower, known):
     """An engine crashes and comes back with an empty cache."""
     hold(engine, digests(2))
-    resident.read()
+    follower.read()
     engine.cache.boot_id = "another"
     engine.cache.drop_version("draft", "v1")
 
-    resident.read()
+    follower.read()
 
     assert known.have("draft", "v1", digests(2)) == 0
 
@@ -154,8 +154,8 @@
         lambda: view, known, state.NoMetrics(), "ours"
     )
 
-    wanted = following.wanted()
+    followed = following.followed_engines()
 
-    assert len(wanted) == residents.MAX_FOLLOWED
+    assert len(followed) == residents.MAX_FOLLOWED
     ours = {name for name, one in endpoints.items() if one.zone == "ours"}
-    assert ours < set(wanted)
+    assert ours < set(followed)
--- a/tests/cache/test_service.py
+++ b/tests/cache/test_service.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from briarseam.cache import keeping
+from briarseam.cache import maintenance
 from briarseam.configuration import values
 from briarseam.testing import waiting
 from tests.cache import site as sites
@@ -94,7 +94,7 @@
     chain = sites.chain(3)
     plan = site.kept(kept, "kitchen", chain)
     site.forget()
-    bad = kept.names.text(plan.blocks[0].block.packed)
+    bad = kept.names.format(plan.blocks[0].block.packed)
     site.stores["keep-a"].set(corrupt_reads=1)
 
     imported = kept.import_to(site.engine.address, plan)
@@ -170,7 +170,7 @@
     old.stop()
     block = plan.blocks[0].block
     store = site.stores["keep-a"]
-    name = old.names.text(block.packed)
+    name = old.names.format(block.packed)
     found = store.blocks.read(name, 1 << 30).block
     half = dataclasses.replace(
         found, content=found.content[: len(found.content) // 2]
@@ -194,14 +194,14 @@
     chain = sites.chain(2)
     plan = site.kept(kept, "kitchen", chain)
     block = plan.blocks[1].block
-    kept.index.borrow([block], kept.clock() + 60)
+    kept.index.pin([block], kept.clock() + 60)
 
     kept.index.free(block, kept.clock())
 
     assert len(site.plan(kept, "kitchen", chain).blocks) == 1
     assert kept.index.deletable("keep-a", kept.clock()) == []
-    kept.index.give_back([block])
-    name = kept.names.text(block.packed)
+    kept.index.unpin([block])
+    name = kept.names.format(block.packed)
     waiting.until(lambda: name in site.stores["keep-a"].deleted)
 
 
@@ -247,18 +247,18 @@
     kept = site.agent()
     chain = sites.chain(1)
     block = site.kept(kept, "kitchen", chain).blocks[0].block
-    kept.index.writing.add(block.packed)
+    kept.index.in_flight_writes.add(block.packed)
     kept.index.forget(block)
-    passes = kept.keepers["keep-a"].sweeper.sweep.passes
+    passes = kept.maintainers["keep-a"].sweeper.sweep.passes
 
     waiting.until(
-        lambda: kept.keepers["keep-a"].sweeper.sweep.passes > passes + 1,
+        lambda: kept.maintainers["keep-a"].sweeper.sweep.passes > passes + 1,
         what="two passes",
     )
 
-    assert not kept.index.holds(block)
-    kept.index.writing.discard(block.packed)
-    waiting.until(lambda: kept.index.holds(block), what="adoption")
+    assert not kept.index.contains(block)
+    kept.index.in_flight_writes.discard(block.packed)
+    waiting.until(lambda: kept.index.contains(block), what="adoption")
 
 
 def test_a_block_that_is_gone_is_recomputed_and_forgotten(site):
@@ -272,7 +272,7 @@
     plan = site.kept(kept, "kitchen", chain)
     site.forget()
     gone = plan.blocks[1].block
-    site.stores["keep-a"].blocks.delete(kept.names.text(gone.packed))
+    site.stores["keep-a"].blocks.delete(kept.names.format(gone.packed))
 
     imported = kept.import_to(site.engine.address, plan)
 
@@ -316,5 +316,5 @@
 
     assert imported.failed.startswith("unanswered")
     assert kept.index.deletable("keep-a", kept.clock()) == []
-    after = kept.clock() + keeping.READING_S
-    assert kept.index.is_read(block, after) is False
+    after = kept.clock() + maintenance.MAX_IMPORT_S
+    assert kept.index.is_pinned(block, after) is False
--- a/tests/cache/test_sharing.py
+++ b/tests/cache/test_sharing.py
@@ -5,7 +5,7 @@
 import pytest
 
 from briarseam.cache import index as indexes
-from briarseam.cache import keeping
+from briarseam.cache import maintenance
 from briarseam.cache import messages
 from briarseam.cache import names as block_names
 from briarseam.cache import owners
@@ -32,14 +32,14 @@
 class Agent:
     """One agent's index and what it shares, on a clock of the test."""
 
-    mine: bool
+    is_owner: bool
     now: float = 100.0
     reply: object = None
-    asked: list = dataclasses.field(default_factory=list)
+    queried: list = dataclasses.field(default_factory=list)
 
     def __post_init__(self):
         self.index = indexes.BlockIndex(100)
-        holders = state.Holders(self.mine, ("owner", "second"), epoch=1)
+        holders = state.Holders(self.is_owner, ("owner", "second"), epoch=1)
         self.sharing = sharing.Sharing(
             self.index,
             lambda group: holders,
@@ -49,20 +49,20 @@
         )
 
     def call(self, address, request, timeout_s):
-        self.asked.append(address)
+        self.queried.append(address)
         if self.reply is None:
             raise connections.WireError("gone")
         return self.reply
 
     def found(self, blocks):
-        own = GROUP if self.mine else b""
+        own = GROUP if self.is_owner else b""
         keys = [one.key for one in blocks]
-        return self.index.prefix(keys, self.now, own)
+        return self.index.longest_prefix(keys, self.now, own)
 
 
 @pytest.fixture
 def other():
-    return Agent(mine=False)
+    return Agent(is_owner=False)
 
 
 def test_another_instance_learns_the_index_and_asks_again_later(other):
@@ -72,15 +72,15 @@
     """
     blocks = [block(0), block(1)]
     other.reply = messages.KeptAnswer(tuple(blocks))
-    other.sharing.ask(GROUP, VARIANT)
-    other.sharing.ask(GROUP, VARIANT)
+    other.sharing.query(GROUP, VARIANT)
+    other.sharing.query(GROUP, VARIANT)
     assert other.found(blocks) == blocks
-    assert other.asked == ["owner"]
+    assert other.queried == ["owner"]
 
-    other.now += sharing.LEARNED_S
+    other.now += sharing.COPY_TTL_S
     assert other.found(blocks) == []
     other.reply = messages.KeptAnswer((blocks[0],))
-    other.sharing.ask(GROUP, VARIANT)
+    other.sharing.query(GROUP, VARIANT)
 
     assert other.found(blocks) == [blocks[0]]
     assert len(other.index) == 1
@@ -91,14 +91,14 @@
 
     Each decision would wait for its whole timeout.
     """
-    other.sharing.ask(GROUP, VARIANT)
-    other.sharing.ask(GROUP, VARIANT)
-    assert other.asked == ["owner", "second"]
+    other.sharing.query(GROUP, VARIANT)
+    other.sharing.query(GROUP, VARIANT)
+    assert other.queried == ["owner", "second"]
 
-    other.now += sharing.QUIET_S
-    other.sharing.ask(GROUP, VARIANT)
+    other.now += sharing.BACKOFF_S
+    other.sharing.query(GROUP, VARIANT)
 
-    assert other.asked == ["owner", "second"] * 2
+    assert other.queried == ["owner", "second"] * 2
 
 
 def test_the_owner_waits_until_all_copies_have_run_out():
@@ -106,18 +106,18 @@
 
     That one may use its copy for a while and then read for a while.
     """
-    owner = Agent(mine=True)
-    other = Agent(mine=False)
+    owner = Agent(is_owner=True)
+    other = Agent(is_owner=False)
     shared = block()
     owner.index.add(shared, owner.now, FOREVER)
     other.reply = owner.sharing.answer(None, messages.KeptAsk(GROUP, VARIANT))
-    other.sharing.ask(GROUP, VARIANT)
+    other.sharing.query(GROUP, VARIANT)
     holders = owner.sharing.holders(GROUP)
-    wait_s = owner.sharing.free_wait_s(holders, keeping.READING_S)
+    wait_s = owner.sharing.deletion_delay_s(holders, maintenance.MAX_IMPORT_S)
     owner.index.free(shared, owner.now + wait_s)
 
-    other.now += sharing.LEARNED_S - 0.001
-    reading_ends = other.now + keeping.READING_S
+    other.now += sharing.COPY_TTL_S - 0.001
+    reading_ends = other.now + maintenance.MAX_IMPORT_S
     assert other.found([shared]) == [shared]
     assert owner.index.deletable("keep-a", reading_ends) == []
     assert owner.index.deletable("keep-a", reading_ends + 0.01) == [shared]
@@ -125,11 +125,13 @@
 
 def test_a_freed_block_leaves_the_second_copy_too():
     """The owner dies after it has freed a block; the second copy serves."""
-    second = Agent(mine=True)
+    second = Agent(is_owner=True)
     kept, gone = block(0), block(1)
     change = messages.KeptChange(added=(kept, gone))
-    second.sharing.take(None, change)
-    second.sharing.take(None, messages.KeptChange(freed=(gone.packed,)))
+    second.sharing.apply_change(None, change)
+    second.sharing.apply_change(
+        None, messages.KeptChange(freed=(gone.packed,))
+    )
 
     answer = second.sharing.answer(None, messages.KeptAsk(GROUP, VARIANT))
 
@@ -162,8 +164,12 @@
         session = f"s{number}"
         group = names.group("kitchen", session)
         owner = lookups.owner("kitchen", session)
-        mine = [name for name, rank in ranking.items() if rank(group).mine]
-        assert mine == [owner.name]
+        owning = [
+            name
+            for name, holders_of in ranking.items()
+            if holders_of(group).is_owner
+        ]
+        assert owning == [owner.name]
         (second,) = ranking[owner.name](group).others
         assert second.startswith("agent of ")
         assert not second.startswith(f"agent of {owner.zone}-")
--- a/tests/cache/test_stores.py
+++ b/tests/cache/test_stores.py
@@ -25,7 +25,7 @@
     view = types.SimpleNamespace(endpoints={"keep-a": endpoint})
     made = stores.Stores(lambda: view, clocks.ManualClock(), lambda: 1.0)
     made.refresh()
-    made.answered(made.by_name["keep-a"], state("first"))
+    made.apply_state(made.by_name["keep-a"], state("first"))
     return made
 
 
@@ -36,21 +36,21 @@
     block with the same name may be half written by then.
     """
     assert known.readable("keep-a", "first")
-    assert known.answered(known.by_name["keep-a"], state("second"))
+    assert known.apply_state(known.by_name["keep-a"], state("second"))
     assert not known.readable("keep-a", "first")
     assert known.readable("keep-a", "second")
 
 
 def test_store_that_fails_twice_is_not_read_until_it_answers(known):
     store = known.by_name["keep-a"]
-    known.failed(store, "no answer")
+    known.record_failure(store, "no answer")
     assert known.readable("keep-a", "first")
-    known.failed(store, "no answer")
+    known.record_failure(store, "no answer")
     assert not known.readable("keep-a", "first")
-    known.answered(store, state("first"))
+    known.apply_state(store, state("first"))
     assert known.readable("keep-a", "first")
 
 
 def test_store_that_an_engine_cannot_reach_is_not_read_at_once(known):
-    known.failed(known.by_name["keep-a"], "refused", at_once=True)
+    known.record_failure(known.by_name["keep-a"], "refused", at_once=True)
     assert not known.readable("keep-a", "first")
