--- a/src/briarseam/cache/__init__.py
+++ b/src/briarseam/cache/__init__.py
@@ -1,1 +1,1 @@
-"""Kept cache: the names, the index and the transfers of KV blocks."""
+"""Kept cache: names, index and transfers of KV blocks."""
--- a/src/briarseam/cache/counters.py
+++ b/src/briarseam/cache/counters.py
@@ -1,4 +1,4 @@
-"""The kept cache's counters in the registry of its process."""
+"""Counters of the kept cache in the process's metrics registry."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RegistryCounters:
-    """Counts events and bytes under two names, told apart by a label.
+    """Counts events and bytes in two metrics, each with a label.
 
     Parameters
     ----------
--- a/src/briarseam/cache/exporting.py
+++ b/src/briarseam/cache/exporting.py
@@ -1,7 +1,7 @@
 """Exports: engines write pieces to the stores in the background.
 
-One thread per store orders the writes, the chain that saves most prefill
-per byte first, and never faster than the link's budget leaves free.
+One thread per store starts the writes, the chain that saves most prefill per
+byte first, within the budget that imports leave on the link.
 """
 
 from __future__ import annotations
@@ -36,11 +36,11 @@
     Attributes
     ----------
     digest
-        As the engine names it.
+        Digest by which the engine identifies it.
     key
-        As the index names it.
+        Key in the index.
     depth
-        Pieces in front of it.
+        Number of pieces before it in the prompt.
     """
 
     digest: bytes
@@ -50,22 +50,22 @@
 
 @dataclasses.dataclass(frozen=True)
 class Job:
-    """Pieces of one chain that one engine has.
+    """Pieces of one chain that one engine has in memory.
 
     Attributes
     ----------
     engine
         ``ip:port``.
     model, version
-        What they were computed with.
+        With which they were computed.
     group, variant
-        As hashed for their names.
+        Hashes, as in the names of blocks.
     pieces
         In order of the prompt.
-    worth
-        What keeping them is worth per byte.
+    value
+        Retention value per byte.
     queued_at
-        When they were queued.
+        Time at which they were queued.
     """
 
     engine: str
@@ -79,11 +79,11 @@
 
 
 class ExportStoppedError(Exception):
-    """The rest of a job can't be exported now."""
+    """The rest of a job can't be exported; the message is the reason."""
 
 
 class Queue:
-    """Jobs for one store, the worthiest first."""
+    """Jobs for one store, by descending value."""
 
     def __init__(self) -> None:
         self.condition = threading.Condition()
@@ -91,7 +91,7 @@
         self.order = itertools.count()
 
     def put(self, job: Job) -> Job | None:
-        """Queue a job; return the one dropped for it when full."""
+        """Queue a job; return the job dropped if the queue is full."""
         with self.condition:
             entry = (-job.value, next(self.order), job)
             heapq.heappush(self.jobs, entry)
@@ -104,7 +104,7 @@
             return last[2]
 
     def get(self, timeout_s: float) -> Job | None:
-        """Return the worthiest job, ``None`` when there is none."""
+        """Return the job of highest value, ``None`` if there is none."""
         with self.condition:
             if not self.jobs:
                 self.condition.wait(timeout_s)
@@ -113,7 +113,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class CacheContext:
-    """What exporting works with, shared over the stores."""
+    """Objects shared by the parts of the kept cache."""
 
     index: indexes.BlockIndex
     names: block_names.Names
@@ -133,10 +133,10 @@
     ----------
     store
         The store.
-    tools
-        Index, adapters and the like.
+    context
+        Objects shared by the parts of the kept cache.
     stopping
-        Set to end it.
+        Set to stop the thread.
     """
 
     def __init__(
@@ -156,7 +156,7 @@
         )
 
     def submit(self, job: Job) -> None:
-        """Queue the pieces of a job that are not queued yet."""
+        """Queue those pieces of a job that are not yet queued."""
         with self.lock:
             pieces = tuple(
                 piece
@@ -172,14 +172,14 @@
             self.release(dropped)
 
     def release(self, job: Job) -> None:
-        """Let the pieces of a job be queued again."""
+        """Allow the pieces of a job to be queued again."""
         with self.lock:
             self.queued_keys.difference_update(
                 piece.key for piece in job.pieces
             )
 
     def running(self) -> bool:
-        """Tell whether to go on."""
+        """Return whether the thread should continue."""
         current = self.context.stores.is_current(self.store)
         return current and not self.stopping.is_set()
 
@@ -191,7 +191,7 @@
                 self.run_job(job)
 
     def run_job(self, job: Job) -> None:
-        """Export a job's pieces, as far as that can be done now."""
+        """Export a job's pieces until one can't be exported."""
         try:
             for piece in job.pieces:
                 self.export_piece(job, piece)
@@ -201,7 +201,7 @@
             self.release(job)
 
     def export_piece(self, job: Job, piece: Piece) -> None:
-        """Export one piece, confirm it and only then index it."""
+        """Export one piece and index it once it is confirmed."""
         context = self.context
         expected_size = context.sizes.expected(job.variant)
         size = expected_size or DEFAULT_BLOCK_BYTES
@@ -214,8 +214,8 @@
         )
         packed = context.names.pack(name)
         # Guard: the store lists a block before its writer has confirmed
-        # it; taken in by the sweep meanwhile, it would be in use when the
-        # confirmation fails.  The sweep passes over what is being written.
+        # it.  If the sweep adopted it, it would be in use when the
+        # confirmation fails, so the sweep skips blocks being written.
         context.index.in_flight_writes.add(packed)
         try:
             self.write_piece(job, piece, packed, size)
@@ -225,7 +225,7 @@
     def write_piece(
         self, job: Job, piece: Piece, packed: bytes, size: int
     ) -> None:
-        """Have one piece written under a name, confirm and index it."""
+        """Have the engine write one piece, then confirm and index it."""
         boot_id = self.store.boot_id
         match self.transfer(job, piece, packed, size):
             case engine_kv.NotCached():
@@ -241,7 +241,7 @@
         self.add_to_index(block)
 
     def wait_for(self, condition: typing.Callable[[], bool], job: Job) -> None:
-        """Wait until the store has room, or its link no import wants it."""
+        """Wait until a condition holds, such as room in the store."""
         while not condition():
             too_old = self.context.clock() - job.queued_at > MAX_WAIT_S
             if too_old or not self.store.alive or not self.running():
@@ -251,7 +251,7 @@
     def transfer(
         self, job: Job, piece: Piece, packed: bytes, size: int
     ) -> engine_kv.ExportOutcome:
-        """Let the engine write the piece, and learn the link's rate."""
+        """Have the engine write the piece, and record the transfer."""
         link = self.store.link
         transfer = link.begin(size)
         moved = 0
@@ -276,11 +276,11 @@
     ) -> state.Block | None:
         """Return the block if the store holds all of it.
 
-        Guard: a store or engine that dies during the write, or a store
-        that keeps a part and answers as if it were whole.  A request that
-        read it would go on from KV that isn't there.  What the store
-        lists must have the length and the checksum that the engine gave;
-        until then no index knows the block.
+        Guard: a store or engine may crash during the write, or the store
+        may keep only a part and still report success; a request that read
+        such a block would continue from incomplete KV.  The block is
+        indexed only if the store lists it with the length and checksum
+        that the engine reported.
         """
         text = self.context.names.format(packed)
         try:
@@ -301,12 +301,12 @@
         )
 
     def discard(self, packed: bytes, size: int, boot_id: str) -> None:
-        """Have what may have been written deleted."""
+        """Schedule the deletion of a possibly incomplete block."""
         block = state.Block(packed, size, b"", self.store.name, boot_id)
         self.context.index.free(block, self.context.clock())
 
     def add_to_index(self, block: state.Block) -> None:
-        """Index a confirmed block and tell who else keeps the index."""
+        """Index a confirmed block and notify the other index holders."""
         context = self.context
         context.sizes.record(block.variant, block.size)
         is_owner = context.sharing.holders(block.group).is_owner
--- a/src/briarseam/cache/importing.py
+++ b/src/briarseam/cache/importing.py
@@ -1,4 +1,4 @@
-"""Imports: engines read kept blocks, within the budgets of the links."""
+"""Imports: engines read kept blocks within the budgets of the links."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class ActiveTransfer:
-    """One transfer under way on a store's link."""
+    """One active transfer on a store's link."""
 
     store: store_state.Store
     transfer: links.Transfer
 
 
 class Importer:
-    """Orders imports and takes in what came of them.
+    """Requests imports from engines and handles the results.
 
     Parameters
     ----------
-    tools
-        Index, adapters and the like.
+    context
+        Objects shared by the parts of the kept cache.
     stopping
-        Ends waits early.
+        Set to end waits early.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         plan: state.Plan,
         max_s: float = maintenance.MAX_IMPORT_S,
     ) -> state.Imported:
-        """Let an endpoint import a plan's blocks; wait for it.
+        """Have an endpoint import a plan's blocks, and wait for the result.
 
         Parameters
         ----------
@@ -59,12 +59,12 @@
         plan
             From :meth:`plan`.
         max_s
-            Longest time that is of use, in seconds.
+            Maximum useful duration, in seconds.
 
         Returns
         -------
         Imported
-            What did not come is recomputed by the endpoint.
+            The endpoint recomputes what was not imported.
         """
         if not plan.blocks:
             return state.Imported()
@@ -79,8 +79,8 @@
             return state.Imported(failed="freed")
         imported = self.run_import(address, plan.cut(count), timeout_s)
         # Guard: an engine that did not answer in time may still be reading.
-        # Given back now, a block could be deleted under it; the reading
-        # ends by its own bound instead.
+        # If the blocks were unpinned now, they could be deleted meanwhile,
+        # so the pins are left to expire.
         if not imported.failed.startswith(UNANSWERED):
             self.context.index.unpin(blocks[:count])
         return imported
@@ -88,7 +88,7 @@
     def run_import(
         self, address: str, plan: state.Plan, timeout_s: float
     ) -> state.Imported:
-        """Order an import within the budget of its links."""
+        """Run an import within the budget of its links."""
         wait_s = self.reserve(plan, timeout_s * MAX_WAIT_FRACTION)
         if wait_s is None:
             self.context.metrics.count("imports_over_budget")
@@ -113,7 +113,7 @@
         return self.handle_answer(plan, answer)
 
     def reserve(self, plan: state.Plan, max_wait_s: float) -> float | None:
-        """Take budget on every link of a plan; return the wait."""
+        """Take budget on every link of a plan; return the seconds to wait."""
         longest_wait_s = 0.0
         for name, size in bytes_by_store(plan).items():
             store = self.context.stores.get(name)
@@ -126,7 +126,7 @@
         return longest_wait_s
 
     def begin(self, plan: state.Plan) -> list[ActiveTransfer]:
-        """Note the start of a plan's transfers on their links."""
+        """Record the start of a plan's transfers on their links."""
         active = []
         for name, size in bytes_by_store(plan).items():
             store = self.context.stores.get(name)
@@ -141,14 +141,14 @@
         moved_bytes: int,
         answered: bool,
     ) -> None:
-        """Note the end of transfers of which ``moved`` bytes came."""
+        """Record the end of transfers of ``moved_bytes`` in total."""
         fraction = moved_bytes / plan.bytes if plan.bytes else 0.0
         for item in active:
             size = int(item.transfer.size * fraction)
             item.store.link.end(item.transfer, size, aborted=not answered)
 
     def request(self, plan: state.Plan) -> engine_kv.ImportRequest:
-        """Return the order for an engine."""
+        """Return the request to an engine."""
         entries = []
         for planned in plan.blocks:
             store = self.context.stores.get(planned.block.store)
@@ -167,7 +167,7 @@
     def handle_answer(
         self, plan: state.Plan, answer: engine_kv.ImportAnswer
     ) -> state.Imported:
-        """Take in an import's outcome; a bad block is never used again."""
+        """Handle an import's result; a bad block is never used again."""
         self.context.metrics.count("imported_blocks", answer.imported)
         self.context.metrics.count("imported_bytes", answer.bytes)
         if answer.failed is None:
@@ -189,7 +189,7 @@
         return state.Imported(answer.imported, answer.bytes, fault.value)
 
     def drop_bad_block(self, block: state.Block) -> None:
-        """Free a block that its reader found missing or corrupt."""
+        """Free a block that an engine reported missing or corrupt."""
         group = block.group
         holders = self.context.sharing.holders(group)
         self.context.metrics.count("bad_blocks")
@@ -204,7 +204,7 @@
 
 
 def bytes_by_store(plan: state.Plan) -> dict[str, int]:
-    """Return the bytes of a plan over each store's link."""
+    """Return the bytes that a plan reads from each store."""
     sizes_by_store: dict[str, int] = {}
     for planned in plan.blocks:
         name = planned.block.store
--- a/src/briarseam/cache/index.py
+++ b/src/briarseam/cache/index.py
@@ -1,8 +1,8 @@
-"""The index of kept blocks: what may be read, and when it may be deleted.
+"""Index of kept blocks: which may be read, and when they may be deleted.
 
-A block's life: written by an engine, confirmed by length and checksum, and
-only then added here; freed by leaving the index first, then waiting for
-whoever reads it, and only then deleted at the store.
+An engine writes a block, and it is added here only after its length and
+checksum are confirmed.  A freed block is first removed from the index and is
+deleted at the store only when no reader is left.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 
 @dataclasses.dataclass(slots=True)
 class Group:
-    """The blocks that one session of one organisation has kept.
+    """The kept blocks of one session of one organisation.
 
     Attributes
     ----------
     blocks
-        In order of being added, which is mostly that of depth.
+        In the order in which they were added, mostly that of depth.
     used_at
-        Last time it was wanted, by the clock of the service.
+        Time of the last use, by the clock of the service.
     uses
-        How often it was wanted.
+        Number of uses.
     size
         Bytes.
-    learned_until
-        When this agent doesn't own the group: how long its copy may be
-        used without asking the owner; ``inf`` at the owner.
+    valid_until
+        Time until which the blocks may be used without querying the owner;
+        ``inf`` at the owner.
     """
 
     blocks: list[state.Block]
@@ -45,14 +45,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Pin:
-    """Readers of one block.
+    """Protects a block from deletion while it is read.
 
     Attributes
     ----------
     count
-        How many.
-    until
-        When the last of them ends at the latest.
+        Number of readers.
+    expires_at
+        Time by which all readers have ended.
     """
 
     count: int
@@ -61,14 +61,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PendingDeletion:
-    """A freed block that is to be deleted.
+    """A freed block that has yet to be deleted.
 
     Attributes
     ----------
     block
         The block.
     not_before
-        Earliest time, so that other agents' copies have run out.
+        Earliest time, when the copies of other agents have expired.
     """
 
     block: state.Block
@@ -76,12 +76,12 @@
 
 
 class BlockIndex:
-    """Blocks by key and by group, their readers, and those to delete.
+    """Blocks by key and by group, their pins, and pending deletions.
 
     Parameters
     ----------
     max_blocks
-        Most blocks kept in memory.
+        Maximum number of blocks in memory.
     """
 
     def __init__(self, max_blocks: int) -> None:
@@ -101,16 +101,17 @@
     def longest_prefix(
         self, keys: typing.Iterable[bytes], now: float, owned_group: bytes
     ) -> list[state.Block]:
-        """Return the blocks of the longest run of known keys.
+        """Return the blocks of the longest prefix of keys that is indexed.
 
         Parameters
         ----------
         keys
             Keys of a prompt's pieces in order.
         now
-            Copies of other agents' groups that have run out don't count.
-        own
-            The prompt's group when this agent owns it, else empty.
+            Current time; copies of other agents' groups that have expired
+            by then are not used.
+        owned_group
+            The prompt's group if this agent owns it, else empty.
         """
         blocks: list[state.Block] = []
         with self.lock:
@@ -124,37 +125,37 @@
     def usable(
         self, block: state.Block, now: float, owned_group: bytes
     ) -> bool:
-        """Tell whether a block's group may be used without asking."""
+        """Return whether a group may be used without querying its owner."""
         group = block.group
         return group == owned_group or self.groups[group].valid_until > now
 
     def add(self, block: state.Block, now: float, valid_until: float) -> bool:
-        """Add a block that is confirmed; tell whether it was taken.
+        """Add a confirmed block; return whether it was added.
 
-        A second copy of a piece is not taken; nor is a block that has
-        been freed and waits for its deletion.
+        A second copy of a piece is not added, nor is a freed block whose
+        deletion is pending.
 
         Parameters
         ----------
         block
-            Whole at its store, by length and checksum.
+            Complete in its store, by length and checksum.
         now
-            The present.
-        learned_until
+            Current time.
+        valid_until
             See :class:`Group`.
         """
         with self.lock:
-            # Guard: a listing or a peer's message that is late brings back
-            # a block that was freed here.  It would be read while it is
-            # being deleted.  Freed names stay known until they are gone.
+            # Guard: a late listing or message from a peer may contain a
+            # block that was freed here, which would then be read while it
+            # is being deleted.  Freed names are kept until the deletion.
             if (
                 block.packed in self.pending_deletions
                 or block.key in self.by_key
             ):
                 return False
-            # Guard: a store is replaced between a block's confirmation and
-            # this; as an entry of the old boot it would never be readable
-            # and, being known, never be exported again.
+            # Guard: a store may be replaced between a block's confirmation
+            # and this call.  As an entry of the old boot the block could
+            # not be read and, being indexed, would not be exported again.
             if self.boot_ids.get(block.store, block.boot_id) != block.boot_id:
                 return False
             if len(self.by_key) >= self.max_blocks:
@@ -173,19 +174,19 @@
             return True
 
     def add_stored_bytes(self, block: state.Block, size: int) -> None:
-        """Keep the count of bytes per store."""
+        """Add to the bytes in a block's store."""
         self.bytes_by_store[block.store] = (
             self.bytes_by_store.get(block.store, 0) + size
         )
 
     def contains(self, block: state.Block) -> bool:
-        """Tell whether exactly this block is indexed."""
+        """Return whether this very block is indexed, not another copy."""
         with self.lock:
             indexed = self.by_key.get(block.key)
             return indexed is not None and indexed.packed == block.packed
 
     def forget(self, block: state.Block) -> bool:
-        """Take a block out without deleting it; tell whether it was in."""
+        """Remove a block, but don't delete it; return if it was indexed."""
         with self.lock:
             if not self.contains(block):
                 return False
@@ -199,19 +200,19 @@
             return True
 
     def free(self, block: state.Block, not_before: float) -> bool:
-        """Take a block out and let it be deleted later.
+        """Remove a block and schedule its deletion.
 
-        Guard: a block deleted while it is read would be read in part, or
-        as a name that is gone.  It leaves the index first, so no new
-        reader finds it, and is deleted only when those that had it have
-        ended, see :meth:`deletable`.
+        Guard: a reader of a block that is deleted meanwhile gets a part of
+        it or a missing name.  The block is removed from the index first,
+        so it gets no new readers, and is deleted only when its current
+        readers have ended, see :meth:`deletable`.
 
         Parameters
         ----------
         block
-            The block; it need not be indexed.
+            The block, indexed or not.
         not_before
-            Earliest time of its deletion.
+            Earliest time of the deletion.
 
         Returns
         -------
@@ -227,7 +228,7 @@
             return was_indexed
 
     def deletable(self, store: str, now: float) -> list[state.Block]:
-        """Return freed blocks of a store that nobody reads any more."""
+        """Return freed blocks of a store that have no readers left."""
         with self.lock:
             self.pins = {
                 packed: pin
@@ -243,12 +244,12 @@
             ]
 
     def is_pinned(self, block: state.Block, now: float) -> bool:
-        """Tell whether somebody reads a block."""
+        """Return whether a block has readers."""
         pin = self.pins.get(block.packed)
         return pin is not None and pin.expires_at > now
 
     def finish_deletion(self, block: state.Block) -> None:
-        """Note that the store no longer has a freed block."""
+        """Record that a freed block was deleted from its store."""
         with self.lock:
             self.pending_deletions.pop(block.packed, None)
             self.pins.pop(block.packed, None)
@@ -256,18 +257,18 @@
     def pin(
         self, blocks: typing.Sequence[state.Block], expires_at: float
     ) -> int:
-        """Begin to read blocks; return how many from the first on.
+        """Pin the leading blocks that are indexed; return their number.
 
-        Guard: a plan is made before it is carried out; in between a block
-        may have been freed.  The check and the count are one step under
-        the lock, so a block is either read by then or not at all.
+        Guard: a block may be freed between the making of a plan and its
+        import.  The check and the pin are one step under the lock, so a
+        block is either pinned before it is freed or not read at all.
 
         Parameters
         ----------
         blocks
-            As planned.
-        until
-            When the reading ends at the latest.
+            Blocks of a plan, in order.
+        expires_at
+            Time by which the reading ends.
         """
         with self.lock:
             count = 0
@@ -281,7 +282,7 @@
             return count
 
     def unpin(self, blocks: typing.Sequence[state.Block]) -> None:
-        """End the reading of blocks."""
+        """Release one pin of each block."""
         with self.lock:
             for block in blocks:
                 pin = self.pins.get(block.packed)
@@ -292,7 +293,7 @@
                     del self.pins[block.packed]
 
     def record_use(self, group: bytes, now: float) -> None:
-        """Note that a group was wanted."""
+        """Record a use of a group."""
         with self.lock:
             known = self.groups.get(group)
             if known is not None:
@@ -300,10 +301,10 @@
                 known.uses += 1
 
     def evict_oldest(self, needed: int) -> None:
-        """Make room for some blocks in memory, never in the stores.
+        """Make room in memory for a number of blocks.
 
-        What is forgotten is found again by the next listing, if it is
-        this agent's to keep.
+        The blocks stay in the stores, and the next sweep adopts those that
+        this agent owns again.
         """
         with self.lock:
             excess = len(self) + needed - self.max_blocks
@@ -323,19 +324,18 @@
     def drop_earlier_boots(
         self, store: str, boot_id: str
     ) -> list[state.Block]:
-        """Forget what a store held before its present boot.
+        """Remove the blocks that a store held before its current boot.
 
-        Guard: a store that came back, perhaps refilled by others, no
-        longer holds what it held.  Its entries would send engines to
-        blocks that are gone.  Every entry carries the boot it was
-        confirmed in.
+        Guard: a restarted store, perhaps refilled by other agents, no
+        longer has its old blocks, and their entries would send engines to
+        missing ones.  Each entry has the boot in which it was confirmed.
 
         Parameters
         ----------
         store
             Name of the store.
         boot_id
-            Its present boot; what is of this boot stays.
+            Its current boot, whose blocks are not removed.
         """
         with self.lock:
             self.boot_ids[store] = boot_id
--- a/src/briarseam/cache/links.py
+++ b/src/briarseam/cache/links.py
@@ -1,4 +1,4 @@
-"""The link to one store: its budget, and the rate seen on it."""
+"""The link to one store: its budget and its observed rate."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 @dataclasses.dataclass
 class Transfer:
-    """One transfer under way.
+    """One active transfer.
 
     Attributes
     ----------
     size
         Bytes.
-    began
-        Start, by the link's clock.
-    area_before
-        The link's integral of transfers under way at the start.
+    started_at
+        Start time, by the link's clock.
+    transfer_seconds_before
+        Value of the link's ``transfer_seconds`` at the start.
     """
 
     size: int
@@ -39,37 +39,41 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TransferEstimate:
-    """What a transfer must expect.
+    """Expected start and rate of a transfer.
 
     Attributes
     ----------
-    begins_s
+    start_delay_s
         Seconds until its first byte.
     rate
-        Bytes per second from then on.
+        Bytes per second after that.
     """
 
     start_delay_s: float
     rate: float
 
     def duration_s(self, size: int) -> float:
-        """Return the seconds until ``size`` bytes are through."""
+        """Return the seconds until ``size`` bytes are transferred."""
         return self.start_delay_s + size / self.rate
 
 
 class Link:
     """Token bucket and observed rate of one store's link.
 
-    A transfer may go into debt; later ones wait until it is paid, so over
-    any time ``t`` at most ``limit * (t + BURST_S)`` plus one transfer goes
-    over the link.
+    A transfer may make the bucket negative, and later ones wait until it is
+    refilled, so in any period of ``t`` seconds the link carries at most
+    ``limit * (t + BURST_S)`` bytes plus one transfer.
+
+    ``transfer_seconds`` is the integral over time of the number of active
+    transfers; over the duration of a transfer it gives the mean number of
+    transfers that shared the link.
 
     Parameters
     ----------
     clock
         Monotonic seconds.
     limit
-        Budget in bytes per second; 0 means none.
+        Budget in bytes per second; 0 for no limit.
     """
 
     def __init__(
@@ -97,34 +101,34 @@
                 self.tokens = min(self.tokens, limit * BURST_S)
 
     def refill(self) -> None:
-        """Add the tokens earned since the last call."""
+        """Add the tokens for the time since the last call."""
         now = self.clock()
         earned = (now - self.refilled_at) * self.limit
         self.tokens = min(self.tokens + earned, self.limit * BURST_S)
         self.refilled_at = now
 
     def wait_s(self) -> float:
-        """Return seconds until the debt is paid."""
+        """Return the seconds until the bucket is no longer negative."""
         if self.limit <= 0:
             return 0.0
         self.refill()
         return max(-self.tokens, 0.0) / self.limit
 
     def reserve(self, size: int, max_wait_s: float) -> float | None:
-        """Take ``size`` bytes of budget, going into debt if need be.
+        """Take ``size`` bytes of budget, even if the bucket becomes negative.
 
         Parameters
         ----------
         size
             Bytes.
         max_wait_s
-            Longest wait that is of use.
+            Maximum useful wait, in seconds.
 
         Returns
         -------
         float or None
-            Seconds to wait before the transfer; ``None`` when that would
-            be too long, and nothing is taken.
+            Seconds to wait before the transfer; ``None`` if that is longer
+            than ``max_wait_s``, in which case no budget is taken.
         """
         with self.lock:
             wait_s = self.wait_s()
@@ -135,10 +139,10 @@
             return wait_s
 
     def reserve_idle(self, size: int) -> bool:
-        """Take budget only when nobody else wants it.
+        """Take budget only if no import needs it; return whether it did.
 
-        Exports wait behind imports: they need the bucket to hold the
-        whole transfer, or to be full.
+        Exports have lower priority than imports: they require the bucket
+        to contain the entire transfer or to be nearly full.
         """
         with self.lock:
             if self.limit <= 0:
@@ -150,7 +154,7 @@
             return True
 
     def begin(self, size: int) -> Transfer:
-        """Note the start of a transfer."""
+        """Record the start of a transfer."""
         with self.lock:
             self.integrate()
             transfer = Transfer(size, self.clock(), self.transfer_seconds)
@@ -160,17 +164,17 @@
     def end(
         self, transfer: Transfer, moved_bytes: int, aborted: bool = False
     ) -> None:
-        """Note the end of a transfer.
+        """Record the end of a transfer.
 
         Parameters
         ----------
         transfer
             From :meth:`begin`.
-        moved
-            Bytes that came.
-        cut
-            It was given up; how much came by then nobody knows, and it is
-            taken for a quarter.
+        moved_bytes
+            Bytes that were transferred.
+        aborted
+            Whether the transfer was abandoned.  The number of bytes is then
+            unknown, and ``ABORTED_FRACTION`` of the size is assumed.
         """
         with self.lock:
             self.integrate()
@@ -187,7 +191,7 @@
                 self.add_sample(sample, current_rate, aborted)
 
     def integrate(self) -> None:
-        """Bring the integral of transfers under way up to now."""
+        """Advance the integral of active transfers to the current time."""
         now = self.clock()
         self.transfer_seconds += len(self.active) * (now - self.integrated_at)
         self.integrated_at = now
@@ -195,10 +199,11 @@
     def add_sample(
         self, sample: float, current_rate: float, aborted: bool
     ) -> None:
-        """Take in one sample of the link's whole rate.
+        """Add one sample of the total rate of the link.
 
-        Rates are averaged by their logarithms: a link may fall to a
-        thousandth, and a plain average would stay near the old rate.
+        Rates are averaged by their logarithms: the rate of a link may fall
+        to a thousandth, and an arithmetic mean would stay near the old
+        rate.
         """
         gain = SLOWER_GAIN if sample < current_rate else FASTER_GAIN
         if self.observed_rate is None or aborted:
@@ -208,12 +213,12 @@
         self.best_rate = max(self.best_rate, sample)
 
     def recovered_rate(self, at: float) -> float:
-        """Return the observed rate, trusted less as it grows old.
+        """Return the observed rate, raised while there are no samples.
 
         Guard: a link that was slow once would be predicted slow for ever,
-        since nothing is imported over it that could show otherwise.  The
-        estimate doubles every ``RELAX_S`` idle seconds without a sample,
-        up to the budget or, without one, the best rate seen.
+        since nothing is imported over it that would give new samples.  The
+        estimate doubles every ``RECOVERY_DOUBLING_S`` seconds without a
+        sample, up to the budget or, without one, the best observed rate.
         """
         if self.observed_rate is None:
             return self.limit or UNKNOWN_RATE
@@ -224,10 +229,10 @@
         )
 
     def rate(self) -> float:
-        """Return the bytes per second to count on now.
+        """Return the expected bytes per second.
 
-        A transfer that is overdue bounds the rate before it has ended, so
-        a link that slows down is noticed by the first transfer on it.
+        An overdue transfer limits the rate before it has ended, so the
+        first transfer on a link that slows down reveals it.
         """
         now = self.clock()
         oldest = self.active[0] if self.active else None
@@ -240,7 +245,7 @@
         return max(rate, 1.0)
 
     def estimate(self) -> TransferEstimate:
-        """Return what a transfer that is asked for now must expect."""
+        """Return the estimate for a transfer that is requested now."""
         with self.lock:
             rate = self.rate()
             waiting = sum(transfer.size for transfer in self.active)
@@ -248,5 +253,5 @@
             return TransferEstimate(start_delay_s, rate)
 
     def predict_duration_s(self, size: int) -> float:
-        """Return the predicted seconds for a transfer asked for now."""
+        """Return the predicted seconds for a transfer requested now."""
         return self.estimate().duration_s(size)
--- a/src/briarseam/cache/maintenance.py
+++ b/src/briarseam/cache/maintenance.py
@@ -1,10 +1,10 @@
-"""Keeping one store in order: its state, its listing, and deletions.
+"""Maintenance of one store: polling its state, sweeping and deleting.
 
-One thread per store polls its state, forgets what an earlier boot held,
-adopts blocks of this agent's groups that its index has lost, frees what is
-worth least when the store fills, and deletes freed blocks once nobody can
-read them.  All of it is in one thread, so a listing is never taken in after
-a deletion that it doesn't know of.
+One thread per store polls its state, removes the blocks of earlier boots from
+the index, adopts blocks of this agent's groups that the index has lost, frees
+the blocks of lowest value when the store fills, and deletes freed blocks that
+have no readers left.  A single thread does all this, so that no listing is
+applied after a deletion that it doesn't contain.
 """
 
 from __future__ import annotations
@@ -29,26 +29,26 @@
 
 
 class StoreMaintainer:
-    """Keeps one store in order.
+    """Maintains one store.
 
     Parameters
     ----------
     store
         The store.
-    tools
-        Index, adapters and the like.
+    context
+        Objects shared by the parts of the kept cache.
     ranker
-        Gives the present policy's order of victims.
+        Returns the ranker of the current policy.
     view
-        Gives the present configuration.
+        Returns the current configuration.
     stopping
-        Set to end it.
+        Set to stop the thread.
     wall_clock
-        Seconds since the epoch, to tell the age of listed blocks.
+        Seconds since the epoch, for the age of listed blocks.
     poll_s
         Seconds between steps.
-    rest_s
-        Least seconds between two passes over the listing.
+    sweep_pause_s
+        Minimum seconds between two passes over the listing.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         )
 
     def work(self) -> None:
-        """Keep the store in order until stopped."""
+        """Maintain the store until stopped."""
         while self.running():
             try:
                 self.step()
@@ -86,12 +86,12 @@
             self.stopping.wait(self.poll_s)
 
     def running(self) -> bool:
-        """Tell whether to go on."""
+        """Return whether the thread should continue."""
         current = self.context.stores.is_current(self.store)
         return current and not self.stopping.is_set()
 
     def step(self) -> None:
-        """Do each duty once.
+        """Run each maintenance task once.
 
         Raises
         ------
@@ -104,7 +104,7 @@
         self.make_room()
 
     def poll(self) -> None:
-        """Take in the store's state."""
+        """Poll the store's state and handle a reboot."""
         answered = self.context.client.state(self.store.address)
         if self.context.stores.apply_state(self.store, answered):
             dropped = self.context.index.drop_earlier_boots(
@@ -114,7 +114,7 @@
             self.sweeper.restart()
 
     def delete_freed(self) -> None:
-        """Delete freed blocks that nobody reads any more."""
+        """Delete freed blocks that have no readers left."""
         now = self.context.clock()
         for block in self.context.index.deletable(self.store.name, now):
             text = self.context.names.format(block.packed)
@@ -124,9 +124,9 @@
             self.context.metrics.count("deleted_blocks")
 
     def make_room(self) -> None:
-        """Free what is worth least while the store is too full.
+        """Free the groups of lowest value while the store is too full.
 
-        Each agent frees the part that it answers for.
+        Each agent frees its own share of the excess.
         """
         fill = self.view().kept_cache.fill
         limit = fill * self.store.capacity
@@ -146,7 +146,7 @@
             needed -= freed
 
     def pending_deletion_bytes(self) -> int:
-        """Return the bytes that are freed but not yet deleted."""
+        """Return the bytes of blocks that are freed but not yet deleted."""
         with self.context.index.lock:
             return sum(
                 deletion.block.size
@@ -155,12 +155,12 @@
             )
 
     def owned_bytes(self) -> int:
-        """Return the bytes that this agent answers for."""
+        """Return the bytes in the store that this agent manages."""
         lost = self.sweeper.unadopted_bytes()
         return self.context.index.bytes_by_store.get(self.store.name, 0) + lost
 
     def store_groups(self) -> list[bytes]:
-        """Return groups with blocks here that may have to go."""
+        """Return groups in this store that may be freed."""
         index = self.context.index
         with index.lock:
             over_share = self.organisations_over_share()
@@ -172,7 +172,7 @@
             ]
 
     def free_lowest(self, groups: list[bytes], needed: float) -> int:
-        """Free the end of the worst of some groups; return its bytes."""
+        """Free the end of the group of lowest value; return its bytes."""
         ranker = self.ranker()
         victim = ranker.victim(self.candidates(groups))
         if victim is None:
@@ -181,7 +181,7 @@
         return self.free_from_end(victim.group, needed)
 
     def candidates(self, groups: list[bytes]) -> list[retention.Candidate]:
-        """Return what is known of some groups that this agent owns."""
+        """Return candidates from a sample of groups, if owned."""
         now = self.context.clock()
         holders = self.context.sharing.holders
         with self.context.index.lock:
@@ -192,7 +192,7 @@
             ]
 
     def candidate(self, name: bytes, now: float) -> retention.Candidate:
-        """Return what is known of a group."""
+        """Return a group as a candidate."""
         group = self.context.index.groups[name]
         model = self.ranker().model
         group_class = model.group_class(name, len(group.blocks))
@@ -204,7 +204,7 @@
         )
 
     def organisations_over_share(self) -> set[bytes]:
-        """Return organisations that fill more than their share."""
+        """Return the hashes of organisations that exceed their share."""
         view = self.view()
         shares = {
             self.context.names.organisation(name): organisation.cache_share
@@ -227,8 +227,8 @@
     def free_from_end(self, name: bytes, needed: float) -> int:
         """Free a group's blocks from its end; return their bytes.
 
-        The end goes first: a block is of no use without those in front
-        of it.
+        The last blocks are freed first, since a block is useless without
+        those before it.
         """
         context = self.context
         wait_s = context.sharing.deletion_delay_s(
--- a/src/briarseam/cache/messages.py
+++ b/src/briarseam/cache/messages.py
@@ -13,13 +13,13 @@
 @codec.message("kept-ask")
 @dataclasses.dataclass(frozen=True)
 class KeptAsk:
-    """Ask which blocks of a group are kept.
+    """Query which blocks of a group are kept.
 
     Attributes
     ----------
     group
-        Organisation and session, hashed with the shared secret, so only
-        who knows both can ask for it.
+        Organisation and session, hashed with the shared secret, so a
+        query requires knowing both.
     variant
         Model, adapter and weight version, hashed.
     """
@@ -31,7 +31,7 @@
 @codec.message("kept-answer")
 @dataclasses.dataclass(frozen=True)
 class KeptAnswer:
-    """The blocks, confirmed, not freed, in order of depth."""
+    """Blocks that are confirmed and not freed, in order of depth."""
 
     blocks: tuple[state.Block, ...]
 
@@ -39,14 +39,14 @@
 @codec.message("kept-change")
 @dataclasses.dataclass(frozen=True)
 class KeptChange:
-    """Tell an agent that keeps the index of what has changed.
+    """Notify an agent that holds a copy of the index of changes.
 
     Attributes
     ----------
     added
-        Blocks now confirmed.
+        Newly confirmed blocks.
     freed
-        Packed names no longer to be read.
+        Packed names of blocks that must no longer be read.
     """
 
     added: tuple[state.Block, ...] = ()
@@ -56,4 +56,4 @@
 @codec.message("kept-noted")
 @dataclasses.dataclass(frozen=True)
 class KeptNoted:
-    """The change was taken in."""
+    """The change was applied."""
--- a/src/briarseam/cache/names.py
+++ b/src/briarseam/cache/names.py
@@ -1,12 +1,12 @@
-"""Names of kept blocks: what keeps organisations and versions apart.
+"""Names of kept blocks, which separate organisations and weight versions.
 
 The key of a piece is a keyed hash over organisation, model, adapter, weight
 version and the piece's chain digest, so a block of another organisation or
-of another version has another key and can't match.  A block's name in the
-store is its key with a nonce that is never used again, so a name never
-comes to mean other bytes.  The name also carries the group (one session of
-one organisation), the variant (model, adapter and version) and the depth,
-each hashed, from which an agent that has lost its index rebuilds it.
+version has a different key and can't match.  A block's name in the store is
+its key plus a nonce that is never reused, so a name never refers to different
+bytes.  The name also contains the depth and the hashes of the group (one
+session of one organisation) and the variant (model, adapter and version),
+from which an agent that has lost its index rebuilds it.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class BlockName:
-    """A block's name, taken apart.
+    """The fields of a block's name.
 
     Attributes
     ----------
@@ -44,11 +44,11 @@
     variant
         Hash of model, adapter and weight version.
     depth
-        Pieces in front of this one.
+        Number of pieces before this one in the prompt.
     key
-        What a prompt's piece has to match, without the nonce.
+        Key that a piece of a prompt has to match.
     nonce
-        Tells copies of one piece apart; never used again.
+        Distinguishes copies of one piece; never reused.
     """
 
     group: bytes
@@ -59,26 +59,25 @@
 
 
 def length_prefixed(parts: typing.Iterable[str]) -> bytes:
-    """Return the parts with their lengths.
+    """Return the parts, each prefixed by its length.
 
-    The length in front keeps two different splits of the same text from
-    having the same bytes.
+    The prefixes make different splits of the same text differ.
     """
     data = [part.encode() for part in parts]
     return b"".join(LENGTH.pack(len(part)) + part for part in data)
 
 
 class Names:
-    """Makes and reads names under one secret.
+    """Creates and parses names under one secret.
 
     Parameters
     ----------
     secret
-        Shared by all agents; whoever lacks it can neither make nor match
-        a name.
+        Shared by all agents; names can be neither created nor matched
+        without it.
     session_hash
-        Hash of organisation and session, ``SESSION_BYTES`` long; by
-        default a keyed one.
+        Hash of organisation and session, ``SESSION_BYTES`` long; a keyed
+        hash by default.
     """
 
     def __init__(
@@ -93,7 +92,7 @@
         )
 
     def keyed_hash(self, label: bytes, data: bytes, size: int) -> bytes:
-        """Return a keyed hash for one use."""
+        """Return a keyed hash; the label separates its uses."""
         return hashlib.blake2b(
             data, digest_size=size, key=self.secret, person=label
         ).digest()
@@ -101,12 +100,12 @@
     def derive_key(
         self, organisation: str, model: str, adapter: str, version: str
     ) -> bytes:
-        """Return the secret under which a variant's pieces are named."""
+        """Return the hash key for the pieces of a variant."""
         data = length_prefixed((organisation, model, adapter, version))
         return self.keyed_hash(b"pieces", data, 32)
 
     def derive_variant(self, model: str, adapter: str, version: str) -> bytes:
-        """Return the hash of what a block was computed with."""
+        """Return the hash of model, adapter and weight version."""
         data = length_prefixed((model, adapter, version))
         return self.keyed_hash(b"variant", data, VARIANT_BYTES)
 
@@ -126,7 +125,7 @@
         return self.organisation(organisation) + session_hash
 
     def salt(self, organisation: str) -> str:
-        """Return the cache salt an engine is given for an organisation."""
+        """Return the cache salt that engines get for an organisation."""
         return self.keyed_hash(b"salt", organisation.encode(), 16).hex()
 
     def keys(
@@ -137,12 +136,12 @@
         version: str,
         chain: typing.Sequence[bytes],
     ) -> typing.Iterator[bytes]:
-        """Yield the key of each piece of a chain, worked out when asked.
+        """Yield the key of each piece of a chain, computed lazily.
 
-        Guard: a hit across organisations or versions.  It would show as
-        another organisation's text, or as tokens that the weights don't
-        give.  Both are part of the hash's key, so no index and no store
-        holds a block under a key that such a request asks for.
+        Guard: a hit across organisations or versions would expose another
+        organisation's text, or produce tokens that the weights don't
+        generate.  Both are part of the hash key, so no index and no store
+        has a block under the key of such a request.
         """
         secret = self.variant_key(organisation, model, adapter, version)
         for digest in chain:
@@ -153,17 +152,17 @@
     def new_name(
         self, group: bytes, variant: bytes, depth: int, key: bytes
     ) -> BlockName:
-        """Return a name that has never been used."""
+        """Return a unique name for a block."""
         nonce = secrets.token_bytes(NONCE_BYTES)
         return BlockName(group, variant, depth, key, nonce)
 
     def pack(self, name: BlockName) -> bytes:
-        """Return a name's bytes without its tag."""
+        """Return a name as bytes, without its tag."""
         depth = DEPTH.pack(min(name.depth, MAX_DEPTH))
         return name.group + name.variant + depth + name.key + name.nonce
 
     def format(self, packed: bytes) -> str:
-        """Return the name as the store has it."""
+        """Return the text form of a packed name, as used by stores."""
         tag = self.keyed_hash(b"tag", packed, TAG_BYTES)
         return (
             packed[:-NONCE_BYTES].hex()
@@ -172,11 +171,12 @@
         )
 
     def parse(self, text: str) -> bytes | None:
-        """Return the packed name, ``None`` when it isn't one of ours.
+        """Return the packed name, ``None`` if another system wrote it.
 
-        Guard: a store may hold blocks of others.  Taken for ours they
-        would be deleted when the store fills.  The tag is keyed, so only
-        names made with our secret pass.
+        Guard: a store may hold blocks of other systems, which would be
+        deleted when the store fills if they were mistaken for blocks of
+        this one.  The tag is keyed, so only names that were created with
+        the agents' secret are accepted.
         """
         front, _, back = text.partition("-")
         try:
@@ -200,7 +200,7 @@
 
 
 def unpack(packed: bytes) -> BlockName:
-    """Return the parts of a packed name."""
+    """Return the fields of a packed name."""
     return BlockName(
         group=packed[:VARIANT_OFFSET],
         variant=packed[VARIANT_OFFSET:DEPTH_OFFSET],
@@ -211,6 +211,6 @@
 
 
 def store_rank(group: bytes, store: str) -> bytes:
-    """Return a store's place for a group; the lowest is its home."""
+    """Return a store's rank for a group; the lowest is preferred."""
     data = group + store.encode()
     return hashlib.blake2b(data, digest_size=SESSION_BYTES).digest()
--- a/src/briarseam/cache/owners.py
+++ b/src/briarseam/cache/owners.py
@@ -1,11 +1,11 @@
-"""Which agents keep the index of a group.
+"""Agents that hold the index of a group.
 
-The owner is the first live agent in lookup's own order of the group's
-session, which is the order in which callers are sent to agents; so the
-agent that serves a session is its owner as a rule, and asks nobody.  The
-second copy is with the next agent of another zone.  Two agents may disagree
-for a while on who is alive; then both act as owners, blocks are deleted
-earlier than need be, and a reader that meets a gap recomputes.
+The owner is the first live agent in the lookup order of the group's session.
+Lookups send callers to agents in the same order, so the agent that serves a
+session usually owns it and needs no query.  The second copy is held by the
+next agent in another zone.  While two agents disagree on which agents are
+alive, both may act as owners; blocks are then deleted too early, and a reader
+that finds a block missing recomputes it.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 class Layout(typing.Protocol):
-    """The agents, ready to be ranked."""
+    """Ranks the agents."""
 
     def order(self, key: str, count: int) -> typing.Sequence[members.Member]:
-        """Return the first agents in a session's order."""
+        """Return the first agents in the order for a session."""
 
 
 class Owners:
@@ -33,10 +33,10 @@
 
     Parameters
     ----------
-    me
-        This agent's name.
+    own_name
+        Name of this agent.
     layout
-        Gives the present agents; the same object while nothing changes.
+        Returns the current agents; the same object until they change.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self.cached: dict[bytes, state.Holders] = {}
 
     def __call__(self, group: bytes) -> state.Holders:
-        """Return who keeps a group's index."""
+        """Return the agents that hold a group's index."""
         layout = self.layout()
         with self.lock:
             if layout is not self.ranked_layout:
@@ -66,7 +66,7 @@
             return holders
 
     def compute(self, group: bytes, layout: Layout) -> state.Holders:
-        """Return who keeps a group's index among the present agents."""
+        """Return the holders of a group's index in a layout."""
         key = group[names.ORGANISATION_BYTES :].hex()
         order = [
             member
--- a/src/briarseam/cache/pieces.py
+++ b/src/briarseam/cache/pieces.py
@@ -1,8 +1,8 @@
-"""Pieces of a prompt and the chain digests that name its prefixes.
+"""Pieces of a prompt and the chain digests that identify its prefixes.
 
-A prompt is cut at white space into tokens, and its tokens into pieces of
+A prompt is split at white space into tokens, and its tokens into pieces of
 ``PIECE_TOKENS``.  The digest of a piece covers all pieces before it and the
-salt, so equal digests mean equal prefixes under one salt.
+salt, so equal digests mean equal prefixes under the same salt.
 """
 
 from __future__ import annotations
@@ -10,17 +10,17 @@
 import hashlib
 
 PIECE_TOKENS = 1000
-"""Tokens of one piece, the unit in which engines cache prefixes."""
+"""Tokens in a piece, the unit in which engines cache prefixes."""
 
 DIGEST_BYTES = 16
 """Length of a chain digest."""
 
 SALTED = b"salted"
-"""Keeps salted names apart from the digests of a chain."""
+"""Separates salted digests from the digests of a chain."""
 
 
 def split(prompt: str) -> list[str]:
-    """Cut a prompt into its tokens.
+    """Split a prompt into its tokens.
 
     Parameters
     ----------
@@ -30,44 +30,44 @@
     Returns
     -------
     list[str]
-        Its words, in order.
+        Its tokens, in order.
     """
     return prompt.split()
 
 
 def chain(prompt: str, salt: str = "") -> list[bytes]:
-    """Name every whole-piece prefix of a prompt.
+    """Return the digest of each prefix of complete pieces of a prompt.
 
     Parameters
     ----------
     prompt
         The text.
     salt
-        Keeps prefixes apart that must not match, see :func:`salt_of`.
+        Separates prefixes that must not match, see :func:`salt_of`.
 
     Returns
     -------
     list[bytes]
-        Digest ``i`` names the prefix of ``i + 1`` pieces; a last part
-        piece has none.
+        Digest ``i`` identifies the prefix of ``i + 1`` pieces; an
+        incomplete last piece has none.
     """
     return chain_tokens(split(prompt), salt)
 
 
 def chain_tokens(tokens: list[str], salt: str = "") -> list[bytes]:
-    """Name every whole-piece prefix of a list of tokens.
+    """Return the digest of each prefix of complete pieces of tokens.
 
     Parameters
     ----------
     tokens
-        The words, in order.
+        The tokens, in order.
     salt
-        Keeps prefixes apart that must not match, see :func:`salt_of`.
+        Separates prefixes that must not match, see :func:`salt_of`.
 
     Returns
     -------
     list[bytes]
-        Digest ``i`` names the prefix of ``i + 1`` pieces.
+        Digest ``i`` identifies the prefix of ``i + 1`` pieces.
     """
     digests = []
     digest = b""
@@ -81,23 +81,23 @@
 
 
 def salted(digest: bytes, salt: str) -> bytes:
-    """Return the digest by which an engine names a prefix under a salt.
+    """Return the digest by which an engine identifies a salted prefix.
 
-    An entry cuts the prompt before anyone has told it the salt, so the
-    salt goes over each plain digest and not into the chain.
+    An entry splits the prompt before it knows the salt, so the salt is
+    applied to each unsalted digest instead of being part of the chain.
 
     Parameters
     ----------
     digest
-        Chain digest without a salt, of fixed length, so no two splits
-        into digest and salt have the same bytes.
+        Chain digest without a salt, of fixed length, so different pairs
+        of digest and salt never have the same bytes.
     salt
-        Keeps prefixes apart that must not match; empty for none.
+        Separates prefixes that must not match; empty for none.
 
     Returns
     -------
     bytes
-        The digest itself when there is no salt.
+        The digest itself if there is no salt.
     """
     if not salt:
         return digest
@@ -107,15 +107,15 @@
 
 
 def salt_of(organisation: str, adapter: str | None = None) -> str:
-    """Return the salt under which a run's prefixes are named.
+    """Return the salt that identifies a run's prefixes.
 
     Parameters
     ----------
     organisation
         The run's opaque cache salt, empty for none.
     adapter
-        The adapter that the run uses; its KV differs from the plain
-        model's.
+        The adapter that the run uses; its KV differs from that of the
+        model without an adapter.
 
     Returns
     -------
--- a/src/briarseam/cache/planning.py
+++ b/src/briarseam/cache/planning.py
@@ -1,4 +1,4 @@
-"""Plans: what could be imported for a prompt, and how long it would take."""
+"""Plans: which blocks a prompt can import, and how long that takes."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class Planner:
-    """Makes plans from the index and the links.
+    """Creates plans from the index and the state of the links.
 
     Parameters
     ----------
-    tools
-        Index, stores and the like.
+    context
+        Objects shared by the parts of the kept cache.
     view
-        Gives the present configuration.
+        Returns the current configuration.
     salt
-        Salt under which engines name the prefixes of an organisation and
-        an adapter.
+        Returns the salt of the prefixes of an organisation and an adapter
+        in engines.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
     def keys(
         self, prompt: state.Prompt, chain: typing.Sequence[bytes]
     ) -> typing.Iterator[bytes]:
-        """Yield the keys of some pieces of a prompt."""
+        """Yield the keys of pieces of a prompt."""
         return self.context.names.keys(
             prompt.organisation,
             prompt.model,
@@ -76,18 +76,18 @@
         )
 
     def engine_salt(self, prompt: state.Prompt) -> str:
-        """Return the salt under which an engine names a prompt's pieces."""
+        """Return the salt of a prompt's prefixes in engines."""
         return self.salt(prompt.organisation, prompt.adapter)
 
     def group(self, prompt: state.Prompt) -> bytes:
-        """Return a prompt's group; without a session, its start's."""
+        """Return a prompt's group; without a session, by its first piece."""
         session = prompt.session or prompt.chain[0].hex()
         return self.context.names.group(prompt.organisation, session)
 
     def readable(
         self, blocks: typing.Iterable[state.Block]
     ) -> typing.Iterator[state.Block]:
-        """Yield blocks up to the first whose store is away."""
+        """Yield blocks up to the first whose store can't be read."""
         for block in blocks:
             if not self.context.stores.readable(block.store, block.boot_id):
                 return
@@ -96,9 +96,10 @@
     def predict(
         self, blocks: typing.Sequence[state.Planned]
     ) -> tuple[float, ...]:
-        """Return the predicted seconds until each block is in.
+        """Return the predicted seconds until each block is imported.
 
-        An engine fetches in order, so times over several links add up.
+        An engine fetches blocks in order, so the times on several links
+        add up.
         """
         transfers: dict[str, LinkTransfer] = {}
         total_s = 0.0
@@ -120,15 +121,15 @@
 
 @dataclasses.dataclass(slots=True)
 class LinkTransfer:
-    """What a plan moves over one link.
+    """The part of a plan that is transferred over one link.
 
     Attributes
     ----------
-    outlook
-        What it must expect there.
+    estimate
+        Expected start and rate on the link.
     size
         Bytes so far.
-    spent_s
+    elapsed_s
         Seconds so far.
     """
 
@@ -137,7 +138,7 @@
     elapsed_s: float = 0.0
 
     def add(self, size: int) -> float:
-        """Add a block; return the seconds that it takes longer."""
+        """Add a block; return the additional seconds."""
         self.size += size
         arrival_s = self.estimate.duration_s(self.size)
         added_s = arrival_s - self.elapsed_s
--- a/src/briarseam/cache/residents.py
+++ b/src/briarseam/cache/residents.py
@@ -1,8 +1,8 @@
-"""Following which prefixes each engine has in its own memory.
+"""Tracking which prefixes each engine has in its own memory.
 
-Engines publish what they take in and drop as events that come late, and
-some never come.  What is learned is a guess that saves recomputation and
-imports; the engine itself decides what it reuses.
+Engines publish additions and removals as events, which may be late or lost.
+The result is an estimate that avoids recomputation and imports; the engine
+itself decides what it reuses.
 """
 
 from __future__ import annotations
@@ -24,29 +24,29 @@
 
 
 class Sink(typing.Protocol):
-    """Who wants to know what engines have."""
+    """Receives the prefixes that engines have."""
 
     def added(self, endpoint: str, prefix: engine_events.Prefix) -> None:
-        """Take in that an engine has a prefix."""
+        """Handle a prefix that an engine has."""
 
     def removed(self, endpoint: str, prefix: engine_events.Prefix) -> None:
-        """Take in that an engine has dropped a prefix."""
+        """Handle a prefix that an engine has dropped."""
 
     def forget(self, endpoint: str) -> None:
-        """Take in that nothing is known of an engine any more."""
+        """Discard all prefixes of an engine."""
 
 
 class EngineCacheFollower:
-    """Follows one engine.
+    """Follows the cache events of one engine.
 
     Parameters
     ----------
     name, address
-        The engine, as configured.
+        The configured engine.
     client
         Reads its events.
     sink
-        Who wants to know.
+        Receives the prefixes.
     metrics
         Counters.
     clock
@@ -73,17 +73,17 @@
         self.seq = 0
 
     def read(self) -> bool:
-        """Take in new events; tell whether there were any.
+        """Apply new events; return whether there were any.
 
-        Guard: a gap in the events.  A prefix whose removal is missing
-        would be believed to be there for ever, and its prompts would be
-        recomputed instead of imported.  Numbers are dense, so a gap shows;
-        then nothing that was known counts until all is read again.
+        Guard: if the event of a removal is lost, the prefix would be
+        assumed to be present for ever, and its prompts would be recomputed
+        instead of imported.  Event numbers are consecutive, so a gap is
+        detected; all prefixes are then discarded until a reload.
 
         Raises
         ------
         EventsUnavailableError
-            When the engine does not answer properly.
+            If the engine gives no valid answer.
         """
         page = self.client.events(self.address, self.seq)
         if page.boot_id != self.boot_id or self.has_gap(page):
@@ -97,15 +97,15 @@
         return bool(page.events)
 
     def has_gap(self, page: engine_events.EventPage) -> bool:
-        """Tell whether an event between the last and the next is missing."""
+        """Return whether events before the next one are missing."""
         expected = page.next - 1 - self.seq
         return expected > 0 and len(page.events) != expected
 
     def reload(self, boot_id: str) -> None:
-        """Read again all that the engine holds, though not too often.
+        """Read the listing of the engine's prefixes, at a limited rate.
 
         The listing is expensive for the engine; until it may be read
-        again, nothing counts as known.
+        again, no prefix is assumed to be present.
         """
         self.sink.forget(self.name)
         now = self.clock()
@@ -119,7 +119,7 @@
         self.seq = listing.seq
 
     def apply(self, event: engine_events.Event) -> None:
-        """Pass on one event."""
+        """Pass one event to the sink."""
         prefix = engine_events.Prefix(event.model, event.version, event.digest)
         if event.added:
             self.sink.added(self.name, prefix)
@@ -127,24 +127,25 @@
             self.sink.removed(self.name, prefix)
 
     def mark_unreachable(self) -> None:
-        """Forget everything: the engine does not answer."""
+        """Discard all prefixes, since the engine does not answer."""
         if self.boot_id:
             self.sink.forget(self.name)
         self.boot_id = ""
 
 
 class EngineCacheFollowers:
-    """Follows configured engines, of this zone first; a thread for each.
+    """Follows the configured engines, with one thread for each.
 
-    Where there are more than ``MAX_FOLLOWED``, nothing is learned of the
-    rest but by the runs that are sent there.
+    If there are more than ``MAX_FOLLOWED``, engines of this zone have
+    priority, and the prefixes of the others are known only from the runs
+    that are sent there.
 
     Parameters
     ----------
     view
-        Gives the present configuration.
+        Returns the current configuration.
     sink
-        Who wants to know.
+        Receives the prefixes.
     metrics
         Counters.
     zone
@@ -174,7 +175,7 @@
         )
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start following."""
         self.thread.start()
 
     def stop(self) -> None:
@@ -182,13 +183,13 @@
         self.stopping.set()
 
     def watch_configuration(self) -> None:
-        """Keep one thread for each configured engine until stopped."""
+        """Update the followed engines until stopped."""
         while not self.stopping.is_set():
             self.refresh()
             self.stopping.wait(self.poll_s)
 
     def refresh(self) -> None:
-        """Take over the configured engines."""
+        """Follow exactly the configured engines."""
         followed_engines = self.followed_engines()
         for name in set(self.by_name) - set(followed_engines):
             del self.by_name[name]
@@ -212,7 +213,7 @@
         return {name: address for _, name, address in followed}
 
     def follow(self, follower: EngineCacheFollower) -> None:
-        """Follow one engine's events in a thread of its own."""
+        """Start the thread that follows an engine."""
         self.by_name[follower.name] = follower
         threading.Thread(
             target=self.poll,
@@ -222,7 +223,7 @@
         ).start()
 
     def poll(self, follower: EngineCacheFollower) -> None:
-        """Read an engine's events until it is not configured any more."""
+        """Read an engine's events until it is no longer configured."""
         idle_s = max(IDLE_POLL_S, self.poll_s)
         wait_s = self.poll_s
         while not self.stopping.is_set():
@@ -238,5 +239,5 @@
             self.stopping.wait(max(wait_s, self.min_wait_s()))
 
     def min_wait_s(self) -> float:
-        """Return the wait that keeps all reads together within bounds."""
+        """Return the wait that limits the total rate of reads."""
         return len(self.by_name) / MAX_READS_PER_S
--- a/src/briarseam/cache/retention.py
+++ b/src/briarseam/cache/retention.py
@@ -1,11 +1,10 @@
-"""What a kept group is worth: its chance to return, per byte and second.
-
-A group belongs to a class: its organisation, its length and whether it has
-returned before.  For each class the ages at which groups returned, and at
-which they were given up without returning, are counted in bins that double
-in width.  From these counts follows the density of hits that keeping a
-group of a given age will bring per second of the space it takes.  Groups
-whose density is lowest are freed first.
+"""Retention value of kept groups: expected hits per byte and second.
+
+A group belongs to a class, given by its organisation, its length and whether
+it has returned before.  For each class, the ages at which groups returned or
+expired without a return are counted in bins of doubling width.  From these
+counts follows the hit density, the expected hits per second of keeping a
+group of a given age.  Groups with the lowest value are freed first.
 """
 
 from __future__ import annotations
@@ -31,7 +30,7 @@
 
 
 class Policy(enum.StrEnum):
-    """How victims are chosen."""
+    """How the groups to free are chosen."""
 
     VALUE = "value"
     LRU = "lru"
@@ -39,16 +38,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GroupClass:
-    """Groups that are expected to return alike.
+    """Class of groups with similar return behaviour.
 
     Attributes
     ----------
     organisation
-        Its hash.
+        Hash of the organisation.
     length
         Binary logarithm of the number of pieces.
     uses
-        1 for a group never wanted again so far, ``MAX_USES`` for others.
+        1 for a group that has not returned yet, ``MAX_USES`` otherwise.
     """
 
     organisation: bytes
@@ -58,16 +57,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Candidate:
-    """What is known of a group when a victim is looked for.
+    """A group that may be freed.
 
     Attributes
     ----------
     group
-        Its hash.
+        Hash of the group.
     group_class
         Its class.
     age_s
-        Seconds since it was last wanted.
+        Seconds since its last use.
     cost_per_byte
         Seconds of prefill that a kept byte saves.
     """
@@ -80,14 +79,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AwaitedReturn:
-    """A group that may return.
+    """A group whose return is awaited.
 
     Attributes
     ----------
     group_class
         Its class.
-    since
-        When it was last wanted.
+    started_at
+        Time of its last use.
     """
 
     group_class: GroupClass
@@ -102,7 +101,7 @@
 
 @functools.lru_cache(MAX_INTERNED_CLASSES)
 def interned_class(organisation: bytes, length: int, uses: int) -> GroupClass:
-    """Return one object for all groups of a class; they are many."""
+    """Return one shared object per class, since groups are many."""
     return GroupClass(organisation, length, uses)
 
 
@@ -120,7 +119,7 @@
 
 
 class AgeHistogram:
-    """Counts of the ages at which groups of one class ended a wait."""
+    """Counts of the ages at which groups of a class returned or expired."""
 
     def __init__(self) -> None:
         self.returned = array.array("f", [0.0] * AGE_BINS)
@@ -130,7 +129,7 @@
         self.densities: list[float] = []
 
     def record_outcome(self, age_s: float, returned: bool) -> None:
-        """Count one end of a wait."""
+        """Count one return or expiry."""
         counts = self.returned if returned else self.expired
         counts[age_bin(age_s)] += 1.0
         self.total += 1.0
@@ -139,14 +138,14 @@
             self.decay_counts()
 
     def decay_counts(self) -> None:
-        """Let old counts weigh less, so that a change is learned."""
+        """Reduce the weight of old counts, so that changes take effect."""
         for index in range(AGE_BINS):
             self.returned[index] *= DECAY
             self.expired[index] *= DECAY
         self.total *= DECAY
 
     def density(self, age_s: float) -> float:
-        """Return hits per second of keeping a group of this age."""
+        """Return the hits per second of keeping a group of this age."""
         if (
             not self.densities
             or self.events_since_update > self.total * UPDATE_FRACTION
@@ -158,9 +157,8 @@
     def compute_densities(self) -> list[float]:
         """Return the density for each bin.
 
-        For bin ``a``: the hits at ages of ``a`` and above, by the time
-        that groups which reach ``a`` stay until they return or are given
-        up.
+        For bin ``a``: the hits at ages of ``a`` and above, divided by the
+        time that groups of age ``a`` remain until they return or expire.
         """
         densities = []
         for start in range(AGE_BINS):
@@ -180,18 +178,18 @@
 
 
 class ReturnModel:
-    """Learns how groups return.
+    """Statistics of the returns of groups.
 
-    Groups that were freed are remembered for a while, without their
-    blocks: were they forgotten, returns later than the space lasts could
-    never be learned.
+    Freed groups are tracked for a while without their blocks; otherwise
+    returns that come later than groups stay in the stores would never be
+    counted.
 
     Parameters
     ----------
-    max_waiting
-        Most groups remembered.
+    max_awaited
+        Maximum number of groups tracked.
     max_classes
-        Most classes counted apart.
+        Maximum number of classes with separate counts.
     """
 
     def __init__(
@@ -207,16 +205,16 @@
         )
 
     def record_use(self, group: bytes, pieces: int, now: float) -> None:
-        """Note that a group was wanted, for the first time or again.
+        """Record a use of a group, the first or a return.
 
         Parameters
         ----------
         group
-            Its hash.
+            Hash of the group.
         pieces
-            Its length now.
+            Its current length.
         now
-            Seconds.
+            Current time, in seconds.
         """
         organisation = group[:4]
         with self.lock:
@@ -238,7 +236,7 @@
     def record_outcome(
         self, group_class: GroupClass, age_s: float, returned: bool
     ) -> None:
-        """Count one end of a wait, for the class and over all."""
+        """Count one return or expiry, for the class and for all groups."""
         self.all_groups.record_outcome(age_s, returned)
         histogram = self.classes.get(group_class)
         if histogram is None:
@@ -248,9 +246,10 @@
         histogram.record_outcome(age_s, returned)
 
     def density(self, group_class: GroupClass, age_s: float) -> float:
-        """Return hits per second of keeping such a group.
+        """Return the hits per second of keeping a group of a class.
 
-        A class seen seldom leans on what all groups do.
+        The fewer events a class has, the more the mean over all groups
+        counts.
         """
         with self.lock:
             common = self.all_groups.density(age_s)
@@ -261,7 +260,7 @@
             return weight * histogram.density(age_s) + (1.0 - weight) * common
 
     def group_class(self, group: bytes, pieces: int) -> GroupClass:
-        """Return the class of a group, by what is remembered of it."""
+        """Return the class of a group, from its tracked uses."""
         with self.lock:
             known = self.awaited.get(group)
         if known is not None:
@@ -270,14 +269,14 @@
 
 
 class Ranker:
-    """Puts candidates in order of being freed.
+    """Ranks groups by retention value.
 
     Parameters
     ----------
     model
-        What is known of returns.
+        Statistics of returns.
     policy
-        How to choose.
+        How groups to free are chosen.
     """
 
     def __init__(self, model: ReturnModel, policy: Policy) -> None:
@@ -285,7 +284,7 @@
         self.policy = policy
 
     def value(self, candidate: Candidate) -> float:
-        """Return what keeping a group is worth; the lowest goes first."""
+        """Return the retention value; the lowest is freed first."""
         match self.policy:
             case Policy.LRU:
                 return -candidate.age_s
@@ -300,7 +299,7 @@
     ) -> Candidate | None:
         """Return the candidate to free first.
 
-        Groups of equal worth go by age, the oldest first.
+        Of groups with equal values, the oldest is freed first.
         """
         return min(
             candidates,
@@ -312,7 +311,7 @@
 def sample_groups(
     groups: typing.Sequence[bytes], rng: random.Random
 ) -> list[bytes]:
-    """Return a bounded random part of the groups."""
+    """Return a random sample of the groups, of bounded size."""
     if len(groups) <= SAMPLE_SIZE:
         return list(groups)
     return [groups[rng.randrange(len(groups))] for _ in range(SAMPLE_SIZE)]
--- a/src/briarseam/cache/saving.py
+++ b/src/briarseam/cache/saving.py
@@ -1,4 +1,4 @@
-"""Saving: which pieces of a finished run are exported, and where to."""
+"""Saving: which pieces of a finished run are exported, and to which store."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 class Saver:
-    """Queues exports of what runs leave in their engines.
+    """Queues exports of the KV that runs leave in their engines.
 
     Parameters
     ----------
-    tools
-        Index, stores and the like.
+    context
+        Objects shared by the parts of the kept cache.
     view
-        Gives the present configuration.
+        Returns the current configuration.
     planner
-        Knows keys and groups of prompts.
+        Returns the keys and groups of prompts.
     returns
-        What is known of returns.
+        Statistics of returns.
     exporters
-        By store.
+        Exporters by store name.
     """
 
     def __init__(
@@ -45,14 +45,14 @@
         self.exporters = exporters
 
     def after_run(self, prompt: state.Prompt, engine: str) -> None:
-        """Queue what is not kept yet of a run's prompt.
+        """Queue the pieces of a run's prompt that are not kept yet.
 
         Parameters
         ----------
         prompt
-            What ran.
+            Prompt of the run.
         engine
-            ``ip:port`` of where it ran.
+            ``ip:port`` of the engine that ran it.
         """
         context = self.context
         policy = self.view().kept_cache
@@ -106,7 +106,7 @@
     def exporter_for(
         self, group: bytes, variant: bytes, value: float
     ) -> exporting.Exporter | None:
-        """Return the exporter of the store that a group should lie in."""
+        """Return the exporter of the preferred store of a group."""
         size = self.context.sizes.expected(variant) or 0
         with self.context.index.lock:
             known = self.context.index.groups.get(group)
--- a/src/briarseam/cache/service.py
+++ b/src/briarseam/cache/service.py
@@ -31,33 +31,33 @@
 
 
 def owns_all_groups(group: bytes) -> state.Holders:
-    """Own every group: there are no other agents."""
+    """Own every group, since there are no other agents."""
     return state.Holders()
 
 
 def full_link_share(link: str = "") -> float:
-    """Use the whole of each link: there are no other agents."""
+    """Use the full budget of each link, since there are no other agents."""
     return 1.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Ports:
-    """What the service is given of other slices; the defaults are alone.
+    """What other packages provide; the defaults are for a single agent.
 
     Attributes
     ----------
     holders
-        Which agents keep a group's index.
+        Returns the agents that hold a group's index.
     call
         Sends a message to an agent and returns its reply.
     link_share
-        Part of each store link's budget that this agent may use.
+        Fraction of each store link's budget that this agent may use.
     salt
-        Cache salt that engines are given for an organisation; ``None``
-        for the names' own.
+        Returns the cache salt of an organisation in engines; ``None`` for
+        that of the names.
     session_hash
-        Hash of organisation and session by which ``holders`` ranks, 8
-        bytes; ``None`` for one of the names' own.
+        Returns the hash of organisation and session, 8 bytes, by which
+        ``holders`` ranks; ``None`` for that of the names.
     clock
         Monotonic seconds.
     wall_clock
@@ -74,24 +74,24 @@
 
 
 class KeptCache:
-    """Plans and orders the transfers of KV blocks, and keeps their index.
+    """Plans and starts the transfers of KV blocks, and holds their index.
 
     Parameters
     ----------
     view
-        Gives the present configuration.
+        Returns the current configuration.
     key
-        Secret shared by all agents, for the names of blocks.
+        Secret of all agents, for the names of blocks.
     metrics
         Counters.
     ports
-        What other slices offer.
+        What other packages provide.
     max_blocks
-        Most blocks in the index.
+        Maximum number of blocks in the index.
     poll_s
-        Seconds between looks at a store.
-    rest_s
-        Least seconds between two passes over a store's listing.
+        Seconds between polls of a store.
+    sweep_pause_s
+        Minimum seconds between two passes over a store's listing.
     """
 
     def __init__(
@@ -148,16 +148,16 @@
         )
 
     def register(self, router: server.Router) -> None:
-        """Answer other agents' messages."""
+        """Register the handlers of other agents' messages."""
         self.sharing.register(router)
 
     def start(self) -> None:
-        """Begin to keep the configured stores in order."""
+        """Start maintaining the configured stores."""
         self.sharing.start()
         self.thread.start()
 
     def stop(self) -> None:
-        """End the threads after what they are doing."""
+        """Stop the threads after their current tasks."""
         self.stopping.set()
         self.sharing.stop()
 
@@ -168,13 +168,13 @@
             self.stopping.wait(REFRESH_S)
 
     def refresh(self) -> None:
-        """Take over the configured stores; one thread pair for each."""
+        """Apply the configured stores; start two threads for each new one."""
         for store in self.update_stores():
             self.maintainers[store.name].thread.start()
             self.exporters[store.name].thread.start()
 
     def update_stores(self) -> list[store_state.Store]:
-        """Take over the configured stores; return the new ones."""
+        """Apply the configured stores; return the new ones."""
         new = self.stores.refresh()
         for store in new:
             self.maintainers[store.name] = self.build_maintainer(store)
@@ -186,7 +186,7 @@
     def build_maintainer(
         self, store: store_state.Store
     ) -> maintenance.StoreMaintainer:
-        """Return the keeper of a store, not started."""
+        """Return the maintainer of a store, not started."""
         return maintenance.StoreMaintainer(
             store,
             self.context,
@@ -199,23 +199,23 @@
         )
 
     def ranker(self) -> retention.Ranker:
-        """Return the order of victims under the present policy."""
+        """Return the ranker of the current policy."""
         policy = retention.Policy.VALUE
         if self.view().kept_cache.policy == "lru":
             policy = retention.Policy.LRU
         return retention.Ranker(self.returns, policy)
 
     def record_size(self, block: state.Block) -> None:
-        """Learn the size of whole blocks from another agent's export."""
+        """Record the size of complete blocks from another agent's export."""
         self.context.sizes.record(block.variant, block.size)
 
     def salt(self, organisation: str) -> str:
-        """Return the cache salt that engines are given."""
+        """Return the cache salt of an organisation in engines."""
         own = self.ports.salt or self.names.salt
         return own(organisation)
 
     def engine_salt(self, organisation: str, adapter: str) -> str:
-        """Return the salt under which engines name prefixes."""
+        """Return the salt of prefixes in engines."""
         return pieces.salt_of(self.salt(organisation), adapter or None)
 
     def plan(
@@ -228,24 +228,24 @@
         cached_pieces: int,
         session: str = "",
     ) -> state.Plan:
-        """Return what could be imported for a prompt.
+        """Return what can be imported for a prompt.
 
         Parameters
         ----------
         organisation, model, adapter, version
             Of the request; blocks of any other never match.
         chain
-            Plain chain digests of the prompt's whole pieces.
+            Unsalted chain digests of the prompt's complete pieces.
         cached_pieces
-            Pieces that the endpoint has already.
+            Pieces that the endpoint already has.
         session
             The caller's session, may be empty.
 
         Returns
         -------
         Plan
-            Empty when nothing is kept or keeping is off.  Whether it is
-            worth while is the caller's to decide, see ``Plan.best``.
+            Empty if nothing is kept or the kept cache is off.  The caller
+            decides whether the import saves time, see ``Plan.best``.
         """
         return self.planner.plan(
             state.Prompt(
@@ -260,7 +260,7 @@
         plan: state.Plan,
         max_s: float = maintenance.MAX_IMPORT_S,
     ) -> state.Imported:
-        """Let an endpoint import a plan's blocks; wait for it.
+        """Have an endpoint import a plan's blocks, and wait for the result.
 
         Parameters
         ----------
@@ -269,12 +269,12 @@
         plan
             From :meth:`plan`.
         max_s
-            Longest time that is of use, in seconds.
+            Maximum useful duration, in seconds.
 
         Returns
         -------
         Imported
-            What did not come is recomputed by the endpoint.
+            The endpoint recomputes what was not imported.
         """
         return self.importer.import_to(address, plan, max_s)
 
@@ -288,14 +288,14 @@
         endpoint_address: str,
         session: str = "",
     ) -> None:
-        """Queue exports of what a finished run left in its endpoint.
+        """Queue exports of the KV that a finished run left in its endpoint.
 
         Parameters
         ----------
         organisation, model, adapter, version
             Of the run.
         chain
-            Plain chain digests of the prompt's whole pieces.
+            Unsalted chain digests of the prompt's complete pieces.
         endpoint_address
             ``ip:port`` of the engine.
         session
--- a/src/briarseam/cache/sharing.py
+++ b/src/briarseam/cache/sharing.py
@@ -1,9 +1,9 @@
-"""The index between agents: owners, their second copies, and asking them.
+"""Sharing of the index between agents: queries and change notifications.
 
-A group's index is kept by its owner and by an agent of another zone.  The
+A group's index is held by its owner and by an agent in another zone.  The
 owner's copy is authoritative: only the owner frees blocks.  Any other agent
-uses what it has learned for ``LEARNED_S`` and then asks again, so that the
-owner can wait for all copies to run out before it deletes a block.
+uses a reply for ``COPY_TTL_S`` and then queries again, so that the owner can
+wait until all copies have expired before it deletes a block.
 """
 
 from __future__ import annotations
@@ -38,19 +38,19 @@
 def unreachable(
     address: str, request: codec.Message, timeout_s: float
 ) -> codec.Message:
-    """Reach nobody: the agent is alone."""
+    """Fail, since there are no other agents."""
     raise connections.WireError("no peers")
 
 
 class Sharing:
-    """Asks other agents for groups and tells them of changes.
+    """Queries other agents for groups and notifies them of changes.
 
     Parameters
     ----------
     index
-        This agent's index.
+        Index of this agent.
     holders
-        Which agents keep a group.
+        Returns the agents that hold a group.
     call
         Sends a message to an agent and returns its reply.
     clock
@@ -93,27 +93,27 @@
         router.on(messages.KeptChange, self.apply_change)
 
     def valid_until(self, is_owner: bool) -> float:
-        """Return how long a block that is added now may be used."""
+        """Return the time until which a block added now may be used."""
         return float("inf") if is_owner else self.clock() + COPY_TTL_S
 
     def deletion_delay_s(
         self, holders: state.Holders, max_import_s: float
     ) -> float:
-        """Return how long other agents may use a block that is freed now.
+        """Return how long other agents may use a block freed now.
 
         Parameters
         ----------
         holders
-            The agents.
+            Agents that hold the block's group.
         max_import_s
-            Longest time one import takes.
+            Maximum duration of an import.
         """
         return COPY_TTL_S + max_import_s if holders.others else 0.0
 
     def answer(
         self, peer: connections.Identity, request: messages.KeptAsk
     ) -> messages.KeptAnswer:
-        """Return the blocks of a group that this agent keeps."""
+        """Return the blocks of a group in this agent's index."""
         with self.index.lock:
             group = self.index.groups.get(request.group)
             if group is None:
@@ -130,7 +130,7 @@
     def apply_change(
         self, peer: connections.Identity, change: messages.KeptChange
     ) -> messages.KeptNoted:
-        """Take in what another agent exported or freed."""
+        """Apply changes by another agent."""
         self.apply_freed(change.freed)
         for block in change.added:
             is_owner = self.holders(block.group).is_owner
@@ -140,7 +140,7 @@
         return messages.KeptNoted()
 
     def apply_freed(self, freed: typing.Sequence[bytes]) -> None:
-        """Forget blocks; their owner deletes them."""
+        """Remove blocks from the index; their owner deletes them."""
         freed_names = set(freed)
         with self.index.lock:
             known_blocks = [
@@ -153,9 +153,9 @@
                 self.index.forget(block)
 
     def query(self, group: bytes, variant: bytes) -> None:
-        """Learn a group from who keeps it, within a few milliseconds.
+        """Get a group from an agent that holds it, in a few milliseconds.
 
-        Does nothing when this agent's own copy will do.
+        Does nothing if this agent's own copy is sufficient.
         """
         holders = self.holders(group)
         if not self.needs_query(group, holders):
@@ -167,7 +167,7 @@
                 return
 
     def needs_query(self, group: bytes, holders: state.Holders) -> bool:
-        """Tell whether others may know more of a group."""
+        """Return whether other agents may have more blocks of a group."""
         now = self.clock()
         if holders.epoch != self.epoch:
             self.epoch = holders.epoch
@@ -186,15 +186,15 @@
     def query_agent(
         self, address: str, group: bytes, variant: bytes, is_owner: bool
     ) -> bool:
-        """Ask one agent; tell whether it answered."""
+        """Query one agent; return whether it answered."""
         self.metrics.count("kept_index_asks")
         request = messages.KeptAsk(group, variant)
         try:
             reply = self.call(address, request, QUERY_TIMEOUT_S)
         except connections.WireError:
-            # Guard: a peer that is gone would cost every decision the
-            # whole timeout.  It is left alone for a while; without it the
-            # prompt is recomputed, which is never wrong.
+            # Guard: each routing decision would wait for the timeout of an
+            # unreachable peer, so it isn't queried for a while.  Without
+            # its answer the prompt is recomputed, which is always correct.
             self.backoff_until[address] = self.clock() + BACKOFF_S
             self.metrics.count("kept_index_asks_lost")
             return False
@@ -206,7 +206,7 @@
     def apply_reply(
         self, group: bytes, reply: messages.KeptAnswer, is_owner: bool
     ) -> None:
-        """Put a reply into the index in place of what was known."""
+        """Replace a group in the index by a reply."""
         now = self.clock()
         valid_until = self.valid_until(is_owner)
         with self.index.lock:
@@ -227,38 +227,38 @@
             self.next_query_at.popitem(last=False)
 
     def announce_added(self, block: state.Block) -> None:
-        """Tell who keeps a group of a block that was confirmed."""
+        """Notify the holders of a group of a confirmed block."""
         self.enqueue(block.group, messages.KeptChange(added=(block,)))
 
     def announce_freed(self, block: state.Block) -> None:
-        """Tell who keeps a group of a block that was freed."""
+        """Notify the holders of a group of a freed block."""
         self.enqueue(block.group, messages.KeptChange(freed=(block.packed,)))
 
     def enqueue(self, group: bytes, change: messages.KeptChange) -> None:
-        """Have a change sent to the agents that keep a group."""
+        """Queue a change for the agents that hold a group."""
         for address in self.holders(group).others:
             try:
                 self.changes.put_nowait(Change(address, change))
             except queue.Full:
-                # A copy that misses a change costs a recomputation at
-                # worst: an import of a block that is gone fails.
+                # A copy that lacks a change costs at most a recomputation,
+                # since an import of a missing block fails.
                 self.metrics.count("kept_changes_dropped")
 
     def start(self) -> None:
-        """Begin to send changes."""
+        """Start the thread that sends changes."""
         self.thread.start()
 
     def stop(self) -> None:
-        """Stop sending."""
+        """Stop the thread that sends changes."""
         self.stopping.set()
 
     def send_changes(self) -> None:
-        """Send changes until stopped, those for one agent together."""
+        """Send changes until stopped, batched for each agent."""
         while not self.stopping.is_set():
             self.send_batch(POLL_S)
 
     def send_batch(self, timeout_s: float) -> None:
-        """Send the changes that are waiting or come in time."""
+        """Send the changes that are queued before the timeout."""
         for address, change in self.next_batch(timeout_s).items():
             try:
                 self.call(address, change, CHANGE_TIMEOUT_S)
@@ -266,7 +266,7 @@
                 self.metrics.count("kept_changes_lost")
 
     def next_batch(self, timeout_s: float) -> dict[str, messages.KeptChange]:
-        """Return waiting changes by the agent they are for."""
+        """Return queued changes by the address of their agent."""
         try:
             pending = [self.changes.get(timeout=timeout_s)]
         except queue.Empty:
@@ -287,7 +287,7 @@
 
 
 class Change(typing.NamedTuple):
-    """A change and the agent it is for."""
+    """A change and the address of its agent."""
 
     address: str
     change: messages.KeptChange
--- a/src/briarseam/cache/sizes.py
+++ b/src/briarseam/cache/sizes.py
@@ -1,4 +1,4 @@
-"""How large a whole block of each variant is."""
+"""Sizes of complete blocks of each variant."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Sizes:
-    """Sizes of whole blocks, learned from confirmed ones.
+    """Sizes of complete blocks, known from confirmed ones.
 
-    All pieces have the same number of tokens, so all whole blocks of one
-    variant have one size, but for a few bytes of header.
+    All pieces have the same number of tokens, so all complete blocks of a
+    variant have the same size, except for a few bytes of header.
     """
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
         )
 
     def record(self, variant: bytes, size: int) -> None:
-        """Take in the size of a block confirmed with its writer."""
+        """Record the size of a block that was confirmed after its write."""
         with self.lock:
             self.by_variant[variant] = size
             self.by_variant.move_to_end(variant)
@@ -30,5 +30,5 @@
                 self.by_variant.popitem(last=False)
 
     def expected(self, variant: bytes) -> int | None:
-        """Return the size of a whole block, ``None`` when not known."""
+        """Return the size of a complete block, ``None`` if unknown."""
         return self.by_variant.get(variant)
--- a/src/briarseam/cache/state.py
+++ b/src/briarseam/cache/state.py
@@ -1,4 +1,4 @@
-"""Data classes of the kept cache that other slices see."""
+"""Data classes of the kept cache that other packages use."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Block:
-    """One piece's KV in a store, written and confirmed.
+    """KV of one piece in a store, written and confirmed.
 
     Attributes
     ----------
     packed
-        The name, see :class:`briarseam.cache.names.Names`.
+        The packed name, see :class:`briarseam.cache.names.Names`.
     size
         Bytes.
     checksum
-        blake2b-16 of the bytes, as the engine gave it.
+        blake2b-16 of the bytes, as reported by the engine.
     store
         Name of the store endpoint.
     boot_id
-        The store's boot that holds it.
+        Boot of the store in which it was written.
     """
 
     packed: bytes
@@ -34,22 +34,22 @@
 
     @property
     def key(self) -> bytes:
-        """What a prompt's piece has to match."""
+        """Key that a piece of a prompt has to match."""
         return self.packed[names.KEY_OFFSET : names.NONCE_OFFSET]
 
     @property
     def group(self) -> bytes:
-        """Organisation and session, hashed."""
+        """Hash of organisation and session."""
         return self.packed[: names.VARIANT_OFFSET]
 
     @property
     def variant(self) -> bytes:
-        """Model, adapter and weight version, hashed."""
+        """Hash of model, adapter and weight version."""
         return self.packed[names.VARIANT_OFFSET : names.DEPTH_OFFSET]
 
     @property
     def depth(self) -> int:
-        """Pieces in front of this one."""
+        """Number of pieces before this one in the prompt."""
         depth: int = names.DEPTH.unpack_from(self.packed, names.DEPTH_OFFSET)[
             0
         ]
@@ -58,16 +58,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Prompt:
-    """What the kept cache needs to know of a prompt.
+    """Properties of a prompt that the kept cache needs.
 
     Attributes
     ----------
     organisation, session
-        Whose it is; the session may be empty.
+        Of the caller; the session may be empty.
     model, adapter, version
-        What it is computed with.
+        With which it is computed.
     chain
-        Plain chain digests of its whole pieces.
+        Unsalted chain digests of its complete pieces.
     """
 
     organisation: str
@@ -79,7 +79,7 @@
 
 
 class Planned(typing.NamedTuple):
-    """One block of a plan and the chain digest it stands for."""
+    """One block of a plan and its chain digest."""
 
     digest: bytes
     block: Block
@@ -87,21 +87,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class Plan:
-    """What an import would bring an endpoint.
+    """Blocks that an endpoint can import.
 
     Attributes
     ----------
     model, version
-        What the blocks were computed with.
+        With which the blocks were computed.
     cached_pieces
-        Pieces the endpoint has already; the blocks follow on them.
+        Pieces that the endpoint already has; the blocks follow these.
     blocks
         In order of the prompt.
     arrival_s
-        Predicted seconds until each block is in, by the budget and the
-        observed rate of its link; as long as ``blocks``.
+        Predicted seconds until each block is imported, from the budget and
+        the observed rate of its link; same length as ``blocks``.
     made_at
-        When it was made, by the clock of the service.
+        Creation time, by the clock of the service.
     """
 
     model: str = ""
@@ -113,17 +113,17 @@
 
     @property
     def bytes(self) -> int:
-        """Bytes to move."""
+        """Bytes to transfer."""
         return sum(planned.block.size for planned in self.blocks)
 
     @property
     def predicted_s(self) -> float:
-        """Predicted seconds for the whole import."""
+        """Predicted seconds for the entire import."""
         return self.arrival_s[-1] if self.arrival_s else 0.0
 
     @property
     def store(self) -> str:
-        """Store of the first block, empty when there is none."""
+        """Store of the first block, empty if there is none."""
         return self.blocks[0].block.store if self.blocks else ""
 
     def cut(self, count: int) -> Plan:
@@ -133,12 +133,12 @@
         )
 
     def best(self, prefill_s_per_piece: float) -> Plan:
-        """Return the front part that saves most time over recomputing.
+        """Return the prefix that saves most time over recomputing.
 
         Parameters
         ----------
         prefill_s_per_piece
-            Seconds the endpoint needs to compute one piece.
+            Seconds that the endpoint needs to compute one piece.
         """
         best_count = 0
         best_saved_s = 0.0
@@ -151,16 +151,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Imported:
-    """What an import did; pieces that did not come are recomputed.
+    """Result of an import; pieces that failed are recomputed.
 
     Attributes
     ----------
     pieces
-        Pieces the endpoint now has besides those it had.
+        Pieces that the endpoint imported.
     bytes
-        Bytes moved.
+        Bytes transferred.
     failed
-        Why the rest did not come; empty when all did.
+        Why the rest was not imported; empty if all was.
     """
 
     pieces: int = 0
@@ -170,14 +170,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Holders:
-    """Which agents keep the index of a group.
+    """Agents that hold the index of a group.
 
     Attributes
     ----------
-    mine
+    is_owner
         Whether this agent is the owner, whose index is authoritative.
     others
-        ``ip:port`` of the other agents that keep it, owner first; one is
+        ``ip:port`` of the other agents that hold it, owner first; one is
         in another zone.
     epoch
         Changes with the set of agents.
@@ -189,14 +189,14 @@
 
 
 class Metrics(typing.Protocol):
-    """What the slice counts with."""
+    """Counters of the kept cache."""
 
     def count(self, name: str, amount: int = 1) -> None:
         """Add to a counter."""
 
 
 class NoMetrics:
-    """Counts nothing."""
+    """Discards all counts."""
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Pass over it."""
+        """Do nothing."""
--- a/src/briarseam/cache/stores.py
+++ b/src/briarseam/cache/stores.py
@@ -1,4 +1,4 @@
-"""What an agent knows of each store: whether it lives, and how full it is."""
+"""An agent's view of each store: whether it is alive, and how full it is."""
 
 from __future__ import annotations
 
@@ -25,17 +25,19 @@
     Attributes
     ----------
     name, address, zone
-        As configured.
+        From the configuration.
     link
-        The link to it.
+        Link to the store.
     boot_id
-        Its present boot; empty until it has answered once.
+        Its current boot; empty until it has first answered.
     alive
-        Whether it answered lately.
+        Whether it answers.
+    failed_polls
+        Consecutive polls that failed.
     used, capacity
-        Bytes, by its last answer and what was exported since.
-    bar
-        What the last group freed for want of room was worth.
+        Bytes, from its last answer plus later exports.
+    min_value
+        Retention value of the group that was last freed to make room.
     """
 
     name: str
@@ -50,25 +52,25 @@
     min_value: float = 0.0
 
     def has_room(self, size: int) -> bool:
-        """Tell whether a block would fit."""
+        """Return whether a block fits."""
         return self.used + size <= self.capacity * MAX_EXPORT_FILL
 
     def fullness(self) -> float:
-        """Return the part of the capacity in use."""
+        """Return the fraction of the capacity in use."""
         return self.used / self.capacity if self.capacity else 1.0
 
 
 class Stores:
-    """The stores that the configuration names.
+    """The configured stores.
 
     Parameters
     ----------
     view
-        Gives the present configuration.
+        Returns the current configuration.
     clock
         Monotonic seconds.
     link_share
-        Part of each link's budget that this agent may use.
+        Fraction of each link's budget that this agent may use.
     """
 
     def __init__(
@@ -84,7 +86,7 @@
         self.by_name: dict[str, Store] = {}
 
     def refresh(self) -> list[Store]:
-        """Take over the configuration; return the stores that are new."""
+        """Apply the configuration; return the stores that are new."""
         share = self.link_share()
         new = []
         with self.lock:
@@ -106,20 +108,20 @@
         return new
 
     def get(self, name: str) -> Store | None:
-        """Return the store of a name, if it is configured."""
+        """Return a store by name, ``None`` if it isn't configured."""
         return self.by_name.get(name)
 
     def is_current(self, store: Store) -> bool:
-        """Tell whether the configuration still names this store."""
+        """Return whether this store is still configured."""
         return self.by_name.get(store.name) is store
 
     def readable(self, name: str, boot_id: str) -> bool:
-        """Tell whether blocks of this boot of a store can be read."""
+        """Return whether blocks of this boot of a store can be read."""
         store = self.by_name.get(name)
         return store is not None and store.alive and store.boot_id == boot_id
 
     def writable(self) -> list[Store]:
-        """Return the stores that take blocks."""
+        """Return the stores that accept blocks."""
         endpoints = self.view().endpoints
         serving = values.EndpointState.SERVING
         return [
@@ -133,7 +135,7 @@
     def apply_state(
         self, store: Store, state: store_client.StoreState
     ) -> bool:
-        """Take in a store's state; tell whether it has booted anew."""
+        """Apply a store's state; return whether it has rebooted."""
         rebooted = store.boot_id != state.boot_id
         if rebooted and store.boot_id:
             log.warning("store_rebooted", store=store.name)
@@ -149,16 +151,17 @@
     def record_failure(
         self, store: Store, detail: str, at_once: bool = False
     ) -> None:
-        """Note that a store did not answer.
+        """Record that a store did not answer.
 
         Parameters
         ----------
         store
             The store.
         detail
-            For the log.
+            Reason, for the log.
         at_once
-            An engine could not reach it: use it no more until it answers.
+            Stop using the store until it answers, since an engine could not
+        reach it.
         """
         store.failed_polls += 1
         unavailable = at_once or store.failed_polls >= MAX_FAILED_POLLS
--- a/src/briarseam/cache/sweeping.py
+++ b/src/briarseam/cache/sweeping.py
@@ -1,8 +1,9 @@
-"""Sweeping a store's listing for blocks that this agent has lost.
+"""Sweeping a store's listing for blocks that the index lacks.
 
 After a restart, or when this agent becomes the owner of more groups, its
-index lacks blocks that are in the stores.  It takes in the listing page by
-page, adopts what is certainly whole, and frees what nobody ever will.
+index lacks blocks that are in the stores.  It reads the listing page by page,
+adopts blocks that are certainly complete, and frees blocks that can never be
+adopted.
 """
 
 from __future__ import annotations
@@ -27,14 +28,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class UnadoptedBlock:
-    """A listed block that can't be adopted as yet.
+    """A listed block that can't be adopted yet.
 
     Attributes
     ----------
     block
-        As listed.
+        The block, as listed.
     time_ms
-        When it was written, by the store's clock.
+        Time of its write, by the store's clock.
     """
 
     block: state.Block
@@ -48,19 +49,19 @@
     Attributes
     ----------
     after
-        Last name taken in.
-    unknown
-        This agent's blocks that can't be adopted, as far as seen.
-    seen_before
-        The same from the pass before.
+        Last name read.
+    unadopted
+        This agent's blocks in this pass that could not be adopted.
+    unadopted_before
+        The same from the previous pass.
     passes
         Passes completed in this boot of the store.
-    began
-        When this pass began.
-    rest_until
-        When it may begin.
+    started_at
+        Start time of this pass.
+    paused_until
+        Earliest start time of this pass.
     epoch
-        Set of agents that the pass before has seen.
+        Epoch of the set of agents in the last pass that started.
     """
 
     after: str = ""
@@ -77,20 +78,20 @@
 
 
 class Sweeper:
-    """Sweeps one store.
+    """Sweeps the listing of one store.
 
     Parameters
     ----------
     store
         The store.
-    tools
-        Index, adapters and the like.
+    context
+        Objects shared by the parts of the kept cache.
     view
-        Gives the present configuration.
+        Returns the current configuration.
     wall_clock
-        Seconds since the epoch, to tell the age of listed blocks.
-    rest_s
-        Least seconds between two passes.
+        Seconds since the epoch, for the age of listed blocks.
+    sweep_pause_s
+        Minimum seconds between two passes.
     """
 
     def __init__(
@@ -109,20 +110,20 @@
         self.sweep = Sweep()
 
     def restart(self) -> None:
-        """Forget what was seen: it was another boot's."""
+        """Discard the state of the sweep, after a reboot of the store."""
         self.sweep = Sweep()
 
     def unadopted_bytes(self) -> int:
-        """Return the bytes of blocks that can't be adopted as yet."""
+        """Return the bytes of blocks that can't be adopted yet."""
         unadopted = {**self.sweep.unadopted_before, **self.sweep.unadopted}
         return sum(one.block.size for one in unadopted.values())
 
     def read_page(self) -> None:
-        """Take in the next part of the store's listing.
+        """Read the next page of the store's listing.
 
-        Listings are long, so between two passes there is a rest, at least
-        ``REST_FACTOR`` times as long as a pass.  A change in the set of
-        agents ends it, since this agent may have become the owner of
+        Listings are long, so there is a pause between two passes, at least
+        ``PAUSE_FACTOR`` times as long as a pass.  A change in the set of
+        agents ends it, since this agent may have become the owner of more
         groups.
         """
         sweep = self.sweep
@@ -147,16 +148,16 @@
         self.end_pass()
 
     def retry_adoption(self) -> None:
-        """Adopt what was passed over, once its whole size is known."""
+        """Adopt skipped blocks once the size of complete ones is known."""
         for packed, unadopted in list(self.sweep.unadopted_before.items()):
             if self.adopt(unadopted.block, unadopted.time_ms):
                 del self.sweep.unadopted_before[packed]
 
     def end_pass(self) -> None:
-        """Free what two passes could not adopt, and begin anew.
+        """Free blocks that two passes could not adopt, and end the pass.
 
-        A write that is under way when it is listed is whole by the next
-        pass or has failed.
+        A write that is in progress during one pass has completed or failed
+        by the next.
         """
         sweep = self.sweep
         now = self.context.clock()
@@ -175,7 +176,7 @@
         )
 
     def is_orphan(self, block: state.Block) -> bool:
-        """Tell whether a block that can't be adopted never will be."""
+        """Return whether a block can never be adopted."""
         if self.context.index.contains(block):
             return False
         size = self.context.sizes.expected(block.variant)
@@ -186,14 +187,14 @@
         return block.variant not in self.current_variants()
 
     def current_variants(self) -> set[bytes]:
-        """Return what new requests are computed with."""
+        """Return the variants with which new requests are computed."""
         return {
             self.context.names.variant(name, model.adapter, model.version)
             for name, model in self.view().models.items()
         }
 
     def handle_listed(self, listed: store_client.Listed, boot_id: str) -> None:
-        """Adopt a listed block if it is this agent's to keep."""
+        """Adopt a listed block if this agent owns its group."""
         packed = self.context.names.parse(listed.name)
         if packed is None:
             return
@@ -223,11 +224,11 @@
             )
 
     def adopt(self, block: state.Block, time_ms: float) -> bool:
-        """Index a listed block if it is certainly whole.
+        """Index a listed block if it is certainly complete.
 
-        Guard: a listing also shows blocks that are half written and whose
-        writer is gone.  Only a block of the size that whole blocks of its
-        variant have is taken; its engine still checks its checksum.
+        Guard: a listing may contain partially written blocks whose writer
+        has crashed.  Only a block that has the size of complete blocks of
+        its variant is adopted; engines still verify its checksum.
         """
         context = self.context
         if block.variant not in self.current_variants():
