--- a/src/briarseam/cache/index.py
+++ b/src/briarseam/cache/index.py
@@ -295,10 +295,10 @@
     def record_use(self, group: bytes, now: float) -> None:
         """Record a use of a group."""
         with self.lock:
-            known = self.groups.get(group)
-            if known is not None:
-                known.used_at = now
-                known.uses += 1
+            indexed = self.groups.get(group)
+            if indexed is not None:
+                indexed.used_at = now
+                indexed.uses += 1
 
     def evict_oldest(self, needed: int) -> None:
         """Make room in memory for a number of blocks.
--- a/src/briarseam/cache/residents.py
+++ b/src/briarseam/cache/residents.py
@@ -194,8 +194,8 @@
         for name in set(self.by_name) - set(followed_engines):
             del self.by_name[name]
         for name, address in followed_engines.items():
-            known = self.by_name.get(name)
-            if known is None or known.address != address:
+            follower = self.by_name.get(name)
+            if follower is None or follower.address != address:
                 self.follow(
                     EngineCacheFollower(
                         name, address, self.client, self.sink, self.metrics
--- a/src/briarseam/cache/retention.py
+++ b/src/briarseam/cache/retention.py
@@ -218,19 +218,21 @@
         """
         organisation = group[:4]
         with self.lock:
-            before = self.awaited.pop(group, None)
+            previous = self.awaited.pop(group, None)
             uses = 1
-            if before is not None:
+            if previous is not None:
                 self.record_outcome(
-                    before.group_class, now - before.started_at, returned=True
+                    previous.group_class,
+                    now - previous.started_at,
+                    returned=True,
                 )
-                uses = before.group_class.uses + 1
+                uses = previous.group_class.uses + 1
             group_class = classify(organisation, pieces, uses)
             self.awaited[group] = AwaitedReturn(group_class, now)
             while len(self.awaited) > self.max_awaited:
-                _, old = self.awaited.popitem(last=False)
+                _, oldest = self.awaited.popitem(last=False)
                 self.record_outcome(
-                    old.group_class, now - old.started_at, returned=False
+                    oldest.group_class, now - oldest.started_at, returned=False
                 )
 
     def record_outcome(
@@ -262,9 +264,9 @@
     def group_class(self, group: bytes, pieces: int) -> GroupClass:
         """Return the class of a group, from its tracked uses."""
         with self.lock:
-            known = self.awaited.get(group)
-        if known is not None:
-            return known.group_class
+            awaited = self.awaited.get(group)
+        if awaited is not None:
+            return awaited.group_class
         return classify(group[:4], pieces, 1)
 
 
--- a/src/briarseam/cache/saving.py
+++ b/src/briarseam/cache/saving.py
@@ -94,13 +94,13 @@
         """Return the pieces of a prompt that are not kept."""
         salt = self.planner.engine_salt(prompt)
         keys = self.planner.keys(prompt, prompt.chain)
-        known = self.context.index.by_key
+        indexed = self.context.index.by_key
         return [
             exporting.Piece(pieces.salted(digest, salt), key, depth)
             for depth, (digest, key) in enumerate(
                 zip(prompt.chain, keys, strict=True)
             )
-            if key not in known
+            if key not in indexed
         ]
 
     def exporter_for(
@@ -109,8 +109,8 @@
         """Return the exporter of the preferred store of a group."""
         size = self.context.sizes.expected(variant) or 0
         with self.context.index.lock:
-            known = self.context.index.groups.get(group)
-            home = known.blocks[0].store if known is not None else ""
+            indexed = self.context.index.groups.get(group)
+            home = indexed.blocks[0].store if indexed is not None else ""
         usable = [
             store
             for store in self.context.stores.writable()
--- a/src/briarseam/cache/service.py
+++ b/src/briarseam/cache/service.py
@@ -211,8 +211,8 @@
 
     def salt(self, organisation: str) -> str:
         """Return the cache salt of an organisation in engines."""
-        own = self.ports.salt or self.names.salt
-        return own(organisation)
+        derive_salt = self.ports.salt or self.names.salt
+        return derive_salt(organisation)
 
     def engine_salt(self, organisation: str, adapter: str) -> str:
         """Return the salt of prefixes in engines."""
--- a/src/briarseam/cache/sharing.py
+++ b/src/briarseam/cache/sharing.py
@@ -278,10 +278,10 @@
                 break
         merged: dict[str, messages.KeptChange] = {}
         for item in pending:
-            before = merged.get(item.address, messages.KeptChange())
+            previous = merged.get(item.address, messages.KeptChange())
             merged[item.address] = messages.KeptChange(
-                added=before.added + item.change.added,
-                freed=before.freed + item.change.freed,
+                added=previous.added + item.change.added,
+                freed=previous.freed + item.change.freed,
             )
         return merged
 
--- a/src/briarseam/cache/sweeping.py
+++ b/src/briarseam/cache/sweeping.py
@@ -116,7 +116,7 @@
     def unadopted_bytes(self) -> int:
         """Return the bytes of blocks that can't be adopted yet."""
         unadopted = {**self.sweep.unadopted_before, **self.sweep.unadopted}
-        return sum(one.block.size for one in unadopted.values())
+        return sum(item.block.size for item in unadopted.values())
 
     def read_page(self) -> None:
         """Read the next page of the store's listing.
--- a/tests/cache/conftest.py
+++ b/tests/cache/conftest.py
@@ -7,7 +7,7 @@
 
 @pytest.fixture
 def make_site():
-    """Start sites; they are stopped at the end."""
+    """Return a function that starts sites, which are stopped at the end."""
     made = []
 
     def make(*args, **kwargs):
@@ -22,5 +22,5 @@
 
 @pytest.fixture
 def site(make_site):
-    """One engine and one store."""
+    """A site with one engine and one store."""
     return make_site()
--- a/tests/cache/simulation.py
+++ b/tests/cache/simulation.py
@@ -1,8 +1,8 @@
-"""Agents, stores and an engine whose every step is drawn from a seed.
+"""Deterministic simulation of agents, stores and an engine.
 
-Two agents share two stores and an engine; every step of their upkeep is
-taken by the test, in an order drawn from the seed, also in the middle of an
-import.  The stores and the test count what must never happen.
+Two agents share two stores and an engine.  The test runs every step of their
+maintenance in an order drawn from a seed, also during exports and imports.
+The stores and the test count violations of the cache's guarantees.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 
 
 @dataclasses.dataclass
-class Violations:
-    """Counts of what must never happen, and of what shows it was tried."""
+class SimulationCounts:
+    """Counts of violations, and of operations that could cause them."""
 
-    half_read: int = 0
+    partial_read: int = 0
     freed_read: int = 0
     deleted_under_reader: int = 0
     other_organisation: int = 0
@@ -41,7 +41,7 @@
     plans: int = 0
     faults: int = 0
 
-    def occurred(self):
+    def violations(self):
         return {
             name: count
             for name, count in dataclasses.asdict(self).items()
@@ -50,49 +50,49 @@
 
 
 class CheckedStore(sites.RecordingStore):
-    """Counts reads of halves and deletions under a reader."""
+    """Counts reads of incomplete blocks and deletions during a read."""
 
     def answer(self, request):
         match request.method, request.path:
             case "GET", ("blocks", name):
                 found = self.blocks.read(name, 1 << 30)
                 if found and len(found.block.content) < BLOCK_BYTES:
-                    self.violations.half_read += 1
+                    self.counts.partial_read += 1
             case "DELETE", ("blocks", name):
                 if name in self.reading:
-                    self.violations.deleted_under_reader += 1
+                    self.counts.deleted_under_reader += 1
         return super().answer(request)
 
 
 class Simulation:
-    """Agents, two stores, one engine, one clock, one seed."""
+    """Agents, two stores and an engine with one clock and one seed."""
 
     def __init__(self, seed, agents=2, all_own=False):
         self.all_own = all_own
         self.rng = random.Random(seed)
         self.now = 1000.0
-        self.violations = Violations()
+        self.counts = SimulationCounts()
         self.reading = []
         self.nesting = 0
         self.site = sites.Site(("keep-a", "keep-b"), fill=0.8)
         for store in self.site.stores.values():
             self.watch(store)
         self.count = agents
-        self.agents = [self.agent(me) for me in range(agents)]
+        self.agents = [self.agent(number) for number in range(agents)]
 
     def watch(self, store):
         store.__class__ = CheckedStore
-        store.violations = self.violations
+        store.counts = self.counts
         store.reading = self.reading
         store.set(capacity=CAPACITY)
 
-    def agent(self, me):
+    def agent(self, number):
         def holders(group):
             if self.count == 1:
                 return state.Holders()
-            is_owner = self.all_own or group[-1] % 2 == me
+            is_owner = self.all_own or group[-1] % 2 == number
             return state.Holders(
-                is_owner=is_owner, others=(str(1 - me),), epoch=1
+                is_owner=is_owner, others=(str(1 - number),), epoch=1
             )
 
         def call(address, request, timeout_s):
@@ -130,15 +130,13 @@
         return kept
 
     def importing(self, kept, order, address, request, timeout_s):
-        """Let other things happen before an import's reads."""
-        names = [wanted.block for wanted in request.blocks]
+        """Run other steps before an import reads its blocks."""
+        names = [entry.block for entry in request.blocks]
         pending_deletions = {
             kept.names.format(packed)
             for packed in kept.index.pending_deletions
         }
-        self.violations.freed_read += len(
-            pending_deletions.intersection(names)
-        )
+        self.counts.freed_read += len(pending_deletions.intersection(names))
         self.reading.extend(names)
         self.interleave()
         try:
@@ -148,7 +146,7 @@
                 self.reading.remove(name)
 
     def exporting(self, write, given):
-        """Let other things happen between a write and its confirmation."""
+        """Run other steps between a write and its confirmation."""
         written = write(*given)
         self.interleave()
         return written
@@ -191,24 +189,24 @@
         plan = self.site.plan(
             kept, organisation, chain, version, session=session
         )
-        self.violations.plans += 1
+        self.counts.plans += 1
         self.check(kept, organisation, version, plan)
         if self.rng.random() < 0.3:
             self.maintain(self.rng.choice(self.agents))
         if plan.blocks:
-            self.violations.imports += 1
+            self.counts.imports += 1
             done = kept.import_to(self.site.engine.address, plan)
-            self.violations.imported += done.pieces
+            self.counts.imported += done.pieces
 
     def check(self, kept, organisation, version, plan):
         own = kept.names.organisation(organisation)
         variant = kept.names.variant("draft", "", version)
         for planned in plan.blocks:
             block = planned.block
-            self.violations.other_organisation += block.group[:4] != own
-            self.violations.other_version += block.variant != variant
+            self.counts.other_organisation += block.group[:4] != own
+            self.counts.other_version += block.variant != variant
             boot = kept.stores.get(block.store).boot_id
-            self.violations.stale_boot_read += block.boot_id != boot
+            self.counts.stale_boot_read += block.boot_id != boot
 
     def export_once(self, kept):
         for exporter in kept.exporters.values():
@@ -232,7 +230,7 @@
         self.now += self.rng.choice((0.1, 3.0, 12.0)[:longest])
 
     def inject_fault(self, kept):
-        self.violations.faults += 1
+        self.counts.faults += 1
         name = self.rng.choice(list(self.site.stores))
         store = self.site.stores[name]
         match self.rng.randrange(7):
@@ -266,7 +264,7 @@
                 self.step()
         finally:
             self.site.stop()
-        return self.violations
+        return self.counts
 
 
 def check_without_waiting(condition, job):
--- a/tests/cache/site.py
+++ b/tests/cache/site.py
@@ -1,4 +1,4 @@
-"""An engine, stores and one agent's kept cache in this process."""
+"""An engine, stores and the kept caches of agents in this process."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Read:
-    """One block that a store gave: what it was when it was read."""
+    """One block that was read, with its size at that time."""
 
     name: str
     size: int
 
 
 class RecordingStore(stores.Store):
-    """A store that remembers what was read and what was deleted."""
+    """A store that records reads and deletions."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
@@ -51,7 +51,7 @@
 
 
 class Counts:
-    """Counters that a test can look at."""
+    """Counters whose values a test can read."""
 
     def __init__(self):
         self.values: dict[str, int] = {}
@@ -66,12 +66,12 @@
 
 
 class Site:
-    """The processes around one or more agents.
+    """The engine and the stores around one or more agents.
 
     Parameters
     ----------
     store_names
-        Stores to start.
+        Names of the stores to start.
     """
 
     def __init__(self, store_names=("keep-a",), **kept_cache):
@@ -128,7 +128,7 @@
         return kept
 
     def restart_store(self, name):
-        """Kill a store and start an empty one at the same address."""
+        """Stop a store and start an empty one at the same address."""
         address = self.stores[name].address
         self.stores[name].stop()
         self.stores[name] = waiting.until(
@@ -136,7 +136,7 @@
         )
 
     def run(self, kept, organisation, chain, version="v1", session="s"):
-        """Let the engine hold a prompt's KV, as a run leaves it."""
+        """Put a prompt's KV into the engine, as a finished run does."""
         salt = kept.salt(organisation)
         self.engine.cache.add(
             [
@@ -186,18 +186,20 @@
             organisation, "draft", "", version, chain, cached_pieces, session
         )
 
-    def kept(self, kept, organisation, chain, session="s", count=None):
-        """Run a prompt and wait until its pieces are kept."""
+    def run_and_export(
+        self, kept, organisation, chain, session="s", count=None
+    ):
+        """Run a prompt, wait until its pieces are kept and return the plan."""
         self.run(kept, organisation, chain, session=session)
-        wanted = len(chain) if count is None else count
+        expected = len(chain) if count is None else count
 
-        def found():
+        def current_plan():
             return self.plan(kept, organisation, chain, session=session)
 
         waiting.until(
-            lambda: len(found().blocks) >= wanted, what="the exports"
+            lambda: len(current_plan().blocks) >= expected, what="the exports"
         )
-        return found()
+        return current_plan()
 
     def stop(self):
         for kept in self.agents:
@@ -208,7 +210,7 @@
 
 
 def started(address):
-    """Return a store at an address, None while that is still taken."""
+    """Return a store started at an address, None if that is in use."""
     try:
         return RecordingStore(listen=address).start()
     except OSError:
@@ -216,5 +218,5 @@
 
 
 def chain(count, seed=0):
-    """Return the plain chain of a prompt of ``count`` pieces."""
+    """Return the unsalted chain of a prompt of ``count`` pieces."""
     return pieces.chain(words.prompt(1000 * count, seed))
--- a/tests/cache/test_index.py
+++ b/tests/cache/test_index.py
@@ -23,10 +23,10 @@
     return indexes.BlockIndex(max_blocks=100)
 
 
-def test_a_block_under_a_reader_is_not_deletable(index):
-    """A store fills while an engine reads a block.
+def test_pinned_block_is_not_deletable(index):
+    """A store fills up while an engine reads one of its blocks.
 
-    Deleted now, the engine would meet a gap in the middle of its import.
+    If the block were deleted, it would be missing during the import.
     """
     read = block()
     index.add(read, 0.0, FOREVER)
@@ -38,8 +38,8 @@
     assert index.deletable("keep-a", now=5.0) == [read]
 
 
-def test_a_reader_that_never_ends_does_not_hold_a_block_for_ever(index):
-    """An agent's thread dies in an import; its bound frees the block."""
+def test_pin_expires_if_its_reader_never_ends(index):
+    """An agent's thread fails during an import and never unpins."""
     read = block()
     index.add(read, 0.0, FOREVER)
     index.pin([read], expires_at=10.0)
@@ -48,10 +48,10 @@
     assert index.deletable("keep-a", now=11.0) == [read]
 
 
-def test_a_freed_block_does_not_come_back_by_a_late_message(index):
-    """A peer's message or a listing is late and names a freed block.
+def test_late_message_does_not_restore_freed_block(index):
+    """A late message from a peer or a late listing has a freed block.
 
-    Indexed again, it would be read while it is being deleted.
+    If it were indexed again, it would be read while it is being deleted.
     """
     freed = block()
     index.add(freed, 0.0, FOREVER)
@@ -61,7 +61,7 @@
     assert index.longest_prefix([freed.key], 1.0, b"") == []
 
 
-def test_a_plan_that_was_overtaken_reads_only_what_is_still_there(index):
+def test_plan_is_pinned_up_to_first_freed_block(index):
     """The second block of a plan is freed before the import begins."""
     blocks = [block(depth) for depth in range(3)]
     for each in blocks:
@@ -72,8 +72,8 @@
     assert index.deletable("keep-a", now=0.0) == [blocks[1]]
 
 
-def test_a_copy_of_another_agents_index_runs_out(index):
-    """The owner may have freed the block since; it waits this long."""
+def test_copy_of_another_agents_index_expires(index):
+    """The owner may have freed the block, and waits only this long."""
     copied = block()
     index.add(copied, 0.0, valid_until=10.0)
 
@@ -82,8 +82,8 @@
     assert index.longest_prefix([copied.key], 10.0, copied.group) == [copied]
 
 
-def test_what_another_boot_of_a_store_held_is_forgotten(index):
-    """A store is replaced; another store's blocks stay."""
+def test_blocks_of_earlier_boot_are_dropped(index):
+    """A store is replaced; the blocks of other stores are kept."""
     old = block(0)
     new = block(1, boot_id="boot-2")
     other = block(2, store="keep-b")
@@ -94,11 +94,11 @@
     assert index.bytes_by_store == {"keep-a": 100, "keep-b": 100}
 
 
-def test_a_block_confirmed_in_an_earlier_boot_is_not_taken(index):
-    """A store is replaced between a confirmation and its entry.
+def test_block_confirmed_in_earlier_boot_is_not_added(index):
+    """A store is replaced between a block's confirmation and its indexing.
 
-    Known but never readable, the piece would be neither imported nor
-    exported again.
+    An indexed block of the old boot could not be imported, and its piece
+    would not be exported again.
     """
     late = block(0)
     index.drop_earlier_boots("keep-a", "boot-2")
@@ -107,8 +107,8 @@
     assert len(index) == 0
 
 
-def test_memory_is_bounded_and_the_oldest_group_goes_first(index):
-    """More sessions come than the index may hold in memory."""
+def test_index_is_bounded_and_evicts_oldest_group(index):
+    """There are more sessions than the index may hold in memory."""
     small = indexes.BlockIndex(max_blocks=32)
     for number in range(32):
         small.add(block(number, session=f"s{number}"), number, FOREVER)
--- a/tests/cache/test_links.py
+++ b/tests/cache/test_links.py
@@ -24,10 +24,11 @@
     link.end(transfer, size)
 
 
-def test_a_link_never_carries_more_than_its_budget(link, clock):
-    """Requests come much faster than the link may carry their blocks.
+def test_link_never_exceeds_its_budget(link, clock):
+    """Requests arrive much faster than the link may carry their blocks.
 
-    Without the debt, each would pass because the bucket is not yet empty.
+    If the bucket could not become negative, each import would pass while
+    the bucket is not empty.
     """
     carried = 0.0
     for _ in range(1000):
@@ -41,16 +42,16 @@
     assert carried >= 0.9 * RATE * clock.now_s
 
 
-def test_an_import_that_would_wait_too_long_takes_no_budget(link):
-    """A large import is refused; a small one after it is not held up."""
+def test_import_that_would_wait_too_long_takes_no_budget(link):
+    """An import is refused, and does not delay those after it."""
     link.reserve(5000, max_wait_s=1.0)
 
     assert link.reserve(100, max_wait_s=1.0) is None
     assert link.wait_s() == pytest.approx((5000 - 250) / RATE)
 
 
-def test_exports_wait_behind_imports(link, clock):
-    """Imports have drained the bucket; a caller waits for each of them."""
+def test_exports_wait_for_imports(link, clock):
+    """Imports, for which callers wait, have emptied the bucket."""
     link.reserve(1000, max_wait_s=1.0)
     assert not link.reserve_idle(100)
 
@@ -59,10 +60,10 @@
     assert link.reserve_idle(100)
 
 
-def test_a_link_that_slows_to_a_tenth_is_noticed_by_one_transfer(link, clock):
-    """A link slows down; imports that used to pay would make callers wait.
+def test_one_transfer_detects_slower_link(link, clock):
+    """A link slows down to a tenth of its rate.
 
-    The first transfer on it changes the prediction.
+    With the old prediction, imports over it would delay callers.
     """
     link.configure(0)
     for _ in range(5):
@@ -77,10 +78,10 @@
     assert link.predict_duration_s(1000) > 5 * before
 
 
-def test_an_overdue_transfer_is_noticed_before_it_ends(link, clock):
-    """A link stops; the import on it has not come back yet.
+def test_overdue_transfer_lowers_rate_before_it_ends(link, clock):
+    """A link stalls during an import that has not ended yet.
 
-    Others must not be sent after it meanwhile.
+    No further imports must be sent over it.
     """
     for _ in range(3):
         move(link, clock, 1000, RATE)
@@ -93,10 +94,10 @@
     assert link.predict_duration_s(100) > 10 * before
 
 
-def test_a_link_that_was_slow_is_tried_again(link, clock):
+def test_slow_link_is_tried_again_after_a_while(link, clock):
     """A slow link recovers, but nothing is imported over it any more.
 
-    Without forgetting it would be avoided for ever.
+    If the low rate did not expire, the link would be avoided for ever.
     """
     for _ in range(5):
         move(link, clock, 100, RATE / 100)
@@ -109,8 +110,8 @@
     )
 
 
-def test_transfers_that_share_a_link_do_not_look_slow(link, clock):
-    """Two imports at once each get half of the link."""
+def test_concurrent_transfers_do_not_lower_observed_rate(link, clock):
+    """Two concurrent imports each get half of the link's rate."""
     link.configure(0)
     first = link.begin(1000)
     second = link.begin(1000)
--- a/tests/cache/test_maintenance.py
+++ b/tests/cache/test_maintenance.py
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass
 class Listings:
-    """A store's client that counts how often it is listed."""
+    """A store client that counts the listings."""
 
     blocks: tuple = ()
     count: int = 0
@@ -66,7 +66,7 @@
         )
 
     def put(self, organisation, session, version="v2", pieces=5):
-        """Index a session's blocks, a second after the one before."""
+        """Index a session's blocks, one second after the previous session."""
         self.now += 1.0
         prompt = state.Prompt(
             organisation, session, "draft", "", version, chain(session)
@@ -91,7 +91,7 @@
             for name in packed
         ]
 
-    def left(self, blocks):
+    def indexed_count(self, blocks):
         return sum(self.kept.index.contains(block) for block in blocks)
 
 
@@ -100,10 +100,10 @@
     return Bench()
 
 
-def test_the_oldest_session_goes_first_and_from_its_end(bench):
-    """A store is over its limit by little.
+def test_oldest_session_is_freed_first_from_its_end(bench):
+    """A store slightly exceeds its limit.
 
-    The front of a chain is of use without its end, not the other way.
+    The start of a chain is useful without its end, but not vice versa.
     """
     old = bench.put("kitchen", "old")
     new = bench.put("kitchen", "new")
@@ -111,17 +111,17 @@
 
     bench.maintainer.make_room()
 
-    assert bench.left(new) == 5
+    assert bench.indexed_count(new) == 5
     assert [bench.kept.index.contains(block) for block in old] == [
         *[True] * 3,
         *[False] * 2,
     ]
 
 
-def test_an_organisation_over_its_share_makes_room_first(bench):
+def test_organisation_over_its_share_is_freed_first(bench):
     """A large organisation fills the store with new sessions.
 
-    A small one's older session must not pay for it.
+    An older session of a small organisation must not be freed for them.
     """
     digest = "0" * 32
     bench.organisations = {
@@ -134,12 +134,12 @@
 
     bench.maintainer.make_room()
 
-    assert bench.left(small) == 5
-    assert sum(bench.left(blocks) for blocks in large) < 15
+    assert bench.indexed_count(small) == 5
+    assert sum(bench.indexed_count(blocks) for blocks in large) < 15
 
 
-def test_blocks_of_a_version_that_is_gone_are_worth_nothing(bench):
-    """After a rollout the store is full of blocks nobody can ask for."""
+def test_blocks_of_replaced_version_are_freed_first(bench):
+    """After a rollout the store is full of blocks that can't match."""
     bench.policy = dataclasses.replace(bench.policy, policy="value")
     for _ in range(50):
         bench.kept.returns.record_use(b"g" * 12, 5, bench.now)
@@ -150,15 +150,15 @@
 
     bench.maintainer.make_room()
 
-    assert bench.left(current) == 5
-    assert bench.left(replaced) == 3
+    assert bench.indexed_count(current) == 5
+    assert bench.indexed_count(replaced) == 3
 
 
-def test_a_listing_is_not_read_again_and_again(bench):
-    """Many agents share a store with very many blocks.
+def test_passes_over_listing_are_separated_by_pause(bench):
+    """Many agents share a store with a large number of blocks.
 
-    Read without a rest, listings alone would take more of the network
-    than control may use.  A change of agents ends the rest.
+    Without a pause, listings alone would exceed the network share of
+    control traffic.  A change in the set of agents ends the pause.
     """
     client = Listings()
     context = dataclasses.replace(bench.kept.context, client=client)
@@ -178,10 +178,11 @@
     assert client.count == 3
 
 
-def test_a_listed_block_is_adopted_as_soon_as_its_size_is_known(bench):
-    """An agent restarts, and its first export comes after the first pass.
+def test_listed_block_is_adopted_once_its_size_is_known(bench):
+    """An agent restarts, and its first export follows the first pass.
 
-    Waiting for the next pass, returns would be computed for minutes.
+    If adoption waited for the next pass, returning prompts would be
+    recomputed for minutes.
     """
     prompt = state.Prompt("kitchen", "s", "draft", "", "v2", chain("s"))
     block = bench.blocks(prompt)[0]
@@ -202,8 +203,8 @@
     assert bench.kept.index.contains(block)
 
 
-def test_a_new_session_worth_less_than_what_was_freed_is_not_kept(bench):
-    """Logs that never return must not push histories out of the store."""
+def test_session_of_lower_value_than_freed_one_is_not_exported(bench):
+    """Logs that never return must not displace histories."""
     bench.policy = dataclasses.replace(bench.policy, policy="value")
     bench.store.capacity = 100 * SIZE
     bench.store.min_value = 1e9
@@ -214,8 +215,8 @@
     assert bench.kept.exporters["keep-a"].queue.get(0) is None
 
 
-def test_the_chain_that_is_worth_most_is_exported_first():
-    """The link is slow, and a log came before a history."""
+def test_chain_of_highest_value_is_exported_first():
+    """On a slow link, a log is queued before a history."""
     queue = exporting.Queue()
     jobs = {
         value: exporting.Job("e", "m", "v", b"", b"", (), value, 0.0)
@@ -227,10 +228,10 @@
     assert [queue.get(0).value for _ in jobs] == [0.9, 0.5, 0.1]
 
 
-def test_value_keeps_what_returns_and_lru_what_came_last():
-    """Histories return after a day; logs never do.
+def test_value_policy_keeps_returning_groups_and_lru_recent_ones():
+    """Histories return after a day, and logs never do.
 
-    An older history is worth more than a fresh log.
+    An older history has a higher value than a recent log.
     """
     model = retention.ReturnModel()
     for number in range(60):
--- a/tests/cache/test_names.py
+++ b/tests/cache/test_names.py
@@ -24,14 +24,14 @@
     ],
     ids=["organisation", "model", "adapter", "version", "split"],
 )
-def test_the_same_text_has_another_key_elsewhere(other):
-    """A hit would be another's text or another version's numbers."""
+def test_key_differs_by_organisation_model_adapter_and_version(other):
+    """A hit would use the KV of another organisation or version."""
     assert key(*USUAL) == key(*USUAL)
     assert key(*USUAL) != key(*other)
 
 
-def test_a_name_is_never_made_twice_and_reads_back():
-    """A late write under an old name must not hit a new block."""
+def test_names_are_unique_and_can_be_parsed():
+    """A late write under an old name must not overwrite a new block."""
     made = [
         NAMES.new_name(NAMES.group("k", "s"), b"v" * 4, 7, DIGEST)
         for _ in range(1000)
@@ -45,13 +45,13 @@
 
 
 @pytest.mark.parametrize("text", ["", "zz-zz", "backup-2024", "ab" * 46])
-def test_blocks_of_others_are_not_taken_for_ours(text):
-    """A store holds foreign blocks; taken for ours they'd be deleted."""
+def test_names_of_other_systems_are_not_parsed(text):
+    """If the name were parsed, the foreign block would be deleted."""
     assert NAMES.parse(text) is None
 
 
-def test_a_name_made_with_another_secret_is_not_ours():
-    """Somebody writes a block under a name that looks like ours."""
+def test_name_created_with_another_secret_is_not_parsed():
+    """A foreign writer uses names of the same format."""
     forger = block_names.Names(b"guess")
     name = forger.new_name(NAMES.group("k", "s"), b"v" * 4, 0, DIGEST)
 
--- a/tests/cache/test_pieces.py
+++ b/tests/cache/test_pieces.py
@@ -3,12 +3,12 @@
 from briarseam.cache import pieces
 
 
-def test_an_agent_names_an_engines_prefixes_from_the_plain_chain() -> None:
-    """An entry cuts a prompt before the agent has told it the salt.
+def test_salted_digests_are_derived_from_unsalted_chain() -> None:
+    """An entry splits a prompt before it knows the salt.
 
-    The agent then orders exports by the engine's salted names.  Were these
-    not to be had from the plain chain, every export would answer 404 and
-    nothing would ever be kept.
+    The agent then requests exports by the engine's salted digests.  If
+    these could not be derived from the unsalted chain, every export would
+    fail with 404, and nothing would be kept.
     """
     prompt = " ".join(f"word{i}" for i in range(3500))
     plain = pieces.chain(prompt)
--- a/tests/cache/test_random.py
+++ b/tests/cache/test_random.py
@@ -1,4 +1,4 @@
-"""Seeded runs of many operations and faults, without threads."""
+"""Seeded simulations of many operations and faults, without threads."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def confirm_without_checking(self, packed, exported):
-    """Take any export for whole, without looking."""
+    """Confirm any export without checking the store."""
     checksum = bytes.fromhex(exported.checksum)
     return state.Block(
         packed, exported.bytes, checksum, self.store.name, self.store.boot_id
@@ -26,7 +26,7 @@
 
 
 def adopt_without_checking(self, block, time_ms):
-    """Adopt whatever is listed."""
+    """Adopt any listed block."""
     return self.context.index.add(block, self.context.clock(), float("inf"))
 
 
@@ -38,7 +38,7 @@
     return self.keyed_hash(b"pieces", organisation.encode(), 32)
 
 
-def pin_without_checking(self, blocks, until):
+def pin_without_checking(self, blocks, expires_at):
     return len(blocks)
 
 
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class DisabledGuard:
-    """A guard taken out, and the count that shows it."""
+    """Patches that disable a guard, and the violation that they cause."""
 
     violation: str
     patches: tuple
@@ -66,11 +66,11 @@
         ((block_names.Names, "derive_key", key_without_version),),
     ),
     "confirmation of writes": DisabledGuard(
-        "half_read",
+        "partial_read",
         ((exporting.Exporter, "confirm", confirm_without_checking),),
     ),
     "size of adopted blocks": DisabledGuard(
-        "half_read", ((sweeping.Sweeper, "adopt", adopt_without_checking),)
+        "partial_read", ((sweeping.Sweeper, "adopt", adopt_without_checking),)
     ),
     "check when reading begins": DisabledGuard(
         "freed_read", ((INDEX, "pin", pin_without_checking),)
@@ -87,38 +87,40 @@
 
 @pytest.mark.parametrize("agents", [1, 2])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_nothing_that_must_never_happen_happens(seed, agents):
-    """Sessions come and go over halves, wrong bytes, restarts, rollouts
-    and full stores.  A caller would see another's text, or wrong tokens.
+def test_random_operations_and_faults_cause_no_violation(seed, agents):
+    """Sessions return amid partial writes, corrupt reads, restarts, rollouts
+    and full stores.  A violation would give a caller the text of another
+    organisation, or wrong tokens.
     """
-    violations = simulation.Simulation(seed, agents).run_steps(OPERATIONS)
+    counts = simulation.Simulation(seed, agents).run_steps(OPERATIONS)
 
-    assert violations.occurred() == {}
-    assert violations.imported > 20, violations
-    assert violations.faults > 10, violations
+    assert counts.violations() == {}
+    assert counts.imported > 20, counts
+    assert counts.faults > 10, counts
 
 
-def test_two_agents_that_both_own_everything_do_no_harm():
-    """The agents disagree on who is alive, and both think they own.
+def test_two_agents_that_own_all_groups_cause_no_violation():
+    """Two agents disagree on which agents are alive, and both act as owner.
 
-    One deletes what the other still has in its index.  That costs
-    recomputation; it must not bring a half, another's or an old block.
+    One deletes blocks that the other still has in its index.  This may
+    cause recomputation, but no import of a partial, foreign or old block.
     """
-    violations = simulation.Simulation(4, agents=2, all_own=True).run_steps(
+    counts = simulation.Simulation(4, agents=2, all_own=True).run_steps(
         OPERATIONS
     )
 
-    occurred = violations.occurred()
-    occurred.pop("deleted_under_reader", None)
-    assert occurred == {}
-    assert violations.imported > 20, violations
+    violations = counts.violations()
+    violations.pop("deleted_under_reader", None)
+    assert violations == {}
+    assert counts.imported > 20, counts
 
 
-def test_an_agent_that_wakes_reads_nothing_that_was_deleted_meanwhile():
-    """An agent is frozen between its last look and its order to import.
+def test_agent_that_resumes_reads_no_block_deleted_meanwhile():
+    """An agent is suspended between its last check and its import request.
 
-    The owner frees the blocks, waits for all copies and deletes them.
-    The agent wakes long after its bounds and gives its order.
+    Meanwhile the owner frees the blocks, waits until all copies have
+    expired and deletes them.  The agent resumes long after its time limits
+    and sends the request.
     """
     simulated = simulation.Simulation(1)
     owner, frozen = simulated.agents
@@ -150,23 +152,23 @@
 
     assert len(plan.blocks) == 3
     assert (done.pieces, done.failed) == (0, "missing")
-    assert simulated.violations.half_read == 0
+    assert simulated.counts.partial_read == 0
     assert simulated.site.stores["keep-a"].reads == []
     assert simulated.site.stores["keep-b"].reads == []
 
 
 @pytest.mark.parametrize("disabled", GUARDS.values(), ids=GUARDS.keys())
-def test_without_its_guard_it_happens(monkeypatch, disabled):
-    """Each guard is taken out in turn; the same run must then fail.
+def test_disabled_guard_causes_its_violation(monkeypatch, disabled):
+    """Each guard is disabled in turn, and the simulation must then fail.
 
-    A guard whose absence nothing shows is not known to hold anything.
+    Otherwise no test would show that the guard has an effect.
     """
     for patch in disabled.patches:
         monkeypatch.setattr(*patch)
-    violations = simulation.Violations()
+    counts = simulation.SimulationCounts()
     for seed in range(1, 13):
-        violations = simulation.Simulation(seed).run_steps(OPERATIONS)
-        if disabled.violation in violations.occurred():
+        counts = simulation.Simulation(seed).run_steps(OPERATIONS)
+        if disabled.violation in counts.violations():
             break
 
-    assert disabled.violation in violations.occurred(), violations
+    assert disabled.violation in counts.violations(), counts
--- a/tests/cache/test_residents.py
+++ b/tests/cache/test_residents.py
@@ -24,7 +24,7 @@
 
 
 class Known:
-    """What the follower has told so far."""
+    """A sink that records the reported prefixes."""
 
     def __init__(self):
         self.prefixes = set()
@@ -74,8 +74,8 @@
     )
 
 
-def test_events_tell_what_an_engine_has(engine, follower, known):
-    """A run leaves two prefixes in the engine; a third follows."""
+def test_events_report_prefixes_of_engine(engine, follower, known):
+    """A run leaves two prefixes in the engine, and a third follows."""
     hold(engine, digests(2))
     follower.read()
     assert known.have("draft", "v1", digests(3)) == 2
@@ -87,13 +87,13 @@
     assert known.have("draft", "v2", digests(3)) == 0
 
 
-def test_a_lost_removal_is_found_by_the_gap_in_the_numbers(
+def test_gap_in_event_numbers_reveals_lost_removal(
     engine, follower, clock, known
 ):
-    """An engine evicts a prefix and the event never comes.
+    """An engine evicts a prefix, and the event is lost.
 
-    Believed to be there, the prefix would be recomputed by each run that
-    is sent to it, though it could be imported.
+    If the prefix were assumed to be present, each run that is sent there
+    would recompute it, though it could be imported.
     """
     hold(engine, digests(2))
     follower.read()
@@ -106,13 +106,12 @@
     assert known.have("draft", "v1", digests(2)) == 0
 
 
-def test_what_is_known_does_not_count_until_a_gap_is_read_up(
+def test_prefixes_are_discarded_from_gap_until_reload(
     engine, follower, clock, known
 ):
-    """Gaps come faster than an engine may be listed.
+    """Gaps occur more often than an engine may be listed.
 
-    In between nothing is trusted, and the next allowed listing restores
-    the truth.
+    No prefix is assumed to be present until the next listing.
     """
     hold(engine, digests(2))
     follower.read()
@@ -127,8 +126,8 @@
     assert known.have("draft", "v1", digests(2)) == 2
 
 
-def test_an_engine_that_was_started_anew_has_nothing(engine, follower, known):
-    """An engine crashes and comes back with an empty cache."""
+def test_restarted_engine_has_no_prefixes(engine, follower, known):
+    """An engine crashes and restarts with an empty cache."""
     hold(engine, digests(2))
     follower.read()
     engine.cache.boot_id = "another"
@@ -139,8 +138,8 @@
     assert known.have("draft", "v1", digests(2)) == 0
 
 
-def test_the_engines_of_the_own_zone_are_followed_first(known):
-    """There are thousands of engines; a thread for each would not fit."""
+def test_engines_of_local_zone_are_followed_first(known):
+    """There are too many engines to run a thread for each."""
     endpoints = {
         f"engine-{number}": values.Endpoint(
             kind=values.EndpointKind.ENGINE,
--- a/tests/cache/test_service.py
+++ b/tests/cache/test_service.py
@@ -8,15 +8,14 @@
 from tests.cache import site as sites
 
 
-def test_a_prompt_that_returns_is_imported_instead_of_recomputed(site):
-    """An inspection history returns long after its eviction.
+def test_returning_prompt_is_imported_instead_of_recomputed(site):
+    """A prompt returns with one more piece long after its eviction.
 
-    A run leaves its KV in the engine, the engine evicts it, and hours
-    later the same prompt comes with one more piece.
+    A run left its KV in an engine, which has evicted it.
     """
     kept = site.agent()
     chain = sites.chain(4)
-    site.kept(kept, "kitchen", chain[:3])
+    site.run_and_export(kept, "kitchen", chain[:3])
     site.forget()
 
     plan = site.plan(kept, "kitchen", chain)
@@ -28,48 +27,48 @@
     assert site.cached(kept, "kitchen", chain) == 3
 
 
-def test_only_what_the_endpoint_lacks_is_planned(site):
+def test_only_pieces_missing_at_endpoint_are_planned(site):
     """The engine still has the first two pieces of a prompt."""
     kept = site.agent()
     chain = sites.chain(4)
-    site.kept(kept, "kitchen", chain)
+    site.run_and_export(kept, "kitchen", chain)
 
     plan = site.plan(kept, "kitchen", chain, cached_pieces=2)
 
     assert [planned.block.depth for planned in plan.blocks] == [2, 3]
 
 
-def test_another_organisation_never_matches(site):
+def test_blocks_of_another_organisation_never_match(site):
     """Two organisations send the same text.
 
-    A hit would tell the second that the first has sent it, and would give
-    it KV that was computed for another.
+    A hit would reveal to the second that the first has sent it, and would
+    use KV that was computed for another organisation.
     """
     kept = site.agent()
     chain = sites.chain(2)
-    site.kept(kept, "kitchen", chain)
+    site.run_and_export(kept, "kitchen", chain)
 
     assert site.plan(kept, "crew", chain).blocks == ()
 
 
-def test_another_weight_version_never_matches(site):
+def test_blocks_of_another_weight_version_never_match(site):
     """A rollout ends between two turns of a session.
 
-    KV of the old weights under the new ones gives wrong tokens that
-    nothing else would show.
+    KV of the old weights would produce wrong tokens under the new ones,
+    without any error.
     """
     kept = site.agent()
     chain = sites.chain(2)
-    site.kept(kept, "kitchen", chain)
+    site.run_and_export(kept, "kitchen", chain)
 
     assert site.plan(kept, "kitchen", chain, version="v2").blocks == ()
 
 
-def test_a_half_written_block_is_never_indexed(site):
-    """A store keeps half of a block and answers as if it were whole.
+def test_partially_written_block_is_never_indexed(site):
+    """A store keeps half of a block, but reports success.
 
-    Found by a later request, the block would end its prefill in the
-    middle of a piece.
+    If a later request used the block, its KV would end in the middle of a
+    piece.
     """
     kept = site.agent()
     site.stores["keep-a"].set(half_writes=1)
@@ -80,19 +79,20 @@
 
     assert site.plan(kept, "kitchen", chain).blocks == ()
     waiting.until(
-        lambda: site.stores["keep-a"].deleted, what="deletion of the half"
+        lambda: site.stores["keep-a"].deleted,
+        what="deletion of the partial block",
     )
 
 
-def test_a_corrupt_read_is_recomputed_and_the_block_never_used_again(site):
-    """A store gives a wrong byte of a block that was whole when written.
+def test_corrupt_block_is_recomputed_and_never_used_again(site):
+    """A store returns a wrong byte of a block that was written completely.
 
-    The engine's check of the checksum is the last guard; the pieces
-    before the bad one are of use, the bad one leaves the index.
+    The engine's verification of the checksum is the last guard; the pieces
+    before the corrupt one are used, and the block leaves the index.
     """
     kept = site.agent()
     chain = sites.chain(3)
-    plan = site.kept(kept, "kitchen", chain)
+    plan = site.run_and_export(kept, "kitchen", chain)
     site.forget()
     bad = kept.names.format(plan.blocks[0].block.packed)
     site.stores["keep-a"].set(corrupt_reads=1)
@@ -105,14 +105,14 @@
     waiting.until(lambda: bad in site.stores["keep-a"].deleted)
 
 
-def test_a_store_that_comes_back_empty_is_not_trusted(site):
-    """A store dies and another boot of it answers at its address.
+def test_blocks_of_store_restarted_empty_are_dropped(site):
+    """A store is restarted empty at the same address.
 
-    The old entries would send engines to blocks that are gone.
+    The old index entries would send engines to missing blocks.
     """
     kept = site.agent()
     chain = sites.chain(3)
-    plan = site.kept(kept, "kitchen", chain)
+    plan = site.run_and_export(kept, "kitchen", chain)
     site.restart_store("keep-a")
     waiting.until(lambda: kept.metrics.of("lost_blocks") == 3)
 
@@ -121,15 +121,14 @@
     assert site.stores["keep-a"].reads == []
 
 
-def test_a_dead_store_is_left_out_at_once(site):
-    """A store is killed; the first import that meets it fails.
+def test_unreachable_store_is_excluded_at_once(site):
+    """A store is stopped, and the first import from it fails.
 
-    Until the store answers again nobody waits for it, and when it comes
-    back what is left of it is looked at anew.
+    No prompt waits for the store until it answers again.
     """
     kept = site.agent()
     chain = sites.chain(2)
-    plan = site.kept(kept, "kitchen", chain)
+    plan = site.run_and_export(kept, "kitchen", chain)
     site.forget()
     site.stores["keep-a"].stop()
 
@@ -140,59 +139,63 @@
     assert site.plan(kept, "kitchen", chain).blocks == ()
 
 
-def test_a_restarted_agent_finds_its_blocks_again(site):
-    """An agent is replaced and has lost its index.
+def test_restarted_agent_adopts_its_blocks(site):
+    """A restarted agent has lost its index.
 
-    It reads the listing of the store and takes what is certainly whole;
-    it knows a whole block's size once one export has been confirmed.
+    It reads the store's listing and adopts blocks that are certainly
+    complete, whose size it knows once an export has been confirmed.
     """
     old = site.agent()
     chain = sites.chain(3)
-    site.kept(old, "kitchen", chain)
+    site.run_and_export(old, "kitchen", chain)
     old.stop()
 
     new = site.agent()
-    site.kept(new, "kitchen", sites.chain(1, seed="other"), session="t")
+    site.run_and_export(
+        new, "kitchen", sites.chain(1, seed="other"), session="t"
+    )
     waiting.until(lambda: len(site.plan(new, "kitchen", chain).blocks) == 3)
 
     assert new.metrics.of("adopted_blocks") == 3
 
 
-def test_a_block_half_written_before_a_restart_is_not_adopted(site):
-    """An agent dies between a write and its confirmation.
+def test_block_partially_written_before_restart_is_not_adopted(site):
+    """An agent crashes between a write and its confirmation.
 
-    The store lists half a block under a valid name; its successor must
-    not take it for a whole one, and must not leave it lying for ever.
+    The store lists a partial block under a valid name.  The next agent
+    must not use the block, and must delete it.
     """
     old = site.agent()
     chain = sites.chain(1)
-    plan = site.kept(old, "kitchen", chain)
+    plan = site.run_and_export(old, "kitchen", chain)
     old.stop()
     block = plan.blocks[0].block
     store = site.stores["keep-a"]
     name = old.names.format(block.packed)
     found = store.blocks.read(name, 1 << 30).block
-    half = dataclasses.replace(
+    partial = dataclasses.replace(
         found, content=found.content[: len(found.content) // 2]
     )
-    store.blocks.memory[name] = half
+    store.blocks.memory[name] = partial
 
     new = site.agent()
-    site.kept(new, "kitchen", sites.chain(1, seed="other"), session="t")
+    site.run_and_export(
+        new, "kitchen", sites.chain(1, seed="other"), session="t"
+    )
     waiting.until(lambda: name in store.deleted)
 
     assert site.plan(new, "kitchen", chain).blocks == ()
     assert name not in [read.name for read in store.reads]
 
 
-def test_a_block_is_deleted_only_after_its_reader(site):
-    """A store fills while an import is under way.
+def test_block_is_deleted_only_after_its_reader_ends(site):
+    """A store fills up during an import.
 
-    Deleted at once, the block would be gone under its reader.
+    If the block were deleted at once, its reader would find it missing.
     """
     kept = site.agent()
     chain = sites.chain(2)
-    plan = site.kept(kept, "kitchen", chain)
+    plan = site.run_and_export(kept, "kitchen", chain)
     block = plan.blocks[1].block
     kept.index.pin([block], kept.clock() + 60)
 
@@ -205,10 +208,11 @@
     waiting.until(lambda: name in site.stores["keep-a"].deleted)
 
 
-def test_a_full_store_makes_room_by_itself(make_site):
-    """More sessions are kept than the store holds.
+def test_full_store_frees_blocks(make_site):
+    """More sessions are kept than fit into the store.
 
-    What is worth least goes, from the end of a chain, and exports go on.
+    The sessions of lowest value are freed from the end of their chains, and
+    exports continue.
     """
     site = make_site(fill=0.7)
     store = site.stores["keep-a"]
@@ -216,19 +220,21 @@
     kept = site.agent()
     for number in range(6):
         chain = sites.chain(3, seed=number)
-        site.kept(kept, "kitchen", chain, session=f"s{number}", count=1)
+        site.run_and_export(
+            kept, "kitchen", chain, session=f"s{number}", count=1
+        )
 
     waiting.until(lambda: store.state().used <= 0.7 * 45_000 and store.deleted)
 
     assert kept.metrics.of("freed_blocks") > 0
 
 
-def test_nothing_is_kept_when_the_policy_is_off(make_site):
-    """Operators switch the kept cache off while blocks are in it."""
+def test_nothing_is_kept_while_policy_is_off(make_site):
+    """Operators disable the kept cache while it contains blocks."""
     site = make_site()
     kept = site.agent()
     chain = sites.chain(2)
-    site.kept(kept, "kitchen", chain)
+    site.run_and_export(kept, "kitchen", chain)
 
     site.policy = values.CachePolicy(policy="off")
     site.run(kept, "kitchen", sites.chain(2, seed=1))
@@ -237,16 +243,16 @@
     assert kept.exporters["keep-a"].queue.jobs == []
 
 
-def test_the_sweep_passes_over_what_is_being_written(site):
-    """A listing shows a block before its exporter has confirmed it.
+def test_sweep_skips_blocks_being_written(site):
+    """A listing contains a block before its exporter has confirmed it.
 
-    Adopted then, it was freed as a second copy by its own exporter, and
-    half of it would be in use if its confirmation fails.  Seen as prompts
-    that are never kept although their exports succeed.
+    If the sweep adopted it, its own exporter would free it as a second
+    copy, so prompts would not be kept although their exports succeed; and
+    a partial block would be in use if the confirmation failed.
     """
     kept = site.agent()
     chain = sites.chain(1)
-    block = site.kept(kept, "kitchen", chain).blocks[0].block
+    block = site.run_and_export(kept, "kitchen", chain).blocks[0].block
     kept.index.in_flight_writes.add(block.packed)
     kept.index.forget(block)
     passes = kept.maintainers["keep-a"].sweeper.sweep.passes
@@ -261,18 +267,18 @@
     waiting.until(lambda: kept.index.contains(block), what="adoption")
 
 
-def test_a_block_that_is_gone_is_recomputed_and_forgotten(site):
-    """Another agent deleted a block that is still in the index here.
+def test_missing_block_is_recomputed_and_dropped(site):
+    """Another agent deleted a block that is still in this agent's index.
 
-    The engine meets a 404; the pieces in front of it are of use, the
-    block is not planned again, and the store goes on being used.
+    The engine gets a 404.  The pieces before the block are used, the block
+    is not planned again, and the store stays in use.
     """
     kept = site.agent()
     chain = sites.chain(3)
-    plan = site.kept(kept, "kitchen", chain)
+    plan = site.run_and_export(kept, "kitchen", chain)
     site.forget()
-    gone = plan.blocks[1].block
-    site.stores["keep-a"].blocks.delete(kept.names.format(gone.packed))
+    missing = plan.blocks[1].block
+    site.stores["keep-a"].blocks.delete(kept.names.format(missing.packed))
 
     imported = kept.import_to(site.engine.address, plan)
 
@@ -281,15 +287,15 @@
     assert kept.stores.writable()
 
 
-def test_a_swap_of_weights_does_not_condemn_a_store(site):
+def test_import_refused_after_weight_swap_keeps_store_in_use(site):
     """An engine loads other weights between a plan and its import.
 
-    It refuses; taken for the store's fault, all prompts would be computed
-    anew until the store is polled again.
+    It refuses the import.  If this counted as a fault of the store, all
+    prompts would be recomputed until the next poll of the store.
     """
     kept = site.agent()
     chain = sites.chain(2)
-    plan = site.kept(kept, "kitchen", chain)
+    plan = site.run_and_export(kept, "kitchen", chain)
 
     swapped = dataclasses.replace(plan, version="v2")
     imported = kept.import_to(site.engine.address, swapped)
@@ -299,15 +305,15 @@
     assert len(site.plan(kept, "kitchen", chain).blocks) == 2
 
 
-def test_an_engine_that_does_not_answer_may_still_be_reading(site):
-    """An import is given up after its time; the engine reads on.
+def test_blocks_stay_pinned_after_import_without_answer(site):
+    """An import times out while the engine continues to read.
 
-    The store fills meanwhile.  Deleted at once, the blocks would be gone
-    under the engine.
+    The store fills up meanwhile.  If the blocks were deleted at once, the
+    engine would find them missing.
     """
     kept = site.agent()
     chain = sites.chain(2)
-    plan = site.kept(kept, "kitchen", chain)
+    plan = site.run_and_export(kept, "kitchen", chain)
     block = plan.blocks[0].block
     site.engine.set(delay_ms=5000)
 
--- a/tests/cache/test_sharing.py
+++ b/tests/cache/test_sharing.py
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass
 class Agent:
-    """One agent's index and what it shares, on a clock of the test."""
+    """The index and sharing of one agent, with a manual clock."""
 
     is_owner: bool
     now: float = 100.0
@@ -56,7 +56,7 @@
 
     def found(self, blocks):
         own = GROUP if self.is_owner else b""
-        keys = [one.key for one in blocks]
+        keys = [each.key for each in blocks]
         return self.index.longest_prefix(keys, self.now, own)
 
 
@@ -65,10 +65,11 @@
     return Agent(is_owner=False)
 
 
-def test_another_instance_learns_the_index_and_asks_again_later(other):
-    """A session comes to another instance than its own.
+def test_queried_index_is_used_until_it_expires(other):
+    """A session is served by an instance that doesn't own its group.
 
-    What that learns holds for a while; then the owner may have freed it.
+    The reply is valid for a while, after which the owner may have freed
+    the blocks.
     """
     blocks = [block(0), block(1)]
     other.reply = messages.KeptAnswer(tuple(blocks))
@@ -86,10 +87,10 @@
     assert len(other.index) == 1
 
 
-def test_an_owner_that_is_gone_is_not_waited_for_again_and_again(other):
-    """Both agents that keep an index are cut off.
+def test_unreachable_owner_is_not_queried_for_a_while(other):
+    """Both agents that hold an index are unreachable.
 
-    Each decision would wait for its whole timeout.
+    If they were queried again, each decision would wait for the timeout.
     """
     other.sharing.query(GROUP, VARIANT)
     other.sharing.query(GROUP, VARIANT)
@@ -101,10 +102,10 @@
     assert other.queried == ["owner", "second"] * 2
 
 
-def test_the_owner_waits_until_all_copies_have_run_out():
-    """The owner frees a block that another instance has just learned.
+def test_owner_deletes_only_after_all_copies_have_expired():
+    """The owner frees a block just after another instance has queried it.
 
-    That one may use its copy for a while and then read for a while.
+    That instance may start an import until its copy expires.
     """
     owner = Agent(is_owner=True)
     other = Agent(is_owner=False)
@@ -123,14 +124,14 @@
     assert owner.index.deletable("keep-a", reading_ends + 0.01) == [shared]
 
 
-def test_a_freed_block_leaves_the_second_copy_too():
-    """The owner dies after it has freed a block; the second copy serves."""
+def test_freed_block_is_removed_from_second_copy():
+    """The owner fails after it freed a block, and the copy is queried."""
     second = Agent(is_owner=True)
-    kept, gone = block(0), block(1)
-    change = messages.KeptChange(added=(kept, gone))
+    kept, freed = block(0), block(1)
+    change = messages.KeptChange(added=(kept, freed))
     second.sharing.apply_change(None, change)
     second.sharing.apply_change(
-        None, messages.KeptChange(freed=(gone.packed,))
+        None, messages.KeptChange(freed=(freed.packed,))
     )
 
     answer = second.sharing.answer(None, messages.KeptAsk(GROUP, VARIANT))
@@ -138,10 +139,10 @@
     assert answer.blocks == (kept,)
 
 
-def test_the_owner_is_who_callers_are_sent_to_and_the_copy_elsewhere():
-    """A session's own instance must not have to ask for its index.
+def test_lookup_leads_to_owner_and_copy_is_in_another_zone():
+    """The instance that serves a session needs no query for its index.
 
-    And when its whole zone is down, the index is in another one.
+    If its zone fails, the index is available in another zone.
     """
     agents = tuple(
         members.Member(
--- a/tests/cache/test_stores.py
+++ b/tests/cache/test_stores.py
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def known():
-    """The one store of a configuration, as it answered last."""
+    """The stores of a configuration with one store that has answered."""
     endpoint = values.Endpoint(
         kind=values.EndpointKind.STORE,
         address="127.0.0.1:1",
@@ -29,11 +29,11 @@
     return made
 
 
-def test_blocks_of_an_earlier_boot_are_not_read(known):
-    """A store loses power and comes back empty.
+def test_blocks_of_earlier_boot_are_not_read(known):
+    """A store restarts empty after a power loss.
 
-    It answers its state before its agents have forgotten what it held; a
-    block with the same name may be half written by then.
+    It reports its state before the agents have dropped its old blocks from
+    their indexes, and a block of the same name may be partially written.
     """
     assert known.readable("keep-a", "first")
     assert known.apply_state(known.by_name["keep-a"], state("second"))
