--- a/src/briarseam/cache/exporting.py
+++ b/src/briarseam/cache/exporting.py
@@ -254,7 +254,7 @@
         """Have the engine write the piece, and record the transfer."""
         link = self.store.link
         transfer = link.begin(size)
-        moved = 0
+        moved_bytes = 0
         try:
             outcome = self.context.engine.export(
                 job.engine,
@@ -266,10 +266,10 @@
                 EXPORT_TIMEOUT_S,
             )
             if isinstance(outcome, engine_kv.Exported):
-                moved = outcome.bytes
+                moved_bytes = outcome.bytes
             return outcome
         finally:
-            link.end(transfer, moved)
+            link.end(transfer, moved_bytes)
 
     def confirm(
         self, packed: bytes, exported: engine_kv.Exported
@@ -310,9 +310,9 @@
         context = self.context
         context.sizes.record(block.variant, block.size)
         is_owner = context.sharing.holders(block.group).is_owner
-        until = context.sharing.valid_until(is_owner)
+        valid_until = context.sharing.valid_until(is_owner)
         self.store.used += block.size
-        added = context.index.add(block, context.clock(), until)
+        added = context.index.add(block, context.clock(), valid_until)
         if not added and not context.index.contains(block):
             context.index.free(block, context.clock())
             return
--- a/src/briarseam/cache/maintenance.py
+++ b/src/briarseam/cache/maintenance.py
@@ -96,7 +96,7 @@
         Raises
         ------
         StoreUnavailableError
-            When the store does not answer.
+            If the store does not answer.
         """
         self.poll()
         self.delete_freed()
@@ -105,10 +105,10 @@
 
     def poll(self) -> None:
         """Poll the store's state and handle a reboot."""
-        answered = self.context.client.state(self.store.address)
-        if self.context.stores.apply_state(self.store, answered):
+        state = self.context.client.state(self.store.address)
+        if self.context.stores.apply_state(self.store, state):
             dropped = self.context.index.drop_earlier_boots(
-                self.store.name, answered.boot_id
+                self.store.name, state.boot_id
             )
             self.context.metrics.count("lost_blocks", len(dropped))
             self.sweeper.restart()
@@ -156,8 +156,11 @@
 
     def owned_bytes(self) -> int:
         """Return the bytes in the store that this agent manages."""
-        lost = self.sweeper.unadopted_bytes()
-        return self.context.index.bytes_by_store.get(self.store.name, 0) + lost
+        unadopted = self.sweeper.unadopted_bytes()
+        return (
+            self.context.index.bytes_by_store.get(self.store.name, 0)
+            + unadopted
+        )
 
     def store_groups(self) -> list[bytes]:
         """Return groups in this store that may be freed."""
