--- a/src/briarseam/answers/attempts.py
+++ b/src/briarseam/answers/attempts.py
@@ -1,4 +1,4 @@
-"""Names for an entry's tries of requests with an idempotency key."""
+"""Attempts of an entry's requests with an idempotency key."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 RequestType = typing.TypeVar("RequestType", messages.Admit, messages.AdmitCall)
 
 
-def named(request: RequestType) -> RequestType:
-    """Return a request with a fresh attempt if it has a key."""
+def with_attempt(request: RequestType) -> RequestType:
+    """Return a request with a new attempt name if it has a key."""
     if not request.key:
         return request
     return dataclasses.replace(
@@ -27,25 +27,26 @@
 def abandoned_message(
     request: messages.Admit | messages.AdmitCall,
 ) -> messages.AttemptAbandoned:
-    """Return the message that an attempt will never be sent."""
+    """Return the message to the agent that an attempt is never sent."""
     return messages.AttemptAbandoned(
         request.token_digest, request.key, request.attempt
     )
 
 
-def check_told(
+def require_recorded(
     request: messages.Admit | messages.AdmitCall, reply: typing.Any
 ) -> None:
-    """End a request whose agent was not reached before it asks again.
+    """End a request if the agent did not confirm a report.
 
-    The agent counts a granted attempt as sent until it hears otherwise.
-    Were the word that it was not sent to arrive late, after the attempt
-    was granted again and sent, the agent would free the key under it.
+    The agent assumes that a granted attempt was sent until it is told
+    otherwise.  If the report that it was not sent arrived late, after the
+    attempt was granted again and sent, the agent would free the key while
+    the request runs.  So no other grant may follow an unconfirmed report.
 
     Raises
     ------
     verdict.RefusalError
-        When an attempt is named and the reply is missing.
+        If the request has an attempt and the agent did not confirm.
     """
     if request.attempt and not isinstance(reply, messages.Noted):
         raise verdict.RefusalError(
--- a/src/briarseam/answers/calls.py
+++ b/src/briarseam/answers/calls.py
@@ -1,4 +1,4 @@
-"""One call to a plain service, from grant to answer."""
+"""Relay of one service call, from grant to answer."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Agent(typing.Protocol):
-    """What a call needs from the link to the agent."""
+    """Link to the agent, as far as a call needs it."""
 
     def admit_call(
         self, request: messages.AdmitCall
@@ -28,16 +28,16 @@
         """Return a grant or a replay; raise ``verdict.RefusalError``."""
 
     def report(self, message: typing.Any) -> typing.Any:
-        """Tell the agent how the call went."""
+        """Send a report on the call to the agent; return its reply."""
 
 
 class CallRelay:
-    """Makes one call.
+    """Relays one service call.
 
     Parameters
     ----------
     request
-        The message to the agent.
+        The message to the agent that admits the call.
     body
         The caller's JSON.
     agent
@@ -53,7 +53,7 @@
         agent: Agent,
         services: service.ServiceClient,
     ) -> None:
-        self.request = attempts.named(request)
+        self.request = attempts.with_attempt(request)
         self.body = body
         self.agent = agent
         self.services = services
@@ -67,26 +67,28 @@
         verdict.RefusalError
             With the final verdict.
         """
-        lost: tuple[str, ...] = ()
+        lost_endpoints: tuple[str, ...] = ()
         while True:
             try:
                 reply = self.agent.admit_call(
-                    dataclasses.replace(self.request, lost=lost)
+                    dataclasses.replace(self.request, lost=lost_endpoints)
                 )
             except verdict.RefusalError as error:
-                given = runs.true_of_tries(error.given, self.may_have_run)
-                raise verdict.RefusalError(given) from error
+                final_verdict = runs.verdict_of_all_tries(
+                    error.given, self.may_have_run
+                )
+                raise verdict.RefusalError(final_verdict) from error
             if isinstance(reply, messages.Replayed):
                 return replayed_answer(reply)
             answer = self.try_grant(reply)
             if answer is not None:
                 return answer
-            lost += (reply.endpoint,)
+            lost_endpoints += (reply.endpoint,)
 
     def try_grant(
         self, grant: messages.Granted
     ) -> service.ServiceAnswer | None:
-        """Make a granted call; ``None`` when another may be asked for."""
+        """Make a granted call; ``None`` if another grant may be requested."""
         try:
             answer = self.services.call(
                 grant.address,
@@ -96,10 +98,10 @@
                 grant.timeout_ms / MS,
             )
         except engine.NotSentError:
-            self.end_unsent(grant, messages.RunResult.NOT_SENT)
+            self.report_unsent(grant, messages.RunResult.NOT_SENT)
             return None
         except engine.LostError as error:
-            self.end(grant, messages.RunResult.LOST_BEFORE_FIRST)
+            self.report_end(grant, messages.RunResult.LOST_BEFORE_FIRST)
             self.may_have_run = True
             if not grant.attempt:
                 return None
@@ -110,19 +112,19 @@
                 )
             ) from error
         if answer.status == HTTP_UNAVAILABLE:
-            # The services' protocol says that 503 starts nothing.
-            self.end_unsent(grant, messages.RunResult.REFUSED)
+            # By the services' protocol 503 means that nothing was started.
+            self.report_unsent(grant, messages.RunResult.REFUSED)
             return None
-        self.end(grant, messages.RunResult.DONE, answer)
+        self.report_end(grant, messages.RunResult.DONE, answer)
         return answer
 
-    def end_unsent(
+    def report_unsent(
         self, grant: messages.Granted, result: messages.RunResult
     ) -> None:
         """Report that the endpoint did not start the call."""
-        attempts.check_told(self.request, self.end(grant, result))
+        attempts.require_recorded(self.request, self.report_end(grant, result))
 
-    def end(
+    def report_end(
         self,
         grant: messages.Granted,
         result: messages.RunResult,
@@ -145,12 +147,12 @@
 
 
 def replayed_answer(replayed: messages.Replayed) -> service.ServiceAnswer:
-    """Return the answer of a call that ran before.
+    """Return the stored answer of a call that has run before.
 
     Raises
     ------
     verdict.RefusalError
-        When only a part of it was kept.
+        If only a part of the answer is stored.
     """
-    body = replays.whole_body(replayed, "call")
+    body = replays.complete_body(replayed, "call")
     return service.ServiceAnswer(replayed.status, body, JSON, True)
--- a/src/briarseam/answers/events.py
+++ b/src/briarseam/answers/events.py
@@ -1,4 +1,4 @@
-"""The events of a caller's stream, and the replay of a kept answer."""
+"""Events of a caller's stream, and the replay of a stored answer."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 def begin_event(answer_id: str, reused_tokens: int) -> bytes:
-    """Return the event that names the answer id and what was reused."""
-    named = {"answer_id": answer_id, "reused_tokens": reused_tokens}
-    return sse.render(sse.Event("answer", render_json(named)))
+    """Return the event with the answer id and number of reused tokens."""
+    fields = {"answer_id": answer_id, "reused_tokens": reused_tokens}
+    return sse.render(sse.Event("answer", render_json(fields)))
 
 
 def token_event(piece: engine.Token) -> bytes:
@@ -29,21 +29,21 @@
 
 
 def done_event(piece: engine.Done) -> bytes:
-    """Return the last event of a whole answer."""
+    """Return the last event of a complete answer."""
     return sse.render(sse.Event("done", render_json({"tokens": piece.tokens})))
 
 
-def error_event(given: verdict.Verdict) -> bytes:
-    """Return the last event of an answer that cannot be finished."""
+def error_event(final_verdict: verdict.Verdict) -> bytes:
+    """Return the last event of an answer that cannot be completed."""
     return sse.render(
         sse.Event(
             "error",
             render_json(
                 {
-                    "reason": given.reason.value,
-                    "detail": given.detail,
-                    "ran": verdict.ran_word(given),
-                    "retry_after_s": given.retry_after_s,
+                    "reason": final_verdict.reason.value,
+                    "detail": final_verdict.detail,
+                    "ran": verdict.ran_word(final_verdict),
+                    "retry_after_s": final_verdict.retry_after_s,
                 }
             ),
         )
@@ -51,21 +51,21 @@
 
 
 def render_json(value: typing.Any) -> str:
-    """Return compact JSON on one line."""
+    """Return compact JSON in one line."""
     return msgspec.json.encode(value).decode()
 
 
 def replayed_events(
     replayed: messages.Replayed,
 ) -> typing.Iterator[bytes]:
-    """Yield the events of an answer whose text was kept.
+    """Yield the events of an answer whose text is stored.
 
     Raises
     ------
     verdict.RefusalError
-        When only a part of it was kept.
+        If only a part of the text is stored.
     """
-    body = replays.whole_body(replayed, "prompt")
+    body = replays.complete_body(replayed, "prompt")
     tokens = body.decode().split()
     yield begin_event(replayed.answer_id, 0)
     for offset, token in enumerate(tokens):
--- a/src/briarseam/answers/keeping.py
+++ b/src/briarseam/answers/keeping.py
@@ -1,4 +1,4 @@
-"""Runs whose callers are gone: kept for a grace time, then cancelled."""
+"""Runs of disconnected callers: kept for a grace time, then cancelled."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
 
 class Agent(typing.Protocol):
-    """What keeping needs from the link to the agent."""
+    """Link to the agent, as far as the run keeper needs it."""
 
     def may_cancel(self, answer_id: str, generation: int) -> bool:
-        """Tell whether nobody resumed the answer since."""
+        """Return whether no entry has resumed the answer since then."""
 
 
 class RunKeeper:
-    """Reads on for callers that are gone.
+    """Reads the streams of runs whose callers have disconnected.
 
     Parameters
     ----------
     grace_s
-        Time until a run that nobody resumed is cancelled, in seconds.
+        Seconds until a run that was not resumed is cancelled.
     agent
         Link to the agent.
     engines
         Adapter to the engines.
     max_kept
-        Runs kept at a time; beyond it they are cancelled at once.
+        Maximum number of runs kept; further runs are cancelled at once.
     """
 
     def __init__(
@@ -47,21 +47,23 @@
         self.grace_s = grace_s
         self.agent = agent
         self.engines = engines
-        self.free = threading.BoundedSemaphore(max_kept)
+        self.slots = threading.BoundedSemaphore(max_kept)
 
     def keep(self, relay: relays.Relay, run: runs.Run) -> None:
-        """Take over a run that this entry began."""
-        self.begin(lambda grace_s: self.read_run(relay, run, grace_s))
+        """Take over a run that this entry started."""
+        self.start_reading(lambda grace_s: self.read_run(relay, run, grace_s))
 
     def keep_resumed(
         self, resumed: resume.Resumption, stream: engine.Stream
     ) -> None:
-        """Take over a run that another entry began."""
-        self.begin(lambda grace_s: self.read_resumed(resumed, stream, grace_s))
-
-    def begin(self, read: typing.Callable[[float], None]) -> None:
-        """Read on in a thread of its own, as far as there are some left."""
-        if not self.free.acquire(blocking=False):
+        """Take over a resumed run, which another entry may have started."""
+        self.start_reading(
+            lambda grace_s: self.read_resumed(resumed, stream, grace_s)
+        )
+
+    def start_reading(self, read: typing.Callable[[float], None]) -> None:
+        """Read a run in its own thread, or cancel it if no slot is free."""
+        if not self.slots.acquire(blocking=False):
             read(0.0)
             return
         threading.Thread(
@@ -69,19 +71,19 @@
         ).start()
 
     def read_and_free(self, read: typing.Callable[[float], None]) -> None:
-        """Read on, then let another run have the place."""
+        """Read a run, then release its slot."""
         try:
             read(self.grace_s)
         finally:
-            self.free.release()
+            self.slots.release()
 
     def read_run(
         self, relay: relays.Relay, run: runs.Run, grace_s: float
     ) -> None:
-        """Read a run to its end, or cancel it when the grace time is over.
+        """Read a run to its end, or cancel it after the grace time.
 
-        One whose outcome a key's caller may ask for is never cancelled: its
-        outcome would be lost with it.
+        A run with an idempotency key is never cancelled: its outcome, which
+        the caller may request later, would be lost.
         """
         cancel_at: float | None = time.monotonic() + grace_s
         if relay.request.admit.key:
@@ -109,7 +111,7 @@
         finally:
             run.stream.close()
             run.ended = True
-            relay.end(run.grant, result, run.tokens)
+            relay.report_end(run.grant, result, run.tokens)
 
     def read_resumed(
         self,
@@ -117,7 +119,7 @@
         stream: engine.Stream,
         grace_s: float,
     ) -> None:
-        """Read a resumed run on; cancel it when the grace time is over."""
+        """Read a resumed run to its end, or cancel it after the grace time."""
         cancel_at = time.monotonic() + grace_s
         located = resumed.located
         pieces = iter(stream)
@@ -139,7 +141,7 @@
     def cancel(
         self, answer_id: str, address: str, run_id: str, generation: int
     ) -> bool:
-        """Cancel a run unless it was resumed at any entry since."""
+        """Cancel a run unless any entry has resumed it since then."""
         if not self.agent.may_cancel(answer_id, generation):
             return False
         self.engines.cancel(address, run_id)
--- a/src/briarseam/answers/ordering.py
+++ b/src/briarseam/answers/ordering.py
@@ -1,4 +1,4 @@
-"""Taking an engine's pieces in order, each once, of one run only."""
+"""Reads an engine's pieces in order, each once, of one run only."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class Sequencer:
-    """Checks the pieces of one answer, over all streams that give it.
+    """Checks the pieces of one answer across all of its streams.
 
     Parameters
     ----------
     run_id
-        The run whose pieces are wanted.
+        The run whose pieces are accepted.
     version
         Weight version that must produce them.
     offset
-        First token that is wanted.
+        Offset of the first token to return.
     """
 
     def __init__(self, run_id: str, version: str, offset: int = 0) -> None:
@@ -28,12 +28,12 @@
     def read_start(
         self, pieces: typing.Iterator[engine.Piece]
     ) -> engine.Started:
-        """Return the start, which must be the stream's first piece."""
+        """Return the start piece, which must be the stream's first."""
         piece = next(pieces, None)
         if isinstance(piece, engine.Broken):
             raise engine.LostError(piece.reason)
         if not isinstance(piece, engine.Started):
-            raise engine.LostError("no start of the stream")
+            raise engine.LostError("the stream has no start piece")
         self.check_start(piece)
         return piece
 
@@ -42,14 +42,14 @@
     ) -> engine.Token | engine.Done:
         """Return the next new token or the end of the answer.
 
-        A doubled or late token lies before the wanted offset and is passed
-        over.  A missing or reordered one shows as an offset beyond it, a
-        truncated answer as an end that counts more tokens than came.
+        A duplicate or late token has an offset below the next one and is
+        skipped.  A missing or reordered token shows as an offset above it,
+        a truncated answer as an end that counts more tokens than arrived.
 
         Raises
         ------
         engine.LostError
-            When the stream ends early, skips, or is another run's.
+            If the stream ends early, skips tokens or belongs to another run.
         """
         for piece in pieces:
             match piece:
@@ -66,24 +66,24 @@
                 case engine.Done():
                     self.check_run(piece.run_id)
                     if piece.tokens != self.offset:
-                        raise engine.LostError("the answer is not whole")
+                        raise engine.LostError("the answer is incomplete")
                     return piece
                 case engine.Broken():
                     raise engine.LostError(piece.reason)
-        raise engine.LostError("the stream ended without its end")
+        raise engine.LostError("the stream ended without its end piece")
 
     def check_start(self, piece: engine.Started) -> None:
-        """Refuse another run's start, or another version's."""
+        """Reject the start of another run or another weight version."""
         self.check_run(piece.run_id)
         if piece.version != self.version:
-            raise engine.LostError("the endpoint runs another version")
+            raise engine.LostError("the endpoint runs another weight version")
 
     def check_run(self, run_id: str) -> None:
-        """Refuse a piece of another run.
+        """Reject a piece of another run.
 
-        An answer is matched by its run id, not by the connection it came
-        on: a confused endpoint or proxy that sends another run's pieces
-        would otherwise hand one caller another's answer.
+        An answer is matched by its run id, not by its connection: a faulty
+        endpoint or proxy that sends another run's pieces would otherwise
+        deliver one caller's answer to another.
         """
         if run_id != self.run_id:
-            raise engine.LostError("the stream is another run's")
+            raise engine.LostError("the stream belongs to another run")
--- a/src/briarseam/answers/relay.py
+++ b/src/briarseam/answers/relay.py
@@ -1,9 +1,9 @@
-"""One answer from grant to ``done``: the entry's side of a run.
+"""Relay of one answer, from grant to ``done``: the entry's side of a run.
 
-Before the first token an idempotent request that loses its endpoint asks
-the agent for another.  After it the relay first resumes the engine's own
-stream, and when the endpoint is gone continues elsewhere from the prompt
-plus the tokens already passed on, under the same weight version only.
+If an idempotent request loses its endpoint before the first token, the relay
+requests another grant from the agent.  After the first token it resumes the
+engine's stream.  If the endpoint is gone, it continues at another one from
+the prompt plus the tokens already sent, under the same weight version only.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 from briarseam.answers import runs
 from briarseam.endpoints import engine
 
-# Resumes of one engine's stream without a new token between them.
+# Consecutive resumes of one engine's stream without a new token.
 MAX_RESUMES = 2
 MS = 1000.0
-# The part of the time left to the deadline that one endpoint may use before
-# its first token; the rest is for another, should it have been lost.
-FIRST_TOKEN_PART = 0.5
+# Share of the time until the deadline that one endpoint may use before its
+# first token; the rest is reserved for another endpoint if it is lost.
+FIRST_TOKEN_SHARE = 0.5
 
 
 class Agent(typing.Protocol):
-    """What the relay needs from the link to the agent."""
+    """Link to the agent, as far as the relay needs it."""
 
     def admit(
         self, request: messages.Admit
@@ -37,14 +37,14 @@
         """Return a grant or a replay; raise ``verdict.RefusalError``."""
 
     def report(self, message: typing.Any) -> typing.Any:
-        """Tell the agent how a run went."""
+        """Send a report on a run to the agent; return its reply."""
 
 
 class RunKeeper(typing.Protocol):
-    """What happens to a run whose caller is gone."""
+    """Takes over runs whose callers have disconnected."""
 
     def keep(self, relay: Relay, run: runs.Run) -> None:
-        """Take the run over."""
+        """Take over a run."""
 
 
 class Relay:
@@ -59,7 +59,7 @@
     engines
         Adapter to the engines.
     run_keeper
-        Takes over the run when the caller is gone.
+        Takes over the run when the caller disconnects.
     """
 
     def __init__(
@@ -70,13 +70,13 @@
         run_keeper: RunKeeper,
     ) -> None:
         self.request = dataclasses.replace(
-            request, admit=attempts.named(request.admit)
+            request, admit=attempts.with_attempt(request.admit)
         )
         self.agent = agent
         self.engines = engines
         self.run_keeper = run_keeper
-        self.lost: tuple[str, ...] = ()
-        self.refused: tuple[str, ...] = ()
+        self.lost_endpoints: tuple[str, ...] = ()
+        self.refused_endpoints: tuple[str, ...] = ()
         self.may_have_run = False
 
     def open(self) -> runs.Run | messages.Replayed:
@@ -89,52 +89,52 @@
         """
         while True:
             try:
-                reply = self.agent.admit(self.next_ask())
+                reply = self.agent.admit(self.next_admit())
             except verdict.RefusalError as error:
-                given = runs.true_of_tries(
+                final_verdict = runs.verdict_of_all_tries(
                     error.given, self.may_have_run, bool(self.request.prior)
                 )
-                raise verdict.RefusalError(given) from error
+                raise verdict.RefusalError(final_verdict) from error
             if isinstance(reply, messages.Replayed):
                 return reply
             run = self.try_grant(reply)
             if run is not None:
                 return run
 
-    def next_ask(self) -> messages.Admit:
-        """Return the message to the agent, with the time that is left."""
-        if not self.lost:
+    def next_admit(self) -> messages.Admit:
+        """Return the message to the agent with the remaining time."""
+        if not self.lost_endpoints:
             return self.request.admit
-        left_ms = max(int(self.left_s() * MS), 1)
+        remaining_ms = max(int(self.remaining_s() * MS), 1)
         return dataclasses.replace(
             self.request.admit,
-            lost=self.lost,
-            refused=self.refused,
-            deadline_ms=left_ms,
+            lost=self.lost_endpoints,
+            refused=self.refused_endpoints,
+            deadline_ms=remaining_ms,
         )
 
-    def left_s(self) -> float:
-        """Return the seconds left to the caller's deadline."""
+    def remaining_s(self) -> float:
+        """Return the seconds until the caller's deadline."""
         elapsed_s = time.monotonic() - self.request.accepted_at
         return self.request.admit.deadline_ms / MS - elapsed_s
 
     def try_grant(self, grant: messages.Granted) -> runs.Run | None:
-        """Start a granted run; ``None`` when another may be asked for."""
+        """Start a granted run; ``None`` if another grant may be requested."""
         try:
             run = self.start(grant, list(self.request.prior))
-            self.await_first(run)
+            self.await_first_token(run)
         except engine.NotSentError:
-            self.end_unsent(grant, messages.RunResult.NOT_SENT)
-            self.lost += (grant.endpoint,)
+            self.report_unsent(grant, messages.RunResult.NOT_SENT)
+            self.lost_endpoints += (grant.endpoint,)
             return None
         except engine.RefusedError:
-            self.end_unsent(grant, messages.RunResult.REFUSED)
-            self.lost += (grant.endpoint,)
-            self.refused += (grant.endpoint,)
+            self.report_unsent(grant, messages.RunResult.REFUSED)
+            self.lost_endpoints += (grant.endpoint,)
+            self.refused_endpoints += (grant.endpoint,)
             return None
         except engine.LostError as error:
-            self.end(grant, messages.RunResult.LOST_BEFORE_FIRST)
-            self.lost += (grant.endpoint,)
+            self.report_end(grant, messages.RunResult.LOST_BEFORE_FIRST)
+            self.lost_endpoints += (grant.endpoint,)
             self.may_have_run = True
             if not self.request.admit.idempotent:
                 raise verdict.RefusalError(
@@ -147,19 +147,19 @@
         return run
 
     def start(self, grant: messages.Granted, tokens: list[str]) -> runs.Run:
-        """Start a granted run after the tokens that were passed on."""
+        """Start a granted run after the tokens that were already sent."""
         stream = self.engines.start(
             grant.address,
             self.run_request(grant, tuple(tokens)),
-            self.left_s() * FIRST_TOKEN_PART,
+            self.remaining_s() * FIRST_TOKEN_SHARE,
         )
         sequencer = ordering.Sequencer(
             grant.run_id, grant.version, len(tokens)
         )
         return runs.Run(grant, stream, iter(stream), tokens, sequencer)
 
-    def await_first(self, run: runs.Run) -> None:
-        """Wait for the first token, or an empty answer's end."""
+    def await_first_token(self, run: runs.Run) -> None:
+        """Wait for the first token or the end of an empty answer."""
         try:
             started = run.sequencer.read_start(run.pieces)
             run.reused_tokens = started.cached_tokens
@@ -173,8 +173,8 @@
         self.report_started(run)
 
     def report_started(self, run: runs.Run) -> None:
-        """Tell the agent that a run gave its first token."""
-        run.told = True
+        """Report to the agent that a run returned its first token."""
+        run.start_reported = True
         elapsed_s = time.monotonic() - self.request.accepted_at
         self.agent.report(
             messages.RunStarted(
@@ -185,9 +185,9 @@
         )
 
     def events(self, run: runs.Run) -> typing.Iterator[bytes]:
-        """Yield the caller's event stream of a run that has begun.
+        """Yield the caller's events of a run that has started.
 
-        Closing the iterator early means that the caller is gone.
+        Closing the iterator early means that the caller disconnected.
         """
         try:
             yield from self.relay(run)
@@ -198,22 +198,22 @@
                 self.run_keeper.keep(self, run)
 
     def relay(self, run: runs.Run) -> typing.Iterator[bytes]:
-        """Yield events; mend the stream where that can be done."""
+        """Yield events; resume or continue a stream that breaks."""
         yield runs.begin_event(run)
         while True:
             try:
                 piece = run.next_piece()
             except engine.LostError:
-                given = self.mend(run)
-                if given is not None:
-                    yield events.error_event(given)
+                final_verdict = self.recover(run)
+                if final_verdict is not None:
+                    yield events.error_event(final_verdict)
                     return
                 yield runs.begin_event(run)
                 continue
             match piece:
                 case engine.Token():
                     run.tokens.append(piece.token)
-                    if not run.told:
+                    if not run.start_reported:
                         self.report_started(run)
                     yield events.token_event(piece)
                 case engine.Done():
@@ -222,27 +222,29 @@
                     return
 
     def finish(self, run: runs.Run) -> None:
-        """Report that the answer is whole."""
+        """Report that the answer is complete."""
         run.ended = True
-        self.end(run.grant, messages.RunResult.DONE, run.tokens)
+        self.report_end(run.grant, messages.RunResult.DONE, run.tokens)
 
-    def mend(self, run: runs.Run) -> verdict.Verdict | None:
-        """Resume the run, else continue it; return why neither went."""
+    def recover(self, run: runs.Run) -> verdict.Verdict | None:
+        """Resume or continue the run; return the verdict if both fail."""
         run.stream.close()
         if run.resumes < MAX_RESUMES and self.resume(run):
             return None
         run.ended = True
-        self.end(run.grant, messages.RunResult.LOST_AFTER_FIRST, run.tokens)
+        self.report_end(
+            run.grant, messages.RunResult.LOST_AFTER_FIRST, run.tokens
+        )
         if not self.request.admit.idempotent:
             return verdict.MayHaveRun(
                 verdict.Reason.ENDPOINT_LOST,
                 "the endpoint was lost and the answer cannot be continued",
             )
-        self.lost += (run.grant.endpoint,)
+        self.lost_endpoints += (run.grant.endpoint,)
         return self.continue_elsewhere(run)
 
     def resume(self, run: runs.Run) -> bool:
-        """Read the engine's stream again from where it broke."""
+        """Resume the engine's stream where it broke off."""
         run.resumes += 1
         try:
             stream = self.engines.resume(
@@ -255,45 +257,47 @@
         return True
 
     def continue_elsewhere(self, run: runs.Run) -> verdict.Verdict | None:
-        """Run the rest at another endpoint; return why that cannot be."""
+        """Continue at another endpoint; return the verdict on failure."""
         while True:
             request = dataclasses.replace(
                 self.request.admit,
-                lost=self.lost,
-                refused=self.refused,
+                lost=self.lost_endpoints,
+                refused=self.refused_endpoints,
                 continues=run.grant.answer_id,
                 passed_on=len(run.tokens),
             )
             try:
                 grant = self.agent.admit(request)
             except verdict.RefusalError as error:
-                return runs.began(error.given)
+                return runs.verdict_after_start(error.given)
             if not isinstance(grant, messages.Granted):
-                return runs.began(runs.unexpected_replay())
-            if self.adopt(run, grant):
+                return runs.verdict_after_start(
+                    runs.unexpected_replay_verdict()
+                )
+            if self.switch_to_grant(run, grant):
                 return None
-            self.lost += (grant.endpoint,)
+            self.lost_endpoints += (grant.endpoint,)
 
-    def adopt(self, run: runs.Run, grant: messages.Granted) -> bool:
-        """Let a run go on under a new grant; tell whether it started."""
+    def switch_to_grant(self, run: runs.Run, grant: messages.Granted) -> bool:
+        """Continue a run with a new grant; return whether it started."""
         try:
-            fresh = self.start(grant, run.tokens)
+            new_run = self.start(grant, run.tokens)
         except engine.NotSentError:
-            self.end(grant, messages.RunResult.NOT_SENT)
+            self.report_end(grant, messages.RunResult.NOT_SENT)
             return False
         except engine.RefusedError:
-            self.end(grant, messages.RunResult.REFUSED)
-            self.refused += (grant.endpoint,)
+            self.report_end(grant, messages.RunResult.REFUSED)
+            self.refused_endpoints += (grant.endpoint,)
             return False
         except engine.LostError:
-            self.end(grant, messages.RunResult.LOST_BEFORE_FIRST)
+            self.report_end(grant, messages.RunResult.LOST_BEFORE_FIRST)
             return False
         run.grant = grant
-        run.stream = fresh.stream
-        run.pieces = fresh.pieces
-        run.sequencer = fresh.sequencer
+        run.stream = new_run.stream
+        run.pieces = new_run.pieces
+        run.sequencer = new_run.sequencer
         run.resumes = 0
-        run.told = False
+        run.start_reported = False
         run.ended = False
         return True
 
@@ -313,13 +317,15 @@
             organisation=grant.salt,
         )
 
-    def end_unsent(
+    def report_unsent(
         self, grant: messages.Granted, result: messages.RunResult
     ) -> None:
         """Report that the endpoint did not start the run."""
-        attempts.check_told(self.request.admit, self.end(grant, result))
+        attempts.require_recorded(
+            self.request.admit, self.report_end(grant, result)
+        )
 
-    def end(
+    def report_end(
         self,
         grant: messages.Granted,
         result: messages.RunResult,
--- a/src/briarseam/answers/replays.py
+++ b/src/briarseam/answers/replays.py
@@ -1,4 +1,4 @@
-"""Answers that were kept when their request ran before."""
+"""Replays of the stored answers of requests that ran before."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
     from briarseam.admission import messages
 
 
-def whole_body(replayed: messages.Replayed, what: str) -> bytes:
-    """Return the body of a kept answer.
+def complete_body(replayed: messages.Replayed, what: str) -> bytes:
+    """Return the body of a stored answer.
 
     Parameters
     ----------
     replayed
-        The answer.
+        The stored answer.
     what
-        What ran, as a caller would call it.
+        The kind of request, for the message to the caller.
 
     Raises
     ------
     verdict.RefusalError
-        When only a part of it was kept.
+        If only a part of the body is stored.
     """
     if replayed.whole:
         return replayed.body
     raise verdict.RefusalError(
         verdict.Ran(
             verdict.Reason.ANSWER_GONE,
-            f"the {what} ran; its answer was too long to be kept",
+            f"the {what} ran; its answer was too long to be stored",
         )
     )
--- a/src/briarseam/answers/resume.py
+++ b/src/briarseam/answers/resume.py
@@ -1,4 +1,4 @@
-"""Resuming an answer at any entry, from the token the caller names."""
+"""Resumption of an answer at any entry, from a token of the caller's."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 HTTP_NOT_FOUND = 404
 RETRY_AFTER_S = 1.0
 MAX_RESUMES = 2
-CONTINUE = "send the prompt again with Answer-Id to have it continued"
+CONTINUE_HINT = "send the prompt again with Answer-Id to have it continued"
 
 
 class RunKeeper(typing.Protocol):
-    """What happens to a run whose caller is gone."""
+    """Takes over runs whose callers have disconnected."""
 
     def keep_resumed(self, resumed: Resumption, stream: engine.Stream) -> None:
-        """Take the run over."""
+        """Take over a run."""
 
 
 class Resumption:
-    """Relays a run that another entry, or this one, began.
+    """Relays a run that this or another entry started.
 
     Parameters
     ----------
     located
-        The run behind the answer id.
+        The run of the answer id.
     answer_id
-        As the caller gave it.
+        The answer id from the caller.
     offset
-        First token the caller does not have.
+        Offset of the first token that the caller does not have.
     engines
         Adapter to the engines.
     run_keeper
-        Takes over the run when the caller is gone.
+        Takes over the run when the caller disconnects.
     """
 
     def __init__(
@@ -59,12 +59,13 @@
         self.ended = False
 
     def open(self) -> engine.Stream:
-        """Return the engine's stream.
+        """Open the engine's stream.
 
         Raises
         ------
         verdict.RefusalError
-            When the run cannot be reached or is gone; it did run.
+            If the run is gone or its endpoint unreachable.  The verdict is
+            that the request ran.
         """
         try:
             return self.engines.resume(
@@ -73,22 +74,22 @@
                 self.sequencer.offset,
             )
         except engine.RefusedError as error:
-            given = verdict.Ran(
+            final_verdict = verdict.Ran(
                 verdict.Reason.ANSWER_GONE,
-                f"the endpoint does not have this answer any more; {CONTINUE}",
+                f"the endpoint no longer has this answer; {CONTINUE_HINT}",
             )
-            raise verdict.RefusalError(given) from error
+            raise verdict.RefusalError(final_verdict) from error
         except engine.EngineError as error:
-            given = verdict.Ran(
+            final_verdict = verdict.Ran(
                 verdict.Reason.ENDPOINT_LOST,
-                "the endpoint of this answer cannot be reached;"
-                f" resume later, or {CONTINUE}",
+                "the endpoint of this answer is unreachable;"
+                f" resume later, or {CONTINUE_HINT}",
                 RETRY_AFTER_S,
             )
-            raise verdict.RefusalError(given) from error
+            raise verdict.RefusalError(final_verdict) from error
 
     def events(self, stream: engine.Stream) -> typing.Iterator[bytes]:
-        """Yield the caller's event stream from the offset on."""
+        """Yield the caller's events from the offset on."""
         try:
             yield events.begin_event(self.answer_id, 0)
             while not self.ended:
@@ -107,13 +108,13 @@
                 self.run_keeper.keep_resumed(self, stream)
 
     def reopen(self) -> engine.Stream:
-        """Return the engine's stream anew, a few times without progress."""
+        """Open the stream again; limited to a few times without progress."""
         self.resumes += 1
         if self.resumes > MAX_RESUMES:
             raise verdict.RefusalError(
                 verdict.Ran(
                     verdict.Reason.ENDPOINT_LOST,
-                    f"the stream broke; resume later, or {CONTINUE}",
+                    f"the stream broke; resume later, or {CONTINUE_HINT}",
                     RETRY_AFTER_S,
                 )
             )
@@ -134,20 +135,24 @@
 
 
 def replay_failure_verdict(
-    replayed: messages.Replayed, given: verdict.Verdict
+    replayed: messages.Replayed, endpoint_verdict: verdict.Verdict
 ) -> verdict.Verdict:
-    """Return what a caller is told when an answer cannot be had again.
+    """Return the verdict if an answer cannot be retrieved again.
 
     Parameters
     ----------
     replayed
-        What is known of the first request.
-    given
-        Why its endpoint does not give the answer.
+        What is known about the first request.
+    endpoint_verdict
+        Why the endpoint did not return the answer.
     """
     if replayed.ran == "unknown":
         return verdict.MayHaveRun(
             verdict.Reason.OUTCOME_UNKNOWN,
             "the first request's answer was lost",
         )
-    return verdict.Ran(given.reason, given.detail, given.retry_after_s)
+    return verdict.Ran(
+        endpoint_verdict.reason,
+        endpoint_verdict.detail,
+        endpoint_verdict.retry_after_s,
+    )
--- a/tests/answers/conftest.py
+++ b/tests/answers/conftest.py
@@ -15,10 +15,10 @@
 
 
 class Deployment(deployment.Deployment):
-    """A deployment that keeps runs for a short time only."""
+    """A deployment with a short grace time for runs."""
 
     def write_settings(self, *args: typing.Any) -> settings.Settings:
-        """Shorten the bounds that tests would wait for."""
+        """Shorten the times that tests wait for."""
         path = super().write_settings(*args).path
         overrides = [
             settings.Overriding("entry", "resume_grace_s", f"{GRACE_S}s"),
--- a/tests/answers/test_attempts.py
+++ b/tests/answers/test_attempts.py
@@ -17,24 +17,26 @@
 
 @dataclasses.dataclass
 class FakeAgent:
-    """Grants what it is asked; hears reports or does not."""
+    """Grants each request; confirms reports if so configured."""
 
-    hears: bool
-    asked: list[messages.AdmitCall] = dataclasses.field(default_factory=list)
+    records_reports: bool
+    requests: list[messages.AdmitCall] = dataclasses.field(
+        default_factory=list
+    )
     reports: list[typing.Any] = dataclasses.field(default_factory=list)
 
     def admit_call(self, request: messages.AdmitCall) -> messages.Granted:
-        self.asked.append(request)
+        self.requests.append(request)
         return dataclasses.replace(GRANT, attempt=request.attempt)
 
     def report(self, message: typing.Any) -> messages.Noted | None:
         self.reports.append(message)
-        return messages.Noted() if self.hears else None
+        return messages.Noted() if self.records_reports else None
 
 
 @dataclasses.dataclass
 class FakeServices:
-    """Cannot be reached the first time."""
+    """Raises an error at the first call."""
 
     error: Exception
     calls: int = 0
@@ -46,37 +48,37 @@
         return service.ServiceAnswer(200, b"{}", "application/json")
 
 
-def make(agent: FakeAgent, services: FakeServices) -> calls.CallRelay:
+def make_relay(agent: FakeAgent, services: FakeServices) -> calls.CallRelay:
     return calls.CallRelay(REQUEST, b"{}", agent, services)
 
 
-def test_endpoint_not_reached_is_passed_over_in_the_same_attempt():
-    agent = FakeAgent(hears=True)
+def test_unreachable_endpoint_is_skipped_in_the_same_attempt():
+    agent = FakeAgent(records_reports=True)
     services = FakeServices(engine.NotSentError("refused"))
-    assert make(agent, services).run().status == 200
-    assert [one.lost for one in agent.asked] == [(), ("service-0",)]
-    assert len({one.attempt for one in agent.asked}) == 1
+    assert make_relay(agent, services).run().status == 200
+    assert [request.lost for request in agent.requests] == [(), ("service-0",)]
+    assert len({request.attempt for request in agent.requests}) == 1
 
 
-def test_not_sent_that_the_agent_did_not_hear_ends_the_request():
-    """A booking runs twice.
+def test_unconfirmed_report_of_not_sent_ends_the_request():
+    """Guards against a request that runs twice.
 
-    An endpoint could not be reached; the word of it gets stuck on its way
-    to a frozen agent, and the attempt is granted again and sent.  Then the
-    agent hears that it was not sent, and frees the key.
+    An endpoint is unreachable, the report of it is delayed on its way to a
+    frozen agent, and the attempt is granted again and sent.  Then the agent
+    receives the report and frees the key.
     """
-    agent = FakeAgent(hears=False)
+    agent = FakeAgent(records_reports=False)
     services = FakeServices(engine.NotSentError("refused"))
     with pytest.raises(verdict.RefusalError) as raised:
-        make(agent, services).run()
+        make_relay(agent, services).run()
     assert isinstance(raised.value.given, verdict.NotRun)
     assert services.calls == 1
 
 
-def test_answer_lost_is_never_tried_elsewhere():
-    agent = FakeAgent(hears=True)
+def test_call_with_lost_answer_is_not_retried():
+    agent = FakeAgent(records_reports=True)
     services = FakeServices(engine.LostError("cut"))
     with pytest.raises(verdict.RefusalError) as raised:
-        make(agent, services).run()
+        make_relay(agent, services).run()
     assert isinstance(raised.value.given, verdict.MayHaveRun)
     assert services.calls == 1
--- a/tests/answers/test_lost_tries.py
+++ b/tests/answers/test_lost_tries.py
@@ -1,4 +1,4 @@
-"""What a caller is told when the first try was lost and a second refused."""
+"""Verdicts after the first try was lost and the second was refused."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @pytest.fixture
 def closing():
-    """An endpoint that reads a request and ends the connection."""
+    """An endpoint that reads a request and closes the connection."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
 
         def serve() -> None:
@@ -55,7 +55,7 @@
 
 @pytest.fixture
 def absent():
-    """An address where nobody listens."""
+    """An address without a listener."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         host, port = listener.getsockname()
     return f"{host}:{port}"
@@ -63,24 +63,24 @@
 
 def refuse_prompt(address: str, *prior: str) -> verdict.Verdict:
     admit = messages.Admit("", "draft", "", (), 1, 4, 5, 3000)
-    asking = relay.Relay(
+    answer_relay = relay.Relay(
         runs.PromptRequest(admit, "prompt", time.monotonic(), prior),
         Agent(address),
         engine.EngineClient(1.0),
         None,
     )
     with pytest.raises(verdict.RefusalError) as raised:
-        asking.open()
+        answer_relay.open()
     return raised.value.given
 
 
 def refuse_call(address: str) -> verdict.Verdict:
     request = messages.AdmitCall("", "renewals", "look", "", b"", 3000)
-    asking = calls.CallRelay(
+    answer_relay = calls.CallRelay(
         request, b"{}", Agent(address), service.ServiceClient()
     )
     with pytest.raises(verdict.RefusalError) as raised:
-        asking.run()
+        answer_relay.run()
     return raised.value.given
 
 
@@ -90,11 +90,11 @@
 
 
 @REFUSE
-def test_lost_with_its_endpoint_is_not_told_not_run(refuse, closing):
-    """A caller is told "not run" of what its first endpoint was doing.
+def test_request_lost_with_its_endpoint_may_have_run(refuse, closing):
+    """Guards against "not run" for a request that an endpoint received.
 
-    The endpoint ends the connection with the request read; the agent has
-    no other one and refuses the second try as not run.
+    The endpoint reads the request and closes the connection; the agent has
+    no other endpoint and refuses the second try as not run.
     """
     assert refuse(closing) == verdict.MayHaveRun(
         REFUSED.reason, REFUSED.detail, REFUSED.retry_after_s
@@ -102,10 +102,10 @@
 
 
 @REFUSE
-def test_endpoint_that_was_not_reached_did_not_run_it(refuse, absent):
+def test_request_to_unreachable_endpoint_has_not_run(refuse, absent):
     assert refuse(absent) == REFUSED
 
 
-def test_answer_that_had_begun_has_run(absent):
+def test_refused_continuation_of_an_answer_has_run(absent):
     given = refuse_prompt(absent, "some", "tokens")
     assert isinstance(given, verdict.Ran)
--- a/tests/answers/test_ordering.py
+++ b/tests/answers/test_ordering.py
@@ -16,8 +16,8 @@
 WHOLE = (token(0), token(1), token(2), DONE)
 
 
-def take(*pieces: engine.Piece) -> list[int]:
-    """Take pieces to the end; return the tokens' offsets."""
+def read_offsets(*pieces: engine.Piece) -> list[int]:
+    """Read pieces to the end; return the tokens' offsets."""
     sequencer = ordering.Sequencer("run", "v1")
     offsets = []
     stream = iter(pieces)
@@ -34,9 +34,9 @@
         pytest.param((token(0), token(1), token(0), token(2)), id="late"),
     ],
 )
-def test_each_token_is_passed_on_once(pieces):
-    """An engine's stream that was resumed gives some tokens again."""
-    assert take(START, *pieces, DONE) == [0, 1, 2]
+def test_each_token_is_returned_once(pieces):
+    """A resumed stream of an engine may repeat tokens."""
+    assert read_offsets(START, *pieces, DONE) == [0, 1, 2]
 
 
 @pytest.mark.parametrize(
@@ -57,14 +57,14 @@
         pytest.param((engine.Broken("failed"),), id="failed"),
     ],
 )
-def test_stream_that_cannot_be_the_answer_is_lost(pieces):
-    """A caller takes a part of an answer, or another's, for its own."""
+def test_invalid_stream_is_lost(pieces):
+    """Guards against a partial or foreign answer that seems complete."""
     with pytest.raises(engine.LostError):
-        take(START, *pieces)
+        read_offsets(START, *pieces)
 
 
-def test_token_after_a_gap_is_not_passed_on():
-    """A caller sees a token in the wrong place before the stream ends."""
+def test_token_after_a_gap_is_not_returned():
+    """Guards against a token at a wrong position before the stream ends."""
     sequencer = ordering.Sequencer("run", "v1")
     stream = iter((START, token(0), token(2)))
     assert sequencer.next(stream) == token(0)
--- a/tests/answers/test_replays.py
+++ b/tests/answers/test_replays.py
@@ -12,7 +12,7 @@
     return messages.Replayed(200, b"1 2", whole, "id")
 
 
-def test_kept_answer_is_given_again():
+def test_stored_answer_is_replayed():
     assert calls.replayed_answer(replayed(True)).body == b"1 2"
     assert len(list(events.replayed_events(replayed(True)))) == 4
 
@@ -26,10 +26,10 @@
         ),
     ],
 )
-def test_answer_of_which_a_part_was_kept_is_refused_as_run(replay):
-    """A caller sends a request again whose answer was too long to be kept.
+def test_partially_stored_answer_is_refused_as_ran(replay):
+    """A caller resends a request whose answer was too long to be stored.
 
-    Given as far as it was kept, a part would pass for the whole answer.
+    Guards against a replay of the stored part as the complete answer.
     """
     with pytest.raises(verdict.RefusalError) as caught:
         replay(replayed(False))
--- a/tests/answers/test_streams.py
+++ b/tests/answers/test_streams.py
@@ -16,14 +16,16 @@
 LONG = 100
 
 
-def expected(prompt: str, tokens: int = LONG) -> list[str]:
+def expected_tokens(prompt: str, tokens: int = LONG) -> list[str]:
     return answers.expected_answer(
         deployment.MODEL, deployment.VERSION, prompt, tokens
     )
 
 
-def begin(running, prompt: str, count: int = 3, **changes) -> caller.Answer:
-    """Take some tokens of a long answer, then hang up."""
+def begin_answer(
+    running, prompt: str, count: int = 3, **changes
+) -> caller.Answer:
+    """Read some tokens of a long answer, then disconnect."""
     answer = caller.Answer()
     body = deployment.prompt_body(prompt, max_tokens=LONG, **changes)
     stream = running.caller(instance=0).stream(body, answer)
@@ -33,14 +35,14 @@
     return answer
 
 
-def under_way(running) -> int:
+def count_active_runs(running) -> int:
     return sum(
         len(engine.scheduler.prefilling) + len(engine.scheduler.decoding)
         for engine in running.engines.values()
     )
 
 
-def granted(running) -> int:
+def count_granted_runs(running) -> int:
     return sum(
         len(instance.agent.serving.placer.runs)
         for instance in running.instances
@@ -48,88 +50,92 @@
 
 
 def continue_at(running, answer, prompt, **headers) -> caller.Answer:
-    """Send a prompt again, to be continued, at the other entry."""
-    asker = running.caller(instance=1)
+    """Resend a prompt to the other entry to have it continued."""
+    client = running.caller(instance=1)
     body = deployment.prompt_body(prompt, max_tokens=LONG, prior=answer.tokens)
-    response = asker.open(
+    response = client.open(
         "POST",
         "/v1/answers",
         json.dumps(body).encode(),
         {"Answer-Id": answer.answer_id, **headers},
     )
-    for _ in asker.follow(response, answer, time.monotonic()):
+    for _ in client.follow(response, answer, time.monotonic()):
         pass
     return answer
 
 
-def test_run_of_a_caller_that_is_gone_is_cancelled(running):
-    """Engines compute answers that nobody reads.
+def test_run_of_disconnected_caller_is_cancelled(running):
+    """Guards against engines that compute answers without a reader.
 
-    A skipper's tablet loses its link for good; the run is kept for a
-    while, then cancelled, and counts against no limit any more.
+    A caller disconnects and does not come back; its run is kept for the
+    grace time, then cancelled, and no longer counts against any limit.
     """
-    begin(running, "tide tables for Rumoi")
-    waiting.until(lambda: not under_way(running), what="the cancelling")
-    waiting.until(lambda: not granted(running), what="the counts")
-    assert all(not engine.is_done() for engine in runs_of(running))
+    begin_answer(running, "tide tables for Rumoi")
+    waiting.until(
+        lambda: not count_active_runs(running), what="cancelled runs"
+    )
+    waiting.until(
+        lambda: not count_granted_runs(running), what="released grants"
+    )
+    assert all(not engine.is_complete() for engine in runs_of(running))
 
 
 def runs_of(running) -> list:
-    """Return the runs of all engines, as their own books have them."""
+    """Return the runs that the engines have recorded."""
     return [
-        Finished(run)
+        RecordedRun(run)
         for engine in running.engines.values()
         for run in engine.book.kept()
     ]
 
 
-class Finished:
-    """A run as the engine has it."""
+class RecordedRun:
+    """A run as recorded by its engine."""
 
     def __init__(self, run) -> None:
         self.run = run
 
-    def is_done(self) -> bool:
+    def is_complete(self) -> bool:
         return self.run.failure is None and self.run.length == LONG
 
 
 @pytest.mark.parametrize("entry", [0, 1], ids=["same entry", "other entry"])
-def test_run_that_was_resumed_is_not_cancelled(running, entry):
-    """An answer ends in an error after its caller came back.
+def test_resumed_run_is_not_cancelled(running, entry):
+    """Guards against an answer that fails after its caller resumed it.
 
-    The first entry still counts the caller as gone while another one
-    relays the rest, for longer than runs are kept.
+    For the first entry the caller is still disconnected while another entry
+    relays the rest for longer than the grace time.
     """
-    answer = begin(running, "swell at Ishikari")
+    answer = begin_answer(running, "swell at Ishikari")
     running.caller(instance=entry).resume(answer)
     assert answer.done, answer.problem
-    assert answer.tokens == expected("swell at Ishikari")
+    assert answer.tokens == expected_tokens("swell at Ishikari")
 
 
-def test_endpoint_gone_is_continued_at_another(running):
-    """An engine stops in the middle of an answer; the caller sees nothing."""
+def test_answer_of_stopped_endpoint_is_continued_at_another(running):
+    """An engine stops during an answer; the caller notices nothing."""
     prompt = words.prompt(50, "continued")
     answer = caller.Answer()
     body = deployment.prompt_body(prompt, max_tokens=LONG)
     stream = running.caller().stream(body, answer)
     next(stream)
-    busy = next(
+    serving_engine = next(
         engine
         for engine in running.engines.values()
         if engine.scheduler.decoding
     )
-    busy.stop()
+    serving_engine.stop()
     for _ in stream:
         pass
     assert answer.done, answer.problem
-    assert answer.tokens == expected(prompt)
+    assert answer.tokens == expected_tokens(prompt)
 
 
 def test_all_answers_of_an_endpoint_are_continued(running):
-    """An engine stops that was giving many answers; one other is left."""
+    """An engine stops during many answers; one other engine remains."""
     prompts = [words.prompt(20, f"one of many {one}") for one in range(10)]
     with concurrent.futures.ThreadPoolExecutor(len(prompts)) as pool:
-        asked = [
+        futures = [
             pool.submit(
                 running.caller(instance=number % 2).ask,
                 deployment.prompt_body(
@@ -138,24 +144,26 @@
             )
             for number, prompt in enumerate(prompts)
         ]
-        waiting.until(lambda: under_way(running) == len(prompts))
+        waiting.until(lambda: count_active_runs(running) == len(prompts))
         max(
             running.engines.values(),
             key=lambda engine: len(engine.scheduler.decoding),
         ).stop()
-        got = [one.result() for one in asked]
-    assert [one.problem for one in got] == [{}] * len(prompts)
-    assert [one.tokens for one in got] == list(map(expected, prompts))
+        results = [one.result() for one in futures]
+    assert [one.problem for one in results] == [{}] * len(prompts)
+    assert [one.tokens for one in results] == list(
+        map(expected_tokens, prompts)
+    )
 
 
-def test_answer_is_continued_after_its_endpoint_is_gone(running):
-    """A caller comes back to an answer whose engine has been replaced.
+def test_answer_is_continued_on_request_after_its_endpoint_is_gone(running):
+    """A caller resumes an answer whose engine is gone.
 
-    Resuming says that it ran and how to go on; the prompt sent again with
-    the answer's id gives the rest.
+    The refusal says that the request ran and how to continue it; the prompt
+    resent with the answer id returns the rest.
     """
     prompt = words.prompt(50, "come back")
-    answer = begin(running, prompt)
+    answer = begin_answer(running, prompt)
     for engine in running.engines.values():
         if engine.book.kept():
             engine.stop()
@@ -165,26 +173,26 @@
     resumed.problem = {}
     continued = continue_at(running, resumed, prompt)
     assert continued.done, continued.problem
-    assert continued.tokens == expected(prompt)
+    assert continued.tokens == expected_tokens(prompt)
 
 
 def test_answer_is_not_continued_under_another_version(running):
-    """Half of an answer is one weight version's, half another's."""
+    """Guards against an answer that mixes two weight versions."""
     prompt = "berth plan"
-    answer = begin(running, prompt)
+    answer = begin_answer(running, prompt)
     running.publish({f"models/{deployment.MODEL}": {"version": "v2"}})
     for engine in running.engines.values():
         engine.stop()
-    waiting.until(running.is_serving, what="the new version is known")
+    waiting.until(running.is_serving, what="serving under the new version")
     continued = continue_at(running, answer, prompt)
     assert not continued.done
     assert continued.ran == "yes"
     assert len(continued.tokens) == len(answer.tokens)
 
 
-def test_continuation_must_fit_the_answer(running):
-    """A caller names another number of tokens than it sends."""
-    answer = begin(running, "certificate")
+def test_continuation_with_wrong_token_count_is_refused(running):
+    """Last-Event-ID does not match the number of tokens sent."""
+    answer = begin_answer(running, "certificate")
     refused = continue_at(
         running, answer, "certificate", **{"Last-Event-ID": "7"}
     )
@@ -192,11 +200,11 @@
 
 
 def test_foreign_answer_id_is_not_continued(running):
-    """An organisation has another one's answer continued."""
-    answer = begin(running, "log sheet")
-    asker = running.caller("south")
+    """An organisation cannot continue the answer of another one."""
+    answer = begin_answer(running, "log sheet")
+    client = running.caller("south")
     body = deployment.prompt_body("log sheet", prior=answer.tokens)
-    response = asker.open(
+    response = client.open(
         "POST",
         "/v1/answers",
         json.dumps(body).encode(),
