--- a/tests/answers/test_streams.py
+++ b/tests/answers/test_streams.py
@@ -133,7 +133,7 @@
 
 def test_all_answers_of_an_endpoint_are_continued(running):
     """An engine stops during many answers; one other engine remains."""
-    prompts = [words.prompt(20, f"one of many {one}") for one in range(10)]
+    prompts = [words.prompt(20, f"one of many {one}") for future in range(10)]
     with concurrent.futures.ThreadPoolExecutor(len(prompts)) as pool:
         futures = [
             pool.submit(
@@ -149,9 +149,9 @@
             running.engines.values(),
             key=lambda engine: len(engine.scheduler.decoding),
         ).stop()
-        results = [one.result() for one in futures]
-    assert [one.problem for one in results] == [{}] * len(prompts)
-    assert [one.tokens for one in results] == list(
+        results = [future.result() for future in futures]
+    assert [future.problem for future in results] == [{}] * len(prompts)
+    assert [future.tokens for future in results] == list(
         map(expected_tokens, prompts)
     )
 
--- a/tests/claims/test_service.py
+++ b/tests/claims/test_service.py
@@ -228,9 +228,11 @@
     reused = agent.claims.claim("havn", key, b"y", "other")
     invalid = agent.claims.claim("havn", "booking-1", b"x", "third")
     for result in (reused, invalid):
-        told = messages.verdict_of(typing.cast("messages.Refusal", result))
-        assert isinstance(told, verdict.NotRun)
-        assert told.retry_after_s is None
+        refusal_verdict = messages.verdict_of(
+            typing.cast("messages.Refusal", result)
+        )
+        assert isinstance(refusal_verdict, verdict.NotRun)
+        assert refusal_verdict.retry_after_s is None
 
 
 def test_key_of_claim_with_lost_reply_is_freed(cell: Cell) -> None:
--- a/tests/claims/test_shard.py
+++ b/tests/claims/test_shard.py
@@ -253,16 +253,16 @@
     shard.claim(claim(log, "a"), WAIT_S)
     log.unreadable = True
     waiting.until(lambda: not shard.follower.available)
-    taken = claim(log, "b", incarnation=GONE)
+    held_claim = claim(log, "b", incarnation=GONE)
     writer = writers.Writer(shard.stream, shard, 0.0)
     writer.commit([claim(log, "lost-with-retention")])
-    writer.commit([taken])
+    writer.commit([held_claim])
     log.expire(2)
     shard.retention.arrivals.clear()
     log.unreadable = False
     waiting.until(lambda: shard.last_offset == 3)
     ready(shard)
-    again = shard.claim(claim(log, "c", taken.key), WAIT_S)
+    again = shard.claim(claim(log, "c", held_claim.key), WAIT_S)
     assert isinstance(again, messages.Unknown)
 
 
