--- a/src/briarseam/compose/node.py
+++ b/src/briarseam/compose/node.py
@@ -341,8 +341,8 @@
             connections_opened=lambda: self.pool.opened,
             store_calls=lambda: self.store.calls,
             store_era=lambda: self.store.era,
-            topic_reads_direct=lambda: self.topic_reads.direct,
-            topic_reads_shared=lambda: self.topic_reads.shared,
+            topic_reads_direct=lambda: self.topic_reads.direct_reads,
+            topic_reads_shared=lambda: self.topic_reads.shared_reads,
             configuration_version=self.feeds.configuration_version,
             endpoints_known=lambda: len(self.feeds.registry.all()),
         )
--- a/src/briarseam/compose/node_calls.py
+++ b/src/briarseam/compose/node_calls.py
@@ -211,7 +211,7 @@
 
     # Instances of this cell that read for it.
 
-    def count(self) -> int:
+    def instance_count(self) -> int:
         """Return the number of all instances."""
         return len(self.instances.all())
 
--- a/src/briarseam/feeds/record_cache.py
+++ b/src/briarseam/feeds/record_cache.py
@@ -23,11 +23,11 @@
 NOWHERE = -1
 
 
-class Missing(enum.Enum):
+class MissReason(enum.Enum):
     """Why there is no answer."""
 
     # The store does not answer, or has not confirmed the content lately.
-    AWAY = "away"
+    STORE_UNAVAILABLE = "away"
     # The records are not here, or can't be handed on.
     UNKNOWN = "unknown"
 
@@ -100,7 +100,7 @@
             self.records.extend(tail.records)
             self.next = tail.next
 
-    def begin(self, start: int) -> None:
+    def reset(self, start: int) -> None:
         """Begin anew at an offset."""
         with self.changed:
             self.records.clear()
@@ -108,7 +108,7 @@
             self.confirm()
             self.changed.notify_all()
 
-    def take(self, batch: records.KeyedBatch) -> None:
+    def append(self, batch: records.KeyedBatch) -> None:
         """Take in what the store answered."""
         with self.changed:
             self.records.extend(batch.records)
@@ -151,16 +151,18 @@
             lambda: self.has_news(start), self.wait_s(wait_s)
         )
 
-    def read(self, start: int, wait_s: float) -> records.KeyedBatch | Missing:
+    def read(
+        self, start: int, wait_s: float
+    ) -> records.KeyedBatch | MissReason:
         """Return records from an offset on, waiting for the first."""
         with self.changed:
             self.changed.wait_for(
                 lambda: self.has_news(start), self.wait_s(wait_s)
             )
             if self.left_s() <= 0:
-                return Missing.AWAY
+                return MissReason.STORE_UNAVAILABLE
             first = self.next - len(self.records)
             if not first <= start <= self.next:
-                return Missing.UNKNOWN
+                return MissReason.UNKNOWN
             found = tuple(itertools.islice(self.records, start - first, None))
             return records.KeyedBatch(found, self.next)
--- a/src/briarseam/feeds/shared_messages.py
+++ b/src/briarseam/feeds/shared_messages.py
@@ -56,4 +56,4 @@
 
 
 UNKNOWN = RecordsTold(False, (), 0)
-AWAY = RecordsTold(False, (), 0, away=True)
+STORE_UNAVAILABLE = RecordsTold(False, (), 0, away=True)
--- a/src/briarseam/feeds/sharing.py
+++ b/src/briarseam/feeds/sharing.py
@@ -51,7 +51,7 @@
 class Readers(typing.Protocol):
     """Who reads for this cell, and calls to them."""
 
-    def count(self) -> int:
+    def instance_count(self) -> int:
         """Return the number of all instances."""
 
     def topic_readers(self) -> collections.abc.Sequence[str]:
@@ -103,7 +103,7 @@
         self.clock = clock
         self.topics = tuple(topics)
         self.caches: dict[str, record_cache.RecordCache] = {}
-        self.reading: dict[str, topic_reader.TopicReader] = {}
+        self.active_readers: dict[str, topic_reader.TopicReader] = {}
         self.tails = {topic: record_cache.Tail() for topic in self.topics}
         self.avoided: dict[str, float] = {}
         self.away: dict[str, float] = {}
@@ -111,8 +111,8 @@
         self.direct_until_s = float("-inf")
         self.asked_s = float("-inf")
         self.lock = threading.Lock()
-        self.direct = 0
-        self.shared = 0
+        self.direct_reads = 0
+        self.shared_reads = 0
 
     def newest(self, topic: str) -> records.KeyedBatch:
         """Return the newest record of each key, from the store."""
@@ -142,18 +142,18 @@
         found = self.read_shared(topic, start, shared_wait_s)
         match found:
             case records.KeyedBatch():
-                self.shared += 1
+                self.shared_reads += 1
                 return found
-            case record_cache.Missing.AWAY:
+            case record_cache.MissReason.STORE_UNAVAILABLE:
                 return self.try_store(topic, start, wait_s)
-            case record_cache.Missing.UNKNOWN:
+            case record_cache.MissReason.UNKNOWN:
                 return self.read_directly(topic, start, wait_s)
 
     def read_directly(
         self, topic: str, start: int, wait_s: float
     ) -> records.KeyedBatch:
         """Read from the store itself."""
-        self.direct += 1
+        self.direct_reads += 1
         return self.store.read_keyed(topic, start, wait_s)
 
     def try_store(
@@ -182,11 +182,11 @@
 
     def read_shared(
         self, topic: str, start: int, wait_s: float
-    ) -> records.KeyedBatch | record_cache.Missing:
+    ) -> records.KeyedBatch | record_cache.MissReason:
         """Return what a reader has, asking them by rank."""
-        if self.readers.count() < SHARED_FROM:
+        if self.readers.instance_count() < SHARED_FROM:
             self.stop()
-            return record_cache.Missing.UNKNOWN
+            return record_cache.MissReason.UNKNOWN
         names = list(self.readers.topic_readers())
         self.stop_unless_needed(names)
         is_away = False
@@ -200,16 +200,16 @@
             match found:
                 case records.KeyedBatch():
                     return found
-                case record_cache.Missing.AWAY:
+                case record_cache.MissReason.STORE_UNAVAILABLE:
                     self.away[name] = self.clock() + AVOID_S
                     is_away = True
-                case record_cache.Missing.UNKNOWN:
+                case record_cache.MissReason.UNKNOWN:
                     return found
                 case None:
                     self.avoided[name] = self.clock() + AVOID_S
         if is_away:
-            return record_cache.Missing.AWAY
-        return record_cache.Missing.UNKNOWN
+            return record_cache.MissReason.STORE_UNAVAILABLE
+        return record_cache.MissReason.UNKNOWN
 
     def is_marked(self, marks: dict[str, float], name: str) -> bool:
         """Tell whether a reader is left alone just now."""
@@ -217,22 +217,22 @@
 
     def read_through(
         self, name: str, topic: str, start: int, wait_s: float
-    ) -> records.KeyedBatch | record_cache.Missing | None:
+    ) -> records.KeyedBatch | record_cache.MissReason | None:
         """Return what one reader has; ``None`` if it does not answer."""
         if name != self.me:
             return self.ask(name, topic, start, wait_s)
         self.asked_s = self.clock()
-        self.begin_reading()
+        self.start_reading()
         # Another topic's follower may just have seen other readers and
         # stopped all of this.
         cache = self.caches.get(topic)
         if cache is None:
-            return record_cache.Missing.UNKNOWN
+            return record_cache.MissReason.UNKNOWN
         return cache.read(start, wait_s)
 
     def ask(
         self, reader: str, topic: str, start: int, wait_s: float
-    ) -> records.KeyedBatch | record_cache.Missing | None:
+    ) -> records.KeyedBatch | record_cache.MissReason | None:
         """Ask another instance."""
         asked = messages.RecordsAsked(topic, start, wait_s, unpacks=True)
         try:
@@ -244,9 +244,9 @@
             )
             return None
         if told.away:
-            return record_cache.Missing.AWAY
+            return record_cache.MissReason.STORE_UNAVAILABLE
         if not told.known:
-            return record_cache.Missing.UNKNOWN
+            return record_cache.MissReason.UNKNOWN
         return batch
 
     # For instances that ask this one.
@@ -255,8 +255,8 @@
         """Wait until there is an answer for another instance."""
         self.asked_s = self.clock()
         # The ranking of the whole cell is not worked out for each call.
-        if not self.reading and self.me in self.readers.topic_readers():
-            self.begin_reading()
+        if not self.active_readers and self.me in self.readers.topic_readers():
+            self.start_reading()
         cache = self.caches.get(asked.topic)
         if cache is not None:
             wait_s = min(asked.wait_s, topic_reader.WAIT_S)
@@ -270,15 +270,15 @@
         match cache.read(asked.start, 0.0):
             case records.KeyedBatch() as batch:
                 return packing.told(batch, asked.unpacks) or messages.UNKNOWN
-            case record_cache.Missing.AWAY:
-                return messages.AWAY
-            case record_cache.Missing.UNKNOWN:
+            case record_cache.MissReason.STORE_UNAVAILABLE:
+                return messages.STORE_UNAVAILABLE
+            case record_cache.MissReason.UNKNOWN:
                 return messages.UNKNOWN
 
-    def begin_reading(self) -> None:
+    def start_reading(self) -> None:
         """Read all topics for the cell, unless that goes on already."""
         with self.lock:
-            if self.reading:
+            if self.active_readers:
                 return
             log.info("topic_reading_begun", topics=len(self.topics))
             # New ones each time: a reader of before may still have a read
@@ -295,11 +295,11 @@
             for topic, cache in caches.items():
                 cache.resume(self.tails[topic])
             start_all(readers.values())
-            self.caches, self.reading = caches, readers
+            self.caches, self.active_readers = caches, readers
 
     def stop_unless_needed(self, names: list[str]) -> None:
         """Read for nobody any more, if others do."""
-        if not self.reading or names[:1] == [self.me]:
+        if not self.active_readers or names[:1] == [self.me]:
             return
         unasked_s = self.clock() - self.asked_s
         if self.me not in names or unasked_s > UNASKED_S:
@@ -308,7 +308,7 @@
     def stop(self) -> None:
         """Read for nobody any more."""
         with self.lock:
-            stopped, self.reading = self.reading, {}
+            stopped, self.active_readers = self.active_readers, {}
             self.caches = {}
         for reader in stopped.values():
             reader.stop()
--- a/src/briarseam/feeds/topic_reader.py
+++ b/src/briarseam/feeds/topic_reader.py
@@ -122,10 +122,10 @@
         except records.RecordsExpiredError as error:
             log.warning("records_expired", topic=self.topic, detail=str(error))
             return self.begin_anew()
-        self.cache.take(batch)
+        self.cache.append(batch)
         return PAUSE_S if batch.records else 0.0
 
     def begin_anew(self) -> float:
         """Begin where the topic ends now; return the pause after that."""
-        self.cache.begin(self.store.newest(self.topic).next)
+        self.cache.reset(self.store.newest(self.topic).next)
         return 0.0
--- a/tests/feeds/made.py
+++ b/tests/feeds/fakes.py
@@ -16,7 +16,7 @@
     return records.KeyedRecord(f"key-{number}", value)
 
 
-class Topic:
+class FakeStore:
     """A store with one topic, that counts its calls."""
 
     def __init__(self):
@@ -39,7 +39,7 @@
             raise records.StoreUnavailableError("away")
 
 
-class Readers:
+class FakeReaders:
     """The instances of a cell, by name."""
 
     def __init__(self):
@@ -49,7 +49,7 @@
         self.silent = False
         self.asked = 0
 
-    def count(self):
+    def instance_count(self):
         return self.total
 
     def topic_readers(self):
@@ -65,7 +65,7 @@
         return instance.answer(now)
 
 
-class Listener:
+class FakeListener:
     """Keeps what a topic tells, and counts reads anew and losses."""
 
     def __init__(self):
--- a/tests/feeds/test_following.py
+++ b/tests/feeds/test_following.py
@@ -8,7 +8,7 @@
 from briarseam.feeds import records
 from briarseam.platform import store as stores
 from briarseam.testing import waiting
-from tests.feeds import made
+from tests.feeds import fakes
 from tests.platform import metadata_store
 
 TOPIC = "keyed.things"
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def listener(store):
-    listening = made.Listener()
+    listening = fakes.FakeListener()
     follower = following.Follower(
         stores.StoreClient(store.address), TOPIC, listening, wait_s=0.3
     )
@@ -77,7 +77,7 @@
                 raise records.StoreUnavailableError("timed out")
             return super().read_keyed(topic, start, wait_s)
 
-    listening = made.Listener()
+    listening = fakes.FakeListener()
     follower = following.Follower(
         HangingStore(store.address), TOPIC, listening, wait_s=0.3
     )
@@ -133,7 +133,7 @@
 
     The thread ended, and the instance served for ever what was in force.
     """
-    listening = made.Listener()
+    listening = fakes.FakeListener()
     client = Faulty(stores.StoreClient(store.address))
     follower = following.Follower(client, TOPIC, listening, wait_s=0.3)
     store.write_raw(TOPIC, "a", b"1")
@@ -159,7 +159,9 @@
 def test_who_answers_at_once_with_nothing_is_not_asked_as_fast():
     """A store was asked four thousand times a second while it was well."""
     store = Hasty()
-    follower = following.Follower(store, TOPIC, made.Listener(), wait_s=0.3)
+    follower = following.Follower(
+        store, TOPIC, fakes.FakeListener(), wait_s=0.3
+    )
     follower.start()
     time.sleep(0.5)
     follower.stop()
--- a/tests/feeds/test_outages.py
+++ b/tests/feeds/test_outages.py
@@ -9,9 +9,9 @@
 from briarseam.feeds import sharing
 from briarseam.feeds import topic_reader
 from tests import clocks
-from tests.feeds import made
+from tests.feeds import fakes
 
-TOPIC = made.TOPIC
+TOPIC = fakes.TOPIC
 OTHER_TOPIC = "keyed.op"
 ASKERS = 30
 READERS = ("first", "second", "third")
@@ -51,8 +51,8 @@
 
     def __init__(self, clock):
         self.clock = clock
-        self.topic = made.Topic()
-        self.readers = made.Readers()
+        self.topic = fakes.FakeStore()
+        self.readers = fakes.FakeReaders()
         self.readers.named = list(READERS)
         names = (*READERS, *(f"asker-{n}" for n in range(ASKERS)))
         self.stores = {name: StoreOf(self.topic) for name in names}
@@ -73,7 +73,7 @@
         for _ in range(int(seconds / STEP_S)):
             self.clock.now_s += STEP_S
             for one in self.readers.instances.values():
-                for reader in one.reading.values():
+                for reader in one.active_readers.values():
                     reader.poller.step()
             for name, one in self.readers.instances.items():
                 self.follow(name, one)
@@ -103,7 +103,7 @@
         return sum(store.calls for store in self.stores.values())
 
     def write(self, number):
-        self.topic.records.append(made.record(number))
+        self.topic.records.append(fakes.record(number))
 
 
 @pytest.fixture
@@ -219,7 +219,7 @@
 
 
 def test_one_topic_asks_whether_the_store_is_back():
-    store = made.Topic()
+    store = fakes.FakeStore()
     clock = clocks.ManualClock()
     gate = topic_reader.OutageGate()
     one = reader_of(store, TOPIC, gate, clock)
@@ -243,7 +243,7 @@
 
 
 def test_lost_answer_of_one_topic_does_not_hold_up_the_others():
-    store = made.Topic()
+    store = fakes.FakeStore()
     clock = clocks.ManualClock()
     gate = topic_reader.OutageGate()
     one = reader_of(store, TOPIC, gate, clock)
@@ -260,8 +260,8 @@
 
     One topic was read by nobody from then on.
     """
-    store = made.Topic()
-    readers = made.Readers()
+    store = fakes.FakeStore()
+    readers = fakes.FakeReaders()
     shared = sharing.SharedReads(
         store, [TOPIC, OTHER_TOPIC], readers, "reader", clocks.ManualClock()
     )
@@ -278,9 +278,9 @@
         topic_reader.TopicReader, "stop", lambda reader: stopped.append(reader)
     )
     with pytest.raises(RuntimeError):
-        shared.begin_reading()
+        shared.start_reading()
     assert started[0] in stopped
-    assert not shared.reading
+    assert not shared.active_readers
     started.append(None)
-    shared.begin_reading()
-    assert shared.reading.keys() == {TOPIC, OTHER_TOPIC}
+    shared.start_reading()
+    assert shared.active_readers.keys() == {TOPIC, OTHER_TOPIC}
--- a/tests/feeds/test_sharing.py
+++ b/tests/feeds/test_sharing.py
@@ -15,7 +15,7 @@
 from briarseam.feeds import topic_reader
 from briarseam.testing import waiting
 from tests import clocks
-from tests.feeds import made
+from tests.feeds import fakes
 
 LONG_S = 5.0
 
@@ -27,12 +27,12 @@
 
 @pytest.fixture
 def topic():
-    return made.Topic()
+    return fakes.FakeStore()
 
 
 @pytest.fixture
 def readers():
-    return made.Readers()
+    return fakes.FakeReaders()
 
 
 @pytest.fixture
@@ -44,7 +44,7 @@
     monkeypatch.setattr(topic_reader.TopicReader, "start", lambda self: None)
     for name in ("reader", "asker"):
         readers.instances[name] = sharing.SharedReads(
-            topic, [made.TOPIC], readers, name, clock
+            topic, [fakes.TOPIC], readers, name, clock
         )
     return readers.instances
 
@@ -52,8 +52,8 @@
 def read_on(cell):
     """Let the reader read what is new."""
     with_reader = cell["reader"]
-    with_reader.read_keyed(made.TOPIC, 0, 0.0)
-    reader = with_reader.reading[made.TOPIC]
+    with_reader.read_keyed(fakes.TOPIC, 0, 0.0)
+    reader = with_reader.active_readers[fakes.TOPIC]
     if not reader.cache.begun:
         reader.read_once()
     reader.read_once()
@@ -61,20 +61,20 @@
 
 def test_records_come_from_the_reader(cell, topic):
     read_on(cell)
-    topic.records.append(made.record(3))
+    topic.records.append(fakes.record(3))
     read_on(cell)
     topic.calls = 0
-    batch = cell["asker"].read_keyed(made.TOPIC, 3, 0.0)
-    assert batch == records.KeyedBatch((made.record(3),), 4)
-    assert cell["asker"].read_keyed(made.TOPIC, 4, 0.0).records == ()
+    batch = cell["asker"].read_keyed(fakes.TOPIC, 3, 0.0)
+    assert batch == records.KeyedBatch((fakes.record(3),), 4)
+    assert cell["asker"].read_keyed(fakes.TOPIC, 4, 0.0).records == ()
     assert topic.calls == 0
 
 
 def test_who_is_behind_reads_the_store_itself(cell, topic):
     read_on(cell)
     topic.calls = 0
-    batch = cell["asker"].read_keyed(made.TOPIC, 1, 0.0)
-    assert batch == records.KeyedBatch((made.record(1), made.record(2)), 3)
+    batch = cell["asker"].read_keyed(fakes.TOPIC, 1, 0.0)
+    assert batch == records.KeyedBatch((fakes.record(1), fakes.record(2)), 3)
     assert topic.calls == 1
 
 
@@ -84,10 +84,10 @@
     The others would serve it until the reader notices.
     """
     read_on(cell)
-    topic.records.append(made.record(3))
+    topic.records.append(fakes.record(3))
     clock.now_s += record_cache.MAX_AGE_S + 0.1
-    assert cell["asker"].read_keyed(made.TOPIC, 3, 0.0).records == (
-        made.record(3),
+    assert cell["asker"].read_keyed(fakes.TOPIC, 3, 0.0).records == (
+        fakes.record(3),
     )
 
 
@@ -98,23 +98,23 @@
     """
     read_on(cell)
     topic.away = True
-    cell["reader"].reading[made.TOPIC].poller.step()
+    cell["reader"].active_readers[fakes.TOPIC].poller.step()
     with pytest.raises(records.StoreUnavailableError):
-        cell["asker"].read_keyed(made.TOPIC, 3, 0.0)
+        cell["asker"].read_keyed(fakes.TOPIC, 3, 0.0)
 
 
 def test_silent_reader_is_left_alone_for_a_while(cell, topic, readers, clock):
     """The reader is suspended; each read would wait for it first."""
     read_on(cell)
     readers.silent = True
-    topic.records.append(made.record(3))
+    topic.records.append(fakes.record(3))
     for _ in range(3):
-        assert cell["asker"].read_keyed(made.TOPIC, 3, 0.0).next == 4
+        assert cell["asker"].read_keyed(fakes.TOPIC, 3, 0.0).next == 4
     assert readers.asked == 1
     readers.silent = False
     clock.now_s += sharing.AVOID_S + 0.1
     read_on(cell)
-    assert cell["asker"].read_keyed(made.TOPIC, 4, 0.0).next == 4
+    assert cell["asker"].read_keyed(fakes.TOPIC, 4, 0.0).next == 4
     assert readers.asked == 2
 
 
@@ -122,7 +122,7 @@
     """Two instances each take the other one for the reader."""
     readers.named = ["asker"]
     assert (
-        cell["reader"].answer(messages.RecordsAsked(made.TOPIC, 0, 0.0))
+        cell["reader"].answer(messages.RecordsAsked(fakes.TOPIC, 0, 0.0))
         == messages.UNKNOWN
     )
 
@@ -131,9 +131,9 @@
     read_on(cell)
     readers.instances["other"] = cell["asker"]
     readers.named = ["other"]
-    cell["reader"].read_keyed(made.TOPIC, 3, 0.0)
-    assert not cell["reader"].reading
-    asked = messages.RecordsAsked(made.TOPIC, 3, 0.0)
+    cell["reader"].read_keyed(fakes.TOPIC, 3, 0.0)
+    assert not cell["reader"].active_readers
+    asked = messages.RecordsAsked(fakes.TOPIC, 3, 0.0)
     assert cell["reader"].answer(asked) == messages.UNKNOWN
 
 
@@ -145,14 +145,14 @@
     One begins to read for the cell, the other stops that; the first one's
     thread ended, and its topic was followed no more.
     """
-    monkeypatch.setattr(cell["reader"], "begin_reading", cell["reader"].stop)
-    assert cell["reader"].read_keyed(made.TOPIC, 0, 0.0).next == 3
+    monkeypatch.setattr(cell["reader"], "start_reading", cell["reader"].stop)
+    assert cell["reader"].read_keyed(fakes.TOPIC, 0, 0.0).next == 3
     assert topic.calls == 1
 
 
 def test_small_deployment_reads_the_store_itself(cell, topic, readers):
     readers.total = sharing.SHARED_FROM - 1
-    assert cell["asker"].read_keyed(made.TOPIC, 0, 0.0).next == 3
+    assert cell["asker"].read_keyed(fakes.TOPIC, 0, 0.0).next == 3
     assert (topic.calls, readers.asked) == (1, 0)
 
 
@@ -163,11 +163,11 @@
     """
     read_on(cell)
     noise = random.Random(1).randbytes(packing.MOST_BYTES + 1)
-    topic.records.append(made.record(3, noise))
+    topic.records.append(fakes.record(3, noise))
     read_on(cell)
     topic.calls = 0
     assert (
-        cell["asker"].read_keyed(made.TOPIC, 3, 0.0).records[0].value == noise
+        cell["asker"].read_keyed(fakes.TOPIC, 3, 0.0).records[0].value == noise
     )
     assert topic.calls == 1
 
@@ -182,11 +182,11 @@
         for number in range(2000)
     )
     assert len(text) > packing.MOST_BYTES
-    topic.records.append(made.record(3, text))
+    topic.records.append(fakes.record(3, text))
     read_on(cell)
     topic.calls = 0
-    assert cell["asker"].read_keyed(made.TOPIC, 3, 0.0).records == (
-        made.record(3, text),
+    assert cell["asker"].read_keyed(fakes.TOPIC, 3, 0.0).records == (
+        fakes.record(3, text),
     )
     assert topic.calls == 0
 
@@ -194,9 +194,9 @@
 def test_instance_that_cannot_unpack_is_told_as_before(cell, topic):
     read_on(cell)
     text = b"x" * packing.PACK_FROM_BYTES
-    topic.records.append(made.record(3, text))
+    topic.records.append(fakes.record(3, text))
     read_on(cell)
-    asked = messages.RecordsAsked(made.TOPIC, 3, 0.0)
+    asked = messages.RecordsAsked(fakes.TOPIC, 3, 0.0)
     told = cell["reader"].answer(asked)
     assert told.records == (("key-3", text),)
     assert told.packed == ()
@@ -206,21 +206,21 @@
     """A reader's answer is damaged; the records come from the store."""
     broken = messages.RecordsTold(True, (("key-3", b"no"),), 4, packed=(0,))
     readers.read_topic = lambda reader, asked, timeout_s: broken
-    topic.records.append(made.record(3))
-    assert cell["asker"].read_keyed(made.TOPIC, 3, 0.0).records == (
-        made.record(3),
+    topic.records.append(fakes.record(3))
+    assert cell["asker"].read_keyed(fakes.TOPIC, 3, 0.0).records == (
+        fakes.record(3),
     )
 
 
 def test_question_waits_for_a_record(clock):
     cache = record_cache.RecordCache(clock)
-    cache.begin(7)
+    cache.reset(7)
     told = []
     asking = threading.Thread(
         target=lambda: told.append(cache.read(7, LONG_S))
     )
     asking.start()
     waiting.until(lambda: cache.changed._waiters, what="it waits")
-    cache.take(records.KeyedBatch((made.record(7),), 8))
+    cache.append(records.KeyedBatch((fakes.record(7),), 8))
     asking.join(LONG_S)
-    assert told == [records.KeyedBatch((made.record(7),), 8)]
+    assert told == [records.KeyedBatch((fakes.record(7),), 8)]
--- a/tests/platform/test_restored_store.py
+++ b/tests/platform/test_restored_store.py
@@ -26,7 +26,7 @@
 from briarseam.weights import goals
 from briarseam.weights import leader
 from tests import clocks
-from tests.feeds import made
+from tests.feeds import fakes
 from tests.platform import metadata_store
 
 TOPIC = "keyed.things"
@@ -65,7 +65,7 @@
     old = store.copy()
     for key in ("a", "b"):
         store.write_raw(TOPIC, key, b"old")
-    listener = made.Listener()
+    listener = fakes.FakeListener()
     follower = follower_of(client, listener)
     restore_with(store, old, "c", "d", "e")
     follower.read_once()
@@ -96,10 +96,10 @@
     after = client.newest(TOPIC).next
     assert records.number_of(before) == records.number_of(after)
     cache = record_cache.RecordCache(clocks.ManualClock())
-    cache.begin(after)
-    assert cache.read(before, 0.0) is record_cache.Missing.UNKNOWN
-    cache.begin(before)
-    assert cache.read(after, 0.0) is record_cache.Missing.UNKNOWN
+    cache.reset(after)
+    assert cache.read(before, 0.0) is record_cache.MissReason.UNKNOWN
+    cache.reset(before)
+    assert cache.read(after, 0.0) is record_cache.MissReason.UNKNOWN
 
 
 def test_cell_follows_the_restored_store_through_its_reader(
@@ -107,22 +107,22 @@
 ):
     """Guards against askers whose offsets are of another era."""
     monkeypatch.setattr(topic_reader.TopicReader, "start", lambda self: None)
-    readers = made.Readers()
+    readers = fakes.FakeReaders()
     for name in ("reader", "asker"):
         readers.instances[name] = sharing.SharedReads(
             stores.StoreClient(store.address), [TOPIC], readers, name
         )
-    reading, asking = made.Listener(), made.Listener()
+    reading, asking = fakes.FakeListener(), fakes.FakeListener()
     old = store.copy()
     store.write_raw(TOPIC, "a", b"old")
     first = follower_of(readers.instances["reader"], reading)
     second = follower_of(readers.instances["asker"], asking)
     reader = readers.instances["reader"]
-    reader.begin_reading()
-    reader.reading[TOPIC].read_once()
+    reader.start_reading()
+    reader.active_readers[TOPIC].read_once()
     restore_with(store, old, "b", "c")
     for _ in range(3):
-        reader.reading[TOPIC].read_once()
+        reader.active_readers[TOPIC].read_once()
         first.read_once()
         second.read_once()
     assert set(reading.known) == set(asking.known) == {"b", "c"}
@@ -258,12 +258,12 @@
 class Unstarted(sharing.SharedReads):
     """Reads through a cell's reader, whose thread the test does not start."""
 
-    def begin_reading(self):
-        if not self.reading:
+    def start_reading(self):
+        if not self.active_readers:
             cache = record_cache.RecordCache(self.clock)
             cache.resume(self.tails[TOPIC])
             self.caches = {TOPIC: cache}
-            self.reading = {
+            self.active_readers = {
                 TOPIC: topic_reader.TopicReader(
                     self.store, TOPIC, cache, topic_reader.OutageGate()
                 )
@@ -279,14 +279,18 @@
     def __init__(self):
         super().__init__()
         self.store = metadata_store.MetadataStore()
-        readers = made.Readers()
+        readers = fakes.FakeReaders()
         self.clock = clocks.ManualClock()
         for name in ("reader", "asker"):
             readers.instances[name] = Unstarted(
                 AnsweredHere(self.store), [TOPIC], readers, name, self.clock
             )
         self.reader = readers.instances["reader"]
-        self.listeners = [made.Listener(), made.Listener(), made.Listener()]
+        self.listeners = [
+            fakes.FakeListener(),
+            fakes.FakeListener(),
+            fakes.FakeListener(),
+        ]
         reads = [AnsweredHere(self.store), *readers.instances.values()]
         self.followers = [
             follower_of(read, listener)
@@ -326,8 +330,8 @@
 
     @stateful.rule()
     def read_for_the_cell(self):
-        if self.reader.reading:
-            self.reader.reading[TOPIC].read_once()
+        if self.reader.active_readers:
+            self.reader.active_readers[TOPIC].read_once()
 
     @stateful.invariant()
     def nothing_is_missed(self):
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -69,8 +69,8 @@
     # Those who ask another instance are answered by offset, so each
     # record has its place, whether it can be read or not.
     cache = record_cache.RecordCache(lambda: 0.0)
-    cache.begin(START)
-    cache.take(batch)
+    cache.reset(START)
+    cache.append(batch)
     assert cache.read(START + 2, 0.0).records == (good,)
 
 
