--- a/tests/answers/test_streams.py
+++ b/tests/answers/test_streams.py
@@ -133,7 +133,9 @@
 
 def test_all_answers_of_an_endpoint_are_continued(running):
     """An engine stops during many answers; one other engine remains."""
-    prompts = [words.prompt(20, f"one of many {one}") for future in range(10)]
+    prompts = [
+        words.prompt(20, f"one of many {number}") for number in range(10)
+    ]
     with concurrent.futures.ThreadPoolExecutor(len(prompts)) as pool:
         futures = [
             pool.submit(
@@ -150,8 +152,8 @@
             key=lambda engine: len(engine.scheduler.decoding),
         ).stop()
         results = [future.result() for future in futures]
-    assert [future.problem for future in results] == [{}] * len(prompts)
-    assert [future.tokens for future in results] == list(
+    assert [result.problem for result in results] == [{}] * len(prompts)
+    assert [result.tokens for result in results] == list(
         map(expected_tokens, prompts)
     )
 
