--- a/bench/poll_cost.py
+++ b/bench/poll_cost.py
@@ -96,7 +96,7 @@
 def engine_rows(address: str) -> list[Row]:
     """Return the rows of an engine's two reports."""
     load = engine_load.LoadClient()
-    orders = engine_orders.EngineOrders()
+    orders = engine_orders.OrderClient()
     events = engine_events.EventClient()
     return [
         measure(
--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -181,7 +181,7 @@
             "bench",
             lambda: views[-1],
             leases,
-            engine_orders.EngineOrders(),
+            engine_orders.OrderClient(),
             registry.Registry(),
             lambda *kind, **fields: None,
         )
@@ -225,7 +225,7 @@
 def measure_poll() -> PollRow:
     """Return what one reading costs, and its report on a heartbeat."""
     with engine.Engine(models={MODEL: "2026.11"}) as one:
-        engines = engine_orders.EngineOrders()
+        engines = engine_orders.OrderClient()
         engines.state(one.address)
         began = time.thread_time()
         for _ in range(POLLS):
@@ -275,7 +275,7 @@
         "bench",
         lambda: view,
         leases_service.Leases(platform_log.LogClient("127.0.0.1:1"), "bench"),
-        engine_orders.EngineOrders(),
+        engine_orders.OrderClient(),
         registry.Registry(),
         lambda *kind, **fields: None,
         peers.Peers(
--- a/src/briarseam/answers/ordering.py
+++ b/src/briarseam/answers/ordering.py
@@ -30,7 +30,7 @@
     ) -> engine.Started:
         """Return the start piece, which must be the stream's first."""
         piece = next(pieces, None)
-        if isinstance(piece, engine.Broken):
+        if isinstance(piece, engine.RunFailed):
             raise engine.LostError(piece.reason)
         if not isinstance(piece, engine.Started):
             raise engine.LostError("the stream has no start piece")
@@ -68,7 +68,7 @@
                     if piece.tokens != self.offset:
                         raise engine.LostError("the answer is incomplete")
                     return piece
-                case engine.Broken():
+                case engine.RunFailed():
                     raise engine.LostError(piece.reason)
         raise engine.LostError("the stream ended without its end piece")
 
--- a/src/briarseam/answers/relay.py
+++ b/src/briarseam/answers/relay.py
@@ -169,7 +169,7 @@
             raise
         run.sequencer.offset -= isinstance(first, engine.Token)
         run.pieces = runs.prepend(first, run.pieces)
-        run.stream.begun()
+        run.stream.limit_silence()
         self.report_started(run)
 
     def report_started(self, run: runs.Run) -> None:
--- a/src/briarseam/cache/exporting.py
+++ b/src/briarseam/cache/exporting.py
@@ -120,7 +120,7 @@
     sizes: block_sizes.Sizes
     sharing: index_sharing.Sharing
     stores: store_state.Stores
-    engine: engine_kv.EngineKv
+    engine: engine_kv.KvClient
     client: store_client.StoreClient
     clock: typing.Callable[[], float]
     metrics: state.Metrics
--- a/src/briarseam/cache/importing.py
+++ b/src/briarseam/cache/importing.py
@@ -105,7 +105,7 @@
             )
             moved_bytes = answer.bytes
             answered = True
-        except engine_kv.EngineKvError as error:
+        except engine_kv.KvUnavailableError as error:
             self.context.metrics.count("imports_failed")
             return state.Imported(failed=f"{UNANSWERED}: {error}")
         finally:
@@ -153,7 +153,7 @@
         for planned in plan.blocks:
             store = self.context.stores.get(planned.block.store)
             entries.append(
-                engine_kv.Wanted(
+                engine_kv.ImportBlock(
                     digest=planned.digest.hex(),
                     store=store.address if store is not None else "",
                     block=self.context.names.format(planned.block.packed),
--- a/src/briarseam/cache/service.py
+++ b/src/briarseam/cache/service.py
@@ -129,7 +129,7 @@
             sizes=sizes.Sizes(),
             sharing=self.sharing,
             stores=self.stores,
-            engine=engine_kv.EngineKv(),
+            engine=engine_kv.KvClient(),
             client=store_client.StoreClient(),
             clock=self.clock,
             metrics=self.metrics,
--- a/src/briarseam/cache/sweeping.py
+++ b/src/briarseam/cache/sweeping.py
@@ -193,7 +193,9 @@
             for name, model in self.view().models.items()
         }
 
-    def handle_listed(self, listed: store_client.Listed, boot_id: str) -> None:
+    def handle_listed(
+        self, listed: store_client.StoredBlock, boot_id: str
+    ) -> None:
         """Adopt a listed block if this agent owns its group."""
         packed = self.context.names.parse(listed.name)
         if packed is None:
--- a/src/briarseam/compose/orders.py
+++ b/src/briarseam/compose/orders.py
@@ -69,7 +69,7 @@
         reader.view,
         lease_service,
         # An order must not outlive the lease under which it is given.
-        engine_orders.EngineOrders(
+        engine_orders.OrderClient(
             min(engine_orders.DEFAULT_TIMEOUT_S, lease_service.margin_s)
         ),
         registry,
--- a/src/briarseam/endpoints/engine.py
+++ b/src/briarseam/endpoints/engine.py
@@ -94,18 +94,18 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Broken:
+class RunFailed:
     """The engine ended the run with an error."""
 
     reason: str
 
 
-Piece = Started | Token | Done | Broken
+Piece = Started | Token | Done | RunFailed
 KINDS: dict[str, type] = {
     "start": Started,
     "token": Token,
     "done": Done,
-    "error": Broken,
+    "error": RunFailed,
 }
 
 
@@ -159,7 +159,7 @@
         self.silence_s = silence_s
         self.events = sse.read(response.stream(READ_BYTES))
 
-    def begun(self) -> None:
+    def limit_silence(self) -> None:
         """Bound the silence from now on.
 
         A frozen engine keeps its connections open and sends nothing; only
@@ -197,7 +197,7 @@
     """Return the validated piece of an event."""
     kind = KINDS.get(event.kind)
     if kind is None:
-        return Broken(f"unknown event {event.kind}")
+        return RunFailed(f"unknown event {event.kind}")
     return typing.cast("Piece", msgspec.json.decode(event.data, type=kind))
 
 
@@ -254,7 +254,7 @@
         stream = self.open(
             "GET", address, path, None, headers, RESUME_TIMEOUT_S
         )
-        stream.begun()
+        stream.limit_silence()
         return stream
 
     def open(
--- a/src/briarseam/endpoints/engine_kv.py
+++ b/src/briarseam/endpoints/engine_kv.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Wanted:
+class ImportBlock:
     """One block to import.
 
     Attributes
@@ -56,7 +56,7 @@
 
     model: str
     version: str
-    blocks: tuple[Wanted, ...]
+    blocks: tuple[ImportBlock, ...]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -109,7 +109,7 @@
 ExportOutcome = Exported | NotCached | ExportFailed
 
 
-class EngineKvError(Exception):
+class KvUnavailableError(Exception):
     """The engine did not answer, or not as its protocol says."""
 
 
@@ -131,7 +131,7 @@
     return Fault.ENGINE
 
 
-class EngineKv:
+class KvClient:
     """Orders transfers between engines and stores."""
 
     def __init__(self) -> None:
@@ -154,7 +154,7 @@
                 "POST", url, body=body, headers=headers, timeout=timeout
             )
         except urllib3.exceptions.HTTPError as error:
-            raise EngineKvError(str(error)) from error
+            raise KvUnavailableError(str(error)) from error
 
     def import_blocks(
         self, address: str, request: ImportRequest, timeout_s: float
@@ -172,18 +172,18 @@
 
         Raises
         ------
-        EngineKvError
+        KvUnavailableError
             When the engine does not answer properly in time; it may have
             taken any of the blocks.
         """
         url = f"http://{address}/kv/import"
         response = self.post(url, msgspec.json.encode(request), timeout_s)
         if response.status != HTTP_OK:
-            raise EngineKvError(f"import answered {response.status}")
+            raise KvUnavailableError(f"import answered {response.status}")
         try:
             return msgspec.json.decode(response.data, type=ImportAnswer)
         except msgspec.DecodeError as error:
-            raise EngineKvError(str(error)) from error
+            raise KvUnavailableError(str(error)) from error
 
     def export(
         self,
@@ -218,7 +218,7 @@
         url = f"http://{address}/kv/export"
         try:
             response = self.post(url, msgspec.json.encode(fields), timeout_s)
-        except EngineKvError as error:
+        except KvUnavailableError as error:
             return ExportFailed(str(error))
         if response.status == HTTP_NOT_FOUND:
             return NotCached()
--- a/src/briarseam/endpoints/engine_orders.py
+++ b/src/briarseam/endpoints/engine_orders.py
@@ -131,7 +131,7 @@
     """The engine did not report its state."""
 
 
-class EngineOrders:
+class OrderClient:
     """Reads engines' states and gives them orders.
 
     Parameters
--- a/src/briarseam/endpoints/store.py
+++ b/src/briarseam/endpoints/store.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Listed:
+class StoredBlock:
     """One block as the store holds it.
 
     Attributes
@@ -56,7 +56,7 @@
     """
 
     boot_id: str
-    blocks: tuple[Listed, ...]
+    blocks: tuple[StoredBlock, ...]
     more: bool
 
 
@@ -162,7 +162,7 @@
         """
         url = f"http://{address}/blocks?after={after}&max={limit}"
         raw = self.get(url, RawPage, timeout_s)
-        blocks = tuple(Listed(*row) for row in raw.blocks)
+        blocks = tuple(StoredBlock(*row) for row in raw.blocks)
         return Page(raw.boot_id, blocks, raw.more)
 
     def delete(self, address: str, block: str) -> None:
--- a/src/briarseam/orders/issuer.py
+++ b/src/briarseam/orders/issuer.py
@@ -42,7 +42,7 @@
     """
 
     leases: leases_service.Leases
-    engines: engine_orders.EngineOrders
+    engines: engine_orders.OrderClient
     engine_reports: state.EngineReports
     clock: Clock
     record_event: EventRecorder
--- a/src/briarseam/orders/pollers.py
+++ b/src/briarseam/orders/pollers.py
@@ -37,7 +37,7 @@
         self,
         name: str,
         address: str,
-        engines: engine_orders.EngineOrders,
+        engines: engine_orders.OrderClient,
         engine_reports: state.EngineReports,
         clock: typing.Callable[[], float],
         interval_s: typing.Callable[[], float],
@@ -120,7 +120,7 @@
 
     def __init__(
         self,
-        engines: engine_orders.EngineOrders,
+        engines: engine_orders.OrderClient,
         engine_reports: state.EngineReports,
         clock: typing.Callable[[], float],
         owns: typing.Callable[[str], bool],
--- a/src/briarseam/orders/service.py
+++ b/src/briarseam/orders/service.py
@@ -62,7 +62,7 @@
         own_name: str,
         view: typing.Callable[[], schema.View],
         leases: leases_service.Leases,
-        engines: engine_orders.EngineOrders,
+        engines: engine_orders.OrderClient,
         metrics: registry.Registry,
         record_event: issuer_module.EventRecorder,
         peers: peers_module.Peers = peers_module.NO_PEERS,
--- a/tests/answers/test_ordering.py
+++ b/tests/answers/test_ordering.py
@@ -54,7 +54,7 @@
         pytest.param(
             (engine.Started("run", "v2"), *WHOLE), id="other version"
         ),
-        pytest.param((engine.Broken("failed"),), id="failed"),
+        pytest.param((engine.RunFailed("failed"),), id="failed"),
     ],
 )
 def test_invalid_stream_is_lost(pieces):
--- a/tests/cache/test_maintenance.py
+++ b/tests/cache/test_maintenance.py
@@ -187,7 +187,7 @@
     prompt = state.Prompt("kitchen", "s", "draft", "", "v2", chain("s"))
     block = bench.blocks(prompt)[0]
     name = bench.kept.names.format(block.packed)
-    listed = store_client.Listed(name, SIZE, "63" * 16, 900_000.0)
+    listed = store_client.StoredBlock(name, SIZE, "63" * 16, 900_000.0)
     context = dataclasses.replace(
         bench.kept.context, client=Listings((listed,))
     )
--- a/tests/matrix/stopping_holder.py
+++ b/tests/matrix/stopping_holder.py
@@ -20,7 +20,7 @@
 from briarseam.orders import service as orders_service
 
 
-class StoppingEngines(engine_orders.EngineOrders):
+class StoppingEngines(engine_orders.OrderClient):
     """Stops the process between the lease's check and the order."""
 
     def __init__(self, version: str) -> None:
--- a/tests/orders/deployment.py
+++ b/tests/orders/deployment.py
@@ -124,7 +124,7 @@
             name,
             view or (lambda: self.view),
             leases,
-            engines or engine_orders.EngineOrders(CALL_S),
+            engines or engine_orders.OrderClient(CALL_S),
             registry.Registry(),
             events.note,
             peers.Peers(precedence=lambda lease: position),
--- a/tests/orders/test_goals.py
+++ b/tests/orders/test_goals.py
@@ -65,7 +65,7 @@
         "agent-1",
         lambda: view,
         leases_service.Leases(platform_log.LogClient("127.0.0.1:1"), "a"),
-        engine_orders.EngineOrders(),
+        engine_orders.OrderClient(),
         registry.Registry(),
         lambda *kind, **fields: None,
         peers.Peers(precedence=places.__getitem__),
--- a/tests/orders/test_late_orders.py
+++ b/tests/orders/test_late_orders.py
@@ -116,7 +116,7 @@
             for one in deployment.engines.values()
         )
     )
-    outcome = engine_orders.EngineOrders().give(
+    outcome = engine_orders.OrderClient().give(
         deployment.addresses["worker-2"],
         engine_orders.Load(MODEL, "v2", None),
         "late",
--- a/tests/orders/test_rollout.py
+++ b/tests/orders/test_rollout.py
@@ -210,7 +210,7 @@
     """
     deployment.add_engines(3)
     stray = deployment.engines["worker-2"]
-    engine_orders.EngineOrders().give(
+    engine_orders.OrderClient().give(
         stray.address, engine_orders.Load(MODEL, "v1", None), "stray", 10**6
     )
     deployment.configure("v2")
