--- a/src/briarseam/configuration/declarations.py
+++ b/src/briarseam/configuration/declarations.py
@@ -104,7 +104,7 @@
         for text in [entry.text]
     }
     return Declaration(
-        section.name, checked(place, section.name, value), place
+        section.name, validated(place, section.name, value), place
     )
 
 
@@ -137,7 +137,7 @@
     return msgspec.json.decode(msgspec.json.encode(typed))
 
 
-def checked(
+def validated(
     place: str, path: str, value: dict[str, typing.Any]
 ) -> dict[str, typing.Any]:
     """Return a whole value after the schema's check."""
@@ -209,4 +209,4 @@
             value[key] = field_value(kind, path, "set", key, text)
         else:
             value.pop(key, None)
-    return checked("set", path, value)
+    return validated("set", path, value)
--- a/src/briarseam/configuration/fold.py
+++ b/src/briarseam/configuration/fold.py
@@ -19,7 +19,7 @@
 # How far back, in offsets, a change may have been planned and an id is
 # remembered.  A double of a record further back than that carries a base
 # that is too old, so forgetting its id is harmless.
-WINDOW = 4096
+REPLAY_WINDOW = 4096
 ABSENT = 0
 DIGEST_BYTES = 16
 DIGEST_MODULUS = 1 << (8 * DIGEST_BYTES)
@@ -122,9 +122,9 @@
         Last record folded in.
     entries
         The tree by path.
-    seen
+    known_ids
         First offset of each id in the window, in order of offset.
-    touched
+    changed_paths
         Paths set or deleted since the owner last cleared it.
     stopped
         Set once an unknown version was met; nothing is folded after it.
@@ -133,10 +133,10 @@
     def __init__(self) -> None:
         self.offset = 0
         self.entries: dict[str, Entry] = {}
-        self.seen: dict[str, int] = {}
-        self.touched: set[str] = set()
+        self.known_ids: dict[str, int] = {}
+        self.changed_paths: set[str] = set()
         self.stopped: StoppedUnknownVersion | None = None
-        self.sum = 0
+        self.digest_sum = 0
 
     @property
     def digest(self) -> str:
@@ -145,7 +145,7 @@
         A sum over items, so that one change costs as much as it touches
         and not as much as the tree holds.
         """
-        return f"{self.sum:0{2 * DIGEST_BYTES}x}"
+        return f"{self.digest_sum:0{2 * DIGEST_BYTES}x}"
 
     def revision(self, path: str) -> int:
         """Return the revision of ``path``, 0 when absent."""
@@ -170,7 +170,7 @@
             return self.stopped
         if offset != self.offset + 1:
             raise ValueError(f"offset {offset} after {self.offset}")
-        verdict = self.judge(offset, data, teams)
+        verdict = self.evaluate(offset, data, teams)
         if isinstance(verdict, StoppedUnknownVersion):
             self.stopped = verdict
             return verdict
@@ -178,7 +178,7 @@
         self.forget_ids()
         return verdict
 
-    def judge(
+    def evaluate(
         self, offset: int, data: bytes, teams: team_types.Teams
     ) -> FoldVerdict:
         """Return the verdict on a record and carry it out."""
@@ -199,18 +199,18 @@
             change = records.decode_body(envelope)
         except records.RecordError:
             return Rejected(offset, RejectReason.MALFORMED)
-        return self.judge_change(offset, change, teams)
+        return self.evaluate_change(offset, change, teams)
 
-    def judge_change(
+    def evaluate_change(
         self, offset: int, change: records.Change, teams: team_types.Teams
     ) -> FoldVerdict:
         """Return the verdict on an authentic change and carry it out."""
         # A copy of an old record appended again must not bring its values
         # back.  Within the window its id is known; beyond it its base, which
         # the proof covers, is too old.
-        if not offset - WINDOW <= change.base < offset:
+        if not offset - REPLAY_WINDOW <= change.base < offset:
             return Rejected(offset, RejectReason.STALE)
-        first = self.seen.get(change.id)
+        first = self.known_ids.get(change.id)
         if first is not None:
             return Duplicate(offset, first)
         self.remember_id(change.id, offset)
@@ -236,31 +236,31 @@
         self, path: str, revision: int, packed: bytes | None
     ) -> None:
         """Set or, with ``None``, delete one path by its packed value."""
-        self.touched.add(path)
+        self.changed_paths.add(path)
         old = self.entries.pop(path, None)
         if old is not None:
-            self.add(-item_digest(path, old.revision, old.packed))
+            self.add_to_digest(-item_digest(path, old.revision, old.packed))
         if packed is not None:
             self.entries[path] = Entry(revision, packed)
-            self.add(item_digest(path, revision, packed))
+            self.add_to_digest(item_digest(path, revision, packed))
 
     def remember_id(self, change_id: str, offset: int) -> None:
         """Remember where an id came first."""
-        self.seen[change_id] = offset
-        self.add(item_digest(change_id, offset))
+        self.known_ids[change_id] = offset
+        self.add_to_digest(item_digest(change_id, offset))
 
     def forget_ids(self) -> None:
         """Forget the ids that the window has passed."""
-        while self.seen:
-            change_id, first = next(iter(self.seen.items()))
-            if self.offset - first <= WINDOW:
+        while self.known_ids:
+            change_id, first = next(iter(self.known_ids.items()))
+            if self.offset - first <= REPLAY_WINDOW:
                 return
-            del self.seen[change_id]
-            self.add(-item_digest(change_id, first))
+            del self.known_ids[change_id]
+            self.add_to_digest(-item_digest(change_id, first))
 
-    def add(self, amount: int) -> None:
+    def add_to_digest(self, amount: int) -> None:
         """Add an item's digest, negative to take it out."""
-        self.sum = (self.sum + amount) % DIGEST_MODULUS
+        self.digest_sum = (self.digest_sum + amount) % DIGEST_MODULUS
 
 
 def dump(fold: Fold) -> bytes:
@@ -269,8 +269,10 @@
         [path, entry.revision, entry.packed]
         for path, entry in fold.entries.items()
     ]
-    seen = list(fold.seen.items())
-    return typing.cast("bytes", msgpack.packb([fold.offset, entries, seen]))
+    known_ids = list(fold.known_ids.items())
+    return typing.cast(
+        "bytes", msgpack.packb([fold.offset, entries, known_ids])
+    )
 
 
 def load(data: bytes) -> Fold:
@@ -283,10 +285,10 @@
     """
     fold = Fold()
     try:
-        offset, entries, seen = msgpack.unpackb(data, raw=False)
+        offset, entries, known_ids = msgpack.unpackb(data, raw=False)
         for path, revision, packed in entries:
             fold.put_packed(path, revision, packed)
-        for change_id, first in seen:
+        for change_id, first in known_ids:
             fold.remember_id(change_id, first)
     except TypeError as error:
         raise ValueError(f"not a dumped fold: {error}") from error
--- a/src/briarseam/configuration/following.py
+++ b/src/briarseam/configuration/following.py
@@ -118,30 +118,30 @@
         """Ask until every live agent has ``offset`` or time is up."""
         started = time.monotonic()
         while True:
-            wanted, agents = self.look()
+            expected, agents = self.collect_statuses()
             waited_s = time.monotonic() - started
-            found = judge(wanted, agents, offset, waited_s)
-            if found.done() or waited_s >= timeout_s:
-                return found
+            propagation = assess(expected, agents, offset, waited_s)
+            if propagation.done() or waited_s >= timeout_s:
+                return propagation
             time.sleep(POLL_S)
 
-    def look(self) -> tuple[set[str], dict[str, AgentStatus]]:
+    def collect_statuses(self) -> tuple[set[str], dict[str, AgentStatus]]:
         """Return the names of listed agents and those told of, by name."""
-        listed = self.listed()
-        wanted = {one.name for one in listed if one.role == "agent"}
+        listed = self.list_live_instances()
+        expected = {one.name for one in listed if one.role == "agent"}
         entries = [one.address for one in listed if one.role == "entry"]
         agents: dict[str, AgentStatus] = {}
         for address in dict.fromkeys([*self.entries, *entries]):
-            if agents and wanted <= agents.keys():
+            if agents and expected <= agents.keys():
                 break
             try:
-                status = self.fetch(address)
+                status = self.fetch_status(address)
             except StatusUnavailableError:
                 continue
             agents.update({agent.name: agent for agent in status.agents})
-        return wanted, agents
+        return expected, agents
 
-    def listed(self) -> list[instance_list.Instance]:
+    def list_live_instances(self) -> list[instance_list.Instance]:
         """Return the live instances, none while the list is down."""
         try:
             rows = self.instances.read().instances
@@ -150,7 +150,7 @@
         live = instance_list.ListedState.LIVE
         return [one for one in rows if one.state is live]
 
-    def fetch(self, address: str) -> Status:
+    def fetch_status(self, address: str) -> Status:
         """Return the status that an entry gives.
 
         Raises
@@ -174,8 +174,8 @@
             raise StatusUnavailableError(f"{address}: {error}") from error
 
 
-def judge(
-    wanted: set[str],
+def assess(
+    expected: set[str],
     agents: typing.Mapping[str, AgentStatus],
     offset: int,
     waited_s: float,
@@ -184,14 +184,16 @@
     live = [one for one in agents.values() if one.state not in NOT_LIVE]
     return Propagation(
         offset=offset,
-        reached=tuple(sorted(one.name for one in live if has(one, offset))),
-        stragglers=tuple(one for one in live if not has(one, offset)),
-        unseen=tuple(sorted(wanted - agents.keys())),
-        listed=bool(wanted),
+        reached=tuple(
+            sorted(one.name for one in live if has_reached(one, offset))
+        ),
+        stragglers=tuple(one for one in live if not has_reached(one, offset)),
+        unseen=tuple(sorted(expected - agents.keys())),
+        listed=bool(expected),
         waited_s=round(waited_s, 3),
     )
 
 
-def has(agent: AgentStatus, offset: int) -> bool:
+def has_reached(agent: AgentStatus, offset: int) -> bool:
     """Tell whether an agent reports to have ``offset`` in force."""
     return agent.reached and agent.configuration_offset >= offset
--- a/src/briarseam/configuration/answering.py
+++ b/src/briarseam/configuration/handlers.py
@@ -16,7 +16,7 @@
 MAX_WAIT_MS = 5000
 
 
-class Answering:
+class PeerHandlers:
     """Handlers for peers' messages.
 
     Parameters
--- a/src/briarseam/configuration/history.py
+++ b/src/briarseam/configuration/history.py
@@ -59,10 +59,10 @@
     """
     events: list[Event] = []
 
-    def note(record: logs.Record, verdict: folds.FoldVerdict) -> None:
-        events.append(event(record, verdict))
+    def record_event(record: logs.Record, verdict: folds.FoldVerdict) -> None:
+        events.append(make_event(record, verdict))
 
-    loading.read_tail(client, oldest_fold(client, key), teams, note)
+    loading.read_tail(client, oldest_fold(client, key), teams, record_event)
     return tuple(events)
 
 
@@ -71,13 +71,13 @@
     first = client.read(records.STREAM, 0, limit=1).first
     if first == 1:
         return folds.Fold()
-    oldest = snapshots.oldest_whole(client, key, first - 1)
+    oldest = snapshots.oldest_complete(client, key, first - 1)
     if oldest is None:
         return folds.Fold()
     return snapshots.unpack_state(oldest.state, oldest.through, oldest.digest)
 
 
-def event(record: logs.Record, verdict: folds.FoldVerdict) -> Event:
+def make_event(record: logs.Record, verdict: folds.FoldVerdict) -> Event:
     """Return a judged record as an event."""
     change = records.decode_unverified(record.data)
     match verdict:
--- a/src/briarseam/configuration/loading.py
+++ b/src/briarseam/configuration/loading.py
@@ -75,7 +75,7 @@
 
 def load_snapshot(client: logs.LogClient, key: bytes) -> folds.Fold:
     """Return the fold of the newest whole snapshot, else an empty one."""
-    newest, _ = snapshots.newest_whole(client, key)
+    newest, _ = snapshots.newest_complete(client, key)
     if newest is None:
         return folds.Fold()
     try:
--- a/src/briarseam/configuration/peers.py
+++ b/src/briarseam/configuration/peers.py
@@ -80,8 +80,8 @@
 
     def address_of(self, name: str) -> str | None:
         """Return an agent's address, ``None`` when it is not known."""
-        found = self.addresses().get(name)
-        return found or self.other_cell_addresses().get(name)
+        address = self.addresses().get(name)
+        return address or self.other_cell_addresses().get(name)
 
     def readers(self) -> list[str]:
         """Return the names of those that read the log for the cell.
@@ -118,19 +118,19 @@
         PeerError
             When it has none or it changed too often meanwhile.
         """
-        found: list[messages.State] = []
+        parts: list[messages.State] = []
         for _ in range(MAX_PARTS):
-            request = messages.FetchState(len(found))
+            request = messages.FetchState(len(parts))
             reply = self.call(address, request, ANSWER_TIMEOUT_S)
             if not isinstance(reply, messages.State) or not reply.ready:
                 raise PeerError(f"{address} has no state")
-            if found and reply.offset != found[0].offset:
+            if parts and reply.offset != parts[0].offset:
                 # It moved on between two parts: begin again.
-                found = []
+                parts = []
                 continue
-            found.append(reply)
-            if len(found) == reply.parts:
-                return join_parts(found)
+            parts.append(reply)
+            if len(parts) == reply.parts:
+                return join_parts(parts)
         raise PeerError(f"{address} gave no whole state")
 
     def highest_state(
--- a/src/briarseam/configuration/plans.py
+++ b/src/briarseam/configuration/plans.py
@@ -124,7 +124,7 @@
     teams: team_types.Teams,
     team: str,
     declared: typing.Mapping[str, typing.Any],
-    since: int | None = None,
+    based_on: int | None = None,
 ) -> Plan:
     """Return the plan that makes a team's subtree what is declared.
 
@@ -138,14 +138,14 @@
         The author; paths of its subtree that are not declared are deleted.
     declared
         Values by path.
-    since
+    based_on
         Offset that the declarations are based on; a path set after it is a
         conflict.
     """
     own = {path for path in declared if teams.owner(path) == team}
     held = {path for path in fold.entries if teams.owner(path) == team}
     steps = [
-        plan_step(fold, path, declared.get(path), since)
+        plan_step(fold, path, declared.get(path), based_on)
         for path in sorted(own | held)
     ]
     changed = tuple(found for found in steps if found is not None)
@@ -159,7 +159,7 @@
 
 
 def plan_step(
-    fold: folds.Fold, path: str, after: typing.Any, since: int | None
+    fold: folds.Fold, path: str, after: typing.Any, based_on: int | None
 ) -> Step | None:
     """Return what happens to one path, ``None`` for nothing."""
     entry = fold.entries.get(path)
@@ -172,5 +172,5 @@
     elif after is None:
         action = Action.DELETE
     revision = fold.revision(path)
-    conflict = since is not None and revision > since
+    conflict = based_on is not None and revision > based_on
     return Step(action, path, before, after, revision, conflict)
--- a/src/briarseam/configuration/publish.py
+++ b/src/briarseam/configuration/publish.py
@@ -17,7 +17,7 @@
 DEFAULT_SETTLE_S = 10.0
 # Part of the time to settle after which a change that did not show is made
 # void; the rest is for that.
-VOID_AFTER_PART = 0.3
+VOID_AFTER_FRACTION = 0.3
 POLL_MS = 250
 RETRY_S = 0.2
 
@@ -80,7 +80,7 @@
         self.fold = fold
         self.settle_s = settle_s
         self.void_after_s = (
-            settle_s * VOID_AFTER_PART
+            settle_s * VOID_AFTER_FRACTION
             if void_after_s is None
             else void_after_s
         )
@@ -109,7 +109,7 @@
             case logs.AppendRefused(detail, retry_after_s):
                 return NotAppended(detail, retry_after_s)
             case logs.Appended():
-                return self.find(change, deadline) or Unknown(
+                return self.find_outcome(change, deadline) or Unknown(
                     change.id, "appended, but the log cannot be read"
                 )
             case logs.AppendUnknown(detail):
@@ -119,10 +119,10 @@
         self, change: records.Change, detail: str, deadline: float
     ) -> Outcome:
         """Find out what became of a change whose append had no answer."""
-        look_until = min(deadline, time.monotonic() + self.void_after_s)
-        found = self.find(change, look_until)
-        if found is not None:
-            return found
+        search_deadline = min(deadline, time.monotonic() + self.void_after_s)
+        outcome = self.find_outcome(change, search_deadline)
+        if outcome is not None:
+            return outcome
         void = dataclasses.replace(
             change, base=self.fold.offset, expects={}, sets={}
         )
@@ -130,23 +130,25 @@
         while time.monotonic() < deadline:
             # A void is idempotent, so this one is sent until it is known
             # to be in the log.
-            outcome = self.client.append(records.STREAM, data)
-            if isinstance(outcome, logs.Appended):
-                found = self.find(change, deadline)
-                return found or Unknown(change.id, detail)
-            found = self.find(change, time.monotonic() + RETRY_S)
-            if found is not None:
-                return found
+            append = self.client.append(records.STREAM, data)
+            if isinstance(append, logs.Appended):
+                outcome = self.find_outcome(change, deadline)
+                return outcome or Unknown(change.id, detail)
+            outcome = self.find_outcome(change, time.monotonic() + RETRY_S)
+            if outcome is not None:
+                return outcome
         return Unknown(change.id, detail)
 
-    def find(self, change: records.Change, until: float) -> Outcome | None:
+    def find_outcome(
+        self, change: records.Change, deadline: float
+    ) -> Outcome | None:
         """Read on for the change's id; ``None`` when it did not show."""
         while True:
-            outcome = self.read_on(change)
-            if outcome is not None or time.monotonic() >= until:
+            outcome = self.read_batch(change)
+            if outcome is not None or time.monotonic() >= deadline:
                 return outcome
 
-    def read_on(self, change: records.Change) -> Outcome | None:
+    def read_batch(self, change: records.Change) -> Outcome | None:
         """Fold in one batch; return the change's outcome if it is there."""
         try:
             batch = self.client.read(records.STREAM, self.fold.offset, POLL_MS)
@@ -156,9 +158,9 @@
             return None
         for record in batch.records:
             verdict = self.fold.apply(record.offset, record.data, self.teams)
-            found = self.outcome_of(change, record, verdict)
-            if found is not None:
-                return found
+            outcome = self.outcome_of(change, record, verdict)
+            if outcome is not None:
+                return outcome
         return None
 
     def outcome_of(
@@ -174,11 +176,11 @@
                 f"the record at {verdict.offset} has version"
                 f" {verdict.version}, which this release does not know",
             )
-        found = records.decode_unverified(record.data)
-        if found is None or found.id != change.id:
+        recorded = records.decode_unverified(record.data)
+        if recorded is None or recorded.id != change.id:
             return None
         match verdict:
-            case folds.Accepted() if change.sets and not found.sets:
+            case folds.Accepted() if change.sets and not recorded.sets:
                 return NotAppended("made void: the log did not answer", 0.0)
             case folds.Accepted() | folds.Rejected():
                 return authentic_or_none(verdict)
--- a/src/briarseam/configuration/reader.py
+++ b/src/briarseam/configuration/reader.py
@@ -17,7 +17,7 @@
 
 from briarseam import backoff
 from briarseam.backing import log as logs
-from briarseam.configuration import answering
+from briarseam.configuration import handlers
 from briarseam.configuration import loading
 from briarseam.configuration import peers as peer_calls
 from briarseam.configuration import records
@@ -33,10 +33,10 @@
     from briarseam.wire import server
 
 # A peer's proof older than this is no news: ask someone else too.
-FRESH_S = 4.0
+MAX_PROOF_AGE_S = 4.0
 MIN_PAUSE_S = 0.1
 MAX_PAUSE_S = 2.0
-OTHERS_ASKED = 3
+SAMPLE_SIZE = 3
 log = structlog.get_logger("briarseam.configuration")
 
 
@@ -125,14 +125,14 @@
             self.reader_rank,
             self.options.snapshots,
         )
-        self.answering = answering.Answering(
+        self.handlers = handlers.PeerHandlers(
             self.tree, self.ready, self.proof_age_ms
         )
         self.proof_at = -math.inf
-        self.contact_at = -math.inf
+        self.peer_contact_at = -math.inf
         self.history_lost = False
-        self.hints: dict[str, int] = {}
-        self.avoided = ""
+        self.peer_offsets: dict[str, int] = {}
+        self.deprioritized = ""
         self.stopping = threading.Event()
         self.thread = threading.Thread(
             target=self.run, name="configuration", daemon=True
@@ -151,7 +151,7 @@
 
     def register(self, router: server.Router) -> None:
         """Answer peers' messages on ``router``."""
-        self.answering.register(router)
+        self.handlers.register(router)
 
     def view(self) -> schema.View:
         """Return the typed tree in force here."""
@@ -175,8 +175,8 @@
         """
         if not self.ready():
             return math.inf
-        heard_at = max(self.proof_at, self.contact_at)
-        return max(0.0, states.now_s() - heard_at)
+        last_contact_at = max(self.proof_at, self.peer_contact_at)
+        return max(0.0, states.now_s() - last_contact_at)
 
     def log_age_s(self) -> float:
         """Return the age of the last proof that this is the log's end."""
@@ -189,7 +189,7 @@
 
     def record_peer_offset(self, name: str, offset: int) -> None:
         """Take note of the offset in a peer's heartbeat."""
-        self.hints[name] = offset
+        self.peer_offsets[name] = offset
 
     def reader_rank(self) -> int | None:
         """Return this agent's place among the log's readers, else None."""
@@ -203,42 +203,44 @@
         """Load, then follow until stopped."""
         pauses = backoff.Backoff(MIN_PAUSE_S, MAX_PAUSE_S)
         while not self.stopping.is_set():
-            if self.round():
+            if self.poll():
                 pauses.reset()
                 continue
             self.stopping.wait(pauses.next_s())
 
-    def round(self) -> bool:
+    def poll(self) -> bool:
         """Ask once for what is new; tell whether that brought proof."""
         if self.tree.fold.stopped is not None:
             return False
         if not self.ready():
             return self.load()
         before = self.offset()
-        proved = self.ask_sources()
+        proved = self.poll_sources()
         if self.offset() == before:
-            self.follow_hints()
+            self.poll_peers_ahead()
         return proved
 
-    def ask_sources(self) -> bool:
+    def poll_sources(self) -> bool:
         """Ask the sources in turn until one proves to be current."""
-        asked: set[str] = set()
+        polled: set[str] = set()
         if self.reader_rank() is None:
             for name in self.reading_peers():
-                wait_ms = 0 if asked else self.options.peer_wait_ms
-                asked.add(name)
+                wait_ms = 0 if polled else self.options.peer_wait_ms
+                polled.add(name)
                 if self.follow_peer(name, wait_ms):
                     return True
-                self.avoided = name
+                self.deprioritized = name
             if self.follow_log(0):
                 return True
         elif self.follow_log(self.options.log_wait_ms):
             return True
-        return self.ask_others(asked)
+        return self.poll_others(polled)
 
-    def ask_others(self, asked: set[str]) -> bool:
+    def poll_others(self, polled: set[str]) -> bool:
         """Ask some others of the cell, then of other cells."""
-        others = [name for name in self.peers.addresses() if name not in asked]
+        others = [
+            name for name in self.peers.addresses() if name not in polled
+        ]
         other_cell_members = list(self.peers.other_cell_addresses())
         names = [*sample(others), *sample(other_cell_members)]
         return any([self.follow_peer(name, 0) for name in names])
@@ -252,11 +254,11 @@
         names = self.peers.readers()
         if peer_calls.rank(self.peers.identity.name) % 2:
             names.reverse()
-        return sorted(names, key=lambda name: name == self.avoided)
+        return sorted(names, key=lambda name: name == self.deprioritized)
 
-    def follow_hints(self) -> None:
+    def poll_peers_ahead(self) -> None:
         """Ask a peer whose heartbeat told of a higher offset."""
-        for name, offset in list(self.hints.items()):
+        for name, offset in list(self.peer_offsets.items()):
             if offset > self.offset():
                 self.follow_peer(name, 0)
 
@@ -270,7 +272,7 @@
         except logs.LogUnavailableError:
             return False
         except loading.HistoryLostError as error:
-            self.note_history_lost(error)
+            self.record_history_lost(error)
             return self.load()
         finally:
             self.counters.log_reads += 1
@@ -278,7 +280,7 @@
         self.counters.log_bytes += sum(map(len, data))
         self.tree.extend(offset + 1, data)
         if self.offset() + 1 >= batch.next:
-            self.note_proof(sent_at)
+            self.record_proof(sent_at)
             return True
         return bool(data) and self.tree.fold.stopped is None
 
@@ -286,7 +288,7 @@
         """Ask a peer once; tell whether it has recent proof."""
         address = self.peers.address_of(name)
         if address is None:
-            self.hints.pop(name, None)
+            self.peer_offsets.pop(name, None)
             return False
         sent_at = states.now_s()
         offset = self.offset()
@@ -298,28 +300,28 @@
                 self.tree.replace(self.peers.fetch_state(address))
         except peer_calls.PeerError:
             return False
-        return self.take_reply(reply, sent_at, offset)
+        return self.apply_reply(reply, sent_at, offset)
 
-    def take_reply(
-        self, reply: messages.Records, sent_at: float, asked: int
+    def apply_reply(
+        self, reply: messages.Records, sent_at: float, after: int
     ) -> bool:
         """Fold in a peer's records; tell whether it has recent proof."""
         if not reply.ready:
             return False
         self.counters.peer_bytes += sum(map(len, reply.data))
-        self.tree.extend(asked + 1, reply.data)
-        self.tree.differs(reply.offset, reply.digest)
+        self.tree.extend(after + 1, reply.data)
+        self.tree.digest_differs(reply.offset, reply.digest)
         if self.offset() < reply.offset:
             return bool(reply.data)
         # Counted from when the question was sent: an agent that was frozen
         # and finds an old answer in its socket must not think it current.
-        self.contact_at = max(self.contact_at, sent_at)
+        self.peer_contact_at = max(self.peer_contact_at, sent_at)
         if reply.proof_age_ms < 0:
             return False
         age_s = reply.proof_age_ms / 1000
         if self.offset() == reply.offset:
-            self.note_proof(sent_at - age_s)
-        return age_s <= FRESH_S
+            self.record_proof(sent_at - age_s)
+        return age_s <= MAX_PROOF_AGE_S
 
     def load(self) -> bool:
         """Take the tree from the log, else from the peers."""
@@ -329,14 +331,14 @@
         except logs.LogUnavailableError:
             return self.load_from_peers()
         except loading.HistoryLostError as error:
-            self.note_history_lost(error)
+            self.record_history_lost(error)
             return self.load_from_peers()
         self.tree.replace(fold)
         if self.offset() != fold.offset:
             return False
         if fold.stopped is None:
             self.history_lost = False
-            self.note_proof(started_at)
+            self.record_proof(started_at)
         return True
 
     def load_from_peers(self) -> bool:
@@ -359,14 +361,14 @@
         if fold is None:
             return False
         if self.tree.replace(fold):
-            self.contact_at = max(self.contact_at, started_at)
+            self.peer_contact_at = max(self.peer_contact_at, started_at)
         return True
 
-    def note_proof(self, at_s: float) -> None:
+    def record_proof(self, at_s: float) -> None:
         """Note that this was the log's end at ``at_s``."""
         self.proof_at = max(self.proof_at, at_s)
 
-    def note_history_lost(self, error: loading.HistoryLostError) -> None:
+    def record_history_lost(self, error: loading.HistoryLostError) -> None:
         """Count lost history; a line when it begins."""
         self.counters.history_lost += 1
         if not self.history_lost:
@@ -376,4 +378,4 @@
 
 def sample(items: list[str]) -> list[str]:
     """Return a few of the items."""
-    return random.sample(items, min(OTHERS_ASKED, len(items)))
+    return random.sample(items, min(SAMPLE_SIZE, len(items)))
--- a/src/briarseam/configuration/schema.py
+++ b/src/briarseam/configuration/schema.py
@@ -151,14 +151,14 @@
         one would else reach the answers of the other.
         """
         names: dict[str, str] = {}
-        doubled: set[str] = set()
+        duplicates: set[str] = set()
         for name, value in self.organisations.items():
             if names.setdefault(value.token_digest, name) != name:
-                doubled.add(value.token_digest)
+                duplicates.add(value.token_digest)
         return {
             digest: name
             for digest, name in names.items()
-            if digest not in doubled
+            if digest not in duplicates
         }
 
 
--- a/src/briarseam/configuration/snapshots.py
+++ b/src/briarseam/configuration/snapshots.py
@@ -26,7 +26,7 @@
 MAX_STATE_BYTES = 256 * 1024 * 1024
 LABEL = b"briarseam configuration snapshot"
 ID_BYTES = 8
-FIRST_WINDOW = 32
+READ_WINDOW = 32
 log = structlog.get_logger("briarseam.configuration")
 
 
@@ -223,7 +223,7 @@
                 self.times_ms.pop(snapshot_id, None)
 
 
-def newest_whole(
+def newest_complete(
     client: logs.LogClient, key: bytes
 ) -> tuple[Snapshot | None, int]:
     """Return the newest whole snapshot and the end of its stream.
@@ -238,7 +238,7 @@
     """
     probe = client.read(STREAM, 0, limit=1)
     end = probe.next - 1
-    window = FIRST_WINDOW
+    window = READ_WINDOW
     while True:
         after = max(end - window, probe.first - 1, 0)
         found = newest_after(client, key, after, end)
@@ -252,20 +252,22 @@
 ) -> Snapshot | None:
     """Return the newest whole snapshot in ``(after, end]``."""
     assembler = Assembler(key)
-    best: Snapshot | None = None
+    newest: Snapshot | None = None
     while after < end:
-        batch = client.read(STREAM, after, limit=FIRST_WINDOW)
+        batch = client.read(STREAM, after, limit=READ_WINDOW)
         if not batch.records:
             break
         for record in batch.records:
-            whole = assembler.add(record)
-            if whole and (best is None or whole.through >= best.through):
-                best = whole
+            snapshot = assembler.add(record)
+            if snapshot and (
+                newest is None or snapshot.through >= newest.through
+            ):
+                newest = snapshot
         after = batch.records[-1].offset
-    return best
+    return newest
 
 
-def oldest_whole(
+def oldest_complete(
     client: logs.LogClient, key: bytes, through: int
 ) -> Snapshot | None:
     """Return the oldest whole snapshot that reaches ``through``.
@@ -278,11 +280,11 @@
     assembler = Assembler(key)
     after = 0
     while True:
-        batch = client.read(STREAM, after, limit=FIRST_WINDOW)
+        batch = client.read(STREAM, after, limit=READ_WINDOW)
         if not batch.records:
             return None
         for record in batch.records:
-            whole = assembler.add(record)
-            if whole is not None and whole.through >= through:
-                return whole
+            snapshot = assembler.add(record)
+            if snapshot is not None and snapshot.through >= through:
+                return snapshot
         after = batch.records[-1].offset
--- a/src/briarseam/configuration/snapshotting.py
+++ b/src/briarseam/configuration/snapshotting.py
@@ -77,8 +77,8 @@
         self.rank = rank
         self.options = options
         self.assembler = snapshots.Assembler(key)
-        self.last: snapshots.Snapshot | None = None
-        self.after: int | None = None
+        self.latest: snapshots.Snapshot | None = None
+        self.read_offset: int | None = None
         self.due_at: float | None = None
         self.stopping = threading.Event()
         self.thread = threading.Thread(
@@ -101,45 +101,47 @@
                 self.due_at = None
                 continue
             try:
-                self.look()
+                self.read_snapshots()
                 self.write_when_due(rank)
             except logs.LogUnavailableError:
                 self.due_at = None
 
-    def look(self) -> None:
+    def read_snapshots(self) -> None:
         """Read what was written since the last look."""
-        if self.after is None:
-            self.last, self.after = snapshots.newest_whole(
+        if self.read_offset is None:
+            self.latest, self.read_offset = snapshots.newest_complete(
                 self.client, self.key
             )
-            if self.last is not None:
-                self.tree.differs(self.last.through, self.last.digest)
+            if self.latest is not None:
+                self.tree.digest_differs(
+                    self.latest.through, self.latest.digest
+                )
         while True:
-            batch = self.client.read(snapshots.STREAM, self.after)
+            batch = self.client.read(snapshots.STREAM, self.read_offset)
             for record in batch.records:
-                self.after = record.offset
-                whole = self.assembler.add(record)
-                if whole is not None:
-                    self.take(whole)
-            if self.after + 1 >= batch.next:
+                self.read_offset = record.offset
+                snapshot = self.assembler.add(record)
+                if snapshot is not None:
+                    self.handle_snapshot(snapshot)
+            if self.read_offset + 1 >= batch.next:
                 return
 
-    def take(self, whole: snapshots.Snapshot) -> None:
+    def handle_snapshot(self, snapshot: snapshots.Snapshot) -> None:
         """Take note of a whole snapshot and check it."""
         self.tree.counters.snapshots_read += 1
-        self.tree.differs(whole.through, whole.digest)
-        if self.last is None or whole.through >= self.last.through:
-            self.last = whole
+        self.tree.digest_differs(snapshot.through, snapshot.digest)
+        if self.latest is None or snapshot.through >= self.latest.through:
+            self.latest = snapshot
 
     def is_due(self) -> bool:
         """Tell whether a new snapshot is wanted."""
         offset = self.tree.view.offset
         if self.tree.fold.stopped is not None or offset == 0:
             return False
-        if self.last is None:
+        if self.latest is None:
             return True
-        age_s = time.time() - self.last.time_ms / 1000
-        behind = offset - self.last.through
+        age_s = time.time() - self.latest.time_ms / 1000
+        behind = offset - self.latest.through
         return (
             behind >= self.options.every_records
             or age_s >= self.options.max_age_s
--- a/src/briarseam/configuration/state.py
+++ b/src/briarseam/configuration/state.py
@@ -17,8 +17,8 @@
 if typing.TYPE_CHECKING:
     from briarseam.configuration import teams as team_types
 
-RECENT_BYTES = 1024 * 1024
-DIGESTS_KEPT = 1024
+MAX_RECENT_BYTES = 1024 * 1024
+MAX_DIGESTS = 1024
 OnVerdict = typing.Callable[[folds.FoldVerdict, bytes], None]
 log = structlog.get_logger("briarseam.configuration")
 
@@ -32,7 +32,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def pass_over(verdict: folds.FoldVerdict, data: bytes) -> None:
+def ignore_verdict(verdict: folds.FoldVerdict, data: bytes) -> None:
     """Take no note of a record."""
 
 
@@ -84,7 +84,7 @@
         self.recent_bytes = 0
         self.digests: dict[int, str] = {}
         self.mismatch_at = 0
-        self.on_verdict: OnVerdict = pass_over
+        self.on_verdict: OnVerdict = ignore_verdict
         self.changed = threading.Condition()
 
     def replace(self, fold: folds.Fold) -> bool:
@@ -129,7 +129,7 @@
             return
         self.recent.append(record)
         self.recent_bytes += len(record)
-        while self.recent_bytes > RECENT_BYTES:
+        while self.recent_bytes > MAX_RECENT_BYTES:
             self.recent_bytes -= len(self.recent.popleft())
 
     def count(self, verdict: folds.FoldVerdict) -> None:
@@ -155,12 +155,12 @@
     def publish(self) -> None:
         """Make the new tree visible; the lock is held."""
         self.view = self.views.update(
-            self.fold.offset, self.fold.entries, self.fold.touched
+            self.fold.offset, self.fold.entries, self.fold.changed_paths
         )
-        self.fold.touched.clear()
+        self.fold.changed_paths.clear()
         self.counters.values_not_understood = len(self.views.errors)
         self.digests[self.fold.offset] = self.fold.digest
-        while len(self.digests) > DIGESTS_KEPT:
+        while len(self.digests) > MAX_DIGESTS:
             del self.digests[next(iter(self.digests))]
         self.changed.notify_all()
 
@@ -174,16 +174,16 @@
         missing = self.fold.offset - after
         if missing > len(self.recent):
             return None
-        found: list[bytes] = []
+        records: list[bytes] = []
         size = 0
         for index in range(
             len(self.recent) - max(missing, 0), len(self.recent)
         ):
             size += len(self.recent[index])
-            if found and size > max_bytes:
+            if records and size > max_bytes:
                 break
-            found.append(self.recent[index])
-        return tuple(found)
+            records.append(self.recent[index])
+        return tuple(records)
 
     def wait_past(self, after: int, timeout_s: float) -> None:
         """Wait until the tree ends after ``after``; the lock is held."""
@@ -191,7 +191,7 @@
             lambda: self.fold.offset > after, timeout=timeout_s
         )
 
-    def differs(self, offset: int, digest: str) -> bool:
+    def digest_differs(self, offset: int, digest: str) -> bool:
         """Tell whether our fold at ``offset`` is known to be another.
 
         A mismatch means that two agents fold the same records to different
--- a/src/briarseam/configuration/teams.py
+++ b/src/briarseam/configuration/teams.py
@@ -43,8 +43,8 @@
     """Tell whether ``path`` lies under ``prefix``."""
     if prefix.endswith(ANY):
         return path.startswith(prefix[: -len(ANY)])
-    whole = prefix.rstrip("/")
-    return path == whole or path.startswith(whole + "/")
+    subtree = prefix.rstrip("/")
+    return path == subtree or path.startswith(subtree + "/")
 
 
 @dataclasses.dataclass(frozen=True)
@@ -76,12 +76,12 @@
 
     def owner(self, path: str) -> str | None:
         """Return the team that holds ``path``: the longest prefix wins."""
-        best = ""
+        longest = ""
         name = None
         for team in self.members:
             for prefix in team.prefixes:
-                if prefix_covers(prefix, path) and len(prefix) > len(best):
-                    best = prefix
+                if prefix_covers(prefix, path) and len(prefix) > len(longest):
+                    longest = prefix
                     name = team.name
         return name
 
--- a/src/briarseam/configuration/views.py
+++ b/src/briarseam/configuration/views.py
@@ -36,7 +36,7 @@
         self,
         offset: int,
         entries: typing.Mapping[str, folds.Entry],
-        touched: typing.Iterable[str],
+        changed_paths: typing.Iterable[str],
     ) -> schema.View:
         """Return the view at ``offset``.
 
@@ -46,19 +46,19 @@
             Of the last record folded in.
         entries
             The tree.
-        touched
+        changed_paths
             Paths that may differ from the last view.
         """
-        paths = list(touched)
+        paths = list(changed_paths)
         for kind in {path.partition("/")[0] for path in paths}:
             if kind in self.values:
                 self.values[kind] = dict(self.values[kind])
         for path in paths:
-            self.take(path, entries.get(path))
+            self.update_path(path, entries.get(path))
         self.view = schema.make_view(offset, self.values, self.singles)
         return self.view
 
-    def take(self, path: str, entry: folds.Entry | None) -> None:
+    def update_path(self, path: str, entry: folds.Entry | None) -> None:
         """Take one path's present state."""
         kind, _, name = path.partition("/")
         self.errors.pop(path, None)
--- a/tests/configuration/test_fold.py
+++ b/tests/configuration/test_fold.py
@@ -106,8 +106,8 @@
     )
     fold, verdicts = apply_all([create, delete, create])
     assert verdicts[2] == folds.Duplicate(3, 1)
-    apply_all([b"noise"] * (folds.WINDOW + 1), fold)
-    assert not fold.seen
+    apply_all([b"noise"] * (folds.REPLAY_WINDOW + 1), fold)
+    assert not fold.known_ids
     _, verdicts = apply_all([create], fold)
     assert verdicts[0].reason == folds.RejectReason.STALE
     assert fold.entries == {}
--- a/tests/configuration/test_following.py
+++ b/tests/configuration/test_following.py
@@ -31,19 +31,21 @@
 
 
 @pytest.fixture
-def follower(monkeypatch):
+def tracker(monkeypatch):
     """A follower whose entries tell of one cell each, or are away."""
     cells = {
         "127.0.0.1:3": following.AgentStatus("a", 7, "alive", 0.0),
         "127.0.0.1:4": following.AgentStatus("b", 6, "alive", 0.0),
     }
 
-    def fetch(self, address):
+    def fetch_status(self, address):
         if address not in cells:
             raise following.StatusUnavailableError(address)
         return following.Status((cells[address],))
 
-    monkeypatch.setattr(following.PropagationTracker, "fetch", fetch)
+    monkeypatch.setattr(
+        following.PropagationTracker, "fetch_status", fetch_status
+    )
 
     def make(rows=LIST):
         return following.PropagationTracker(
@@ -54,27 +56,25 @@
     return make
 
 
-def test_agents_of_other_cells_are_asked_for_too(follower):
+def test_agents_of_other_cells_are_asked_for_too(tracker):
     # An entry tells of its own cell.  An operator who reads "in force
     # everywhere" must not have been told of one zone alone.
-    found = follower().follow(7, timeout_s=0)
-    assert found.reached == ("a",)
-    assert [agent.name for agent in found.stragglers] == ["b"]
-    assert not found.done()
-    assert follower().follow(6, timeout_s=0).done()
+    propagation = tracker().follow(7, timeout_s=0)
+    assert propagation.reached == ("a",)
+    assert [agent.name for agent in propagation.stragglers] == ["b"]
+    assert not propagation.done()
+    assert tracker().follow(6, timeout_s=0).done()
 
 
-def test_a_listed_agent_that_no_entry_tells_of_is_named(follower):
-    del follower.cells["127.0.0.1:4"]
-    found = follower().follow(7, timeout_s=0)
-    assert found.unseen == ("b",)
-    assert not found.done()
+def test_a_listed_agent_that_no_entry_tells_of_is_named(tracker):
+    del tracker.cells["127.0.0.1:4"]
+    propagation = tracker().follow(7, timeout_s=0)
+    assert propagation.unseen == ("b",)
+    assert not propagation.done()
 
 
 @pytest.mark.parametrize("rows", [None, ()], ids=["away", "empty"])
-def test_without_the_instance_list_only_the_own_cell_is_claimed(
-    follower, rows
-):
-    found = follower(rows).follow(7, timeout_s=0)
-    assert found.reached == ("a",)
-    assert not found.listed
+def test_without_the_instance_list_only_the_own_cell_is_claimed(tracker, rows):
+    propagation = tracker(rows).follow(7, timeout_s=0)
+    assert propagation.reached == ("a",)
+    assert not propagation.listed
--- a/tests/configuration/test_reader.py
+++ b/tests/configuration/test_reader.py
@@ -145,8 +145,8 @@
     first = cluster.agents["a"].reader
     waiting.until(
         lambda: (
-            first.snapshotter.last
-            and first.snapshotter.last.through >= 3
+            first.snapshotter.latest
+            and first.snapshotter.latest.through >= 3
             and first.offset() == 4
         )
     )
@@ -231,12 +231,12 @@
     waiting.until(reader.ready)
     reader.stopping.set()
     reader.thread.join()
-    reader.proof_at = reader.contact_at = -math.inf
+    reader.proof_at = reader.peer_contact_at = -math.inf
     answer = messages.Records(
         True, reader.offset(), reader.tree.fold.digest, 0, True
     )
     asked_at = states.now_s() - 60
-    reader.take_reply(answer, asked_at, reader.offset())
+    reader.apply_reply(answer, asked_at, reader.offset())
     assert reader.staleness_s() >= 60
 
 
--- a/tests/configuration/test_snapshots.py
+++ b/tests/configuration/test_snapshots.py
@@ -47,7 +47,7 @@
     mixed = [chunk for pair in zip(one, two, strict=True) for chunk in pair]
     for chunk in [*mixed, *broken * 30]:
         client.append(snapshots.STREAM, snapshots.encode_chunk(chunk, KEY))
-    newest, end = snapshots.newest_whole(client, KEY)
+    newest, end = snapshots.newest_complete(client, KEY)
     assert newest.through == 5
     assert end == len(mixed) + 30 * len(broken)
 
@@ -56,5 +56,5 @@
     client = logs.LogClient(log.address)
     for offset in (2, 4, 6):
         append(client, fold_through(offset))
-    assert snapshots.oldest_whole(client, KEY, 3).through == 4
-    assert snapshots.oldest_whole(client, KEY, 7) is None
+    assert snapshots.oldest_complete(client, KEY, 3).through == 4
+    assert snapshots.oldest_complete(client, KEY, 7) is None
