--- a/src/briarseam/configuration/__init__.py
+++ b/src/briarseam/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: one stream of atomic changes, the same fold everywhere."""
+"""Configuration: a stream of atomic changes that all agents fold alike."""
--- a/src/briarseam/configuration/declarations.py
+++ b/src/briarseam/configuration/declarations.py
@@ -1,4 +1,4 @@
-"""Declarations in INI files: a section per path, a key per field."""
+"""Reads declarations from INI files: a section per path, a key per field."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
     Attributes
     ----------
     place
-        ``file:line``, or the option that it came from.
+        ``file:line`` of the error, or the command-line option.
     path
-        Path in the tree; empty when the file as a whole is meant.
+        Path in the tree; empty when the error concerns the file.
     expected
-        What was expected, and what was found.
+        The expected and the actual content.
     """
 
     def __init__(self, place: str, path: str, expected: str) -> None:
-        middle = f"{path}: " if path else ""
-        super().__init__(f"{place}: {middle}{expected}")
+        prefix = f"{path}: " if path else ""
+        super().__init__(f"{place}: {prefix}{expected}")
         self.place = place
         self.path = path
         self.expected = expected
@@ -39,16 +39,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Declaration:
-    """One path as declared.
+    """A declared path and its value.
 
     Attributes
     ----------
     path
         Path in the tree.
     value
-        The fields that were written, typed.
+        The declared fields, converted to their types.
     place
-        ``file:line`` of its section.
+        ``file:line`` of the section.
     """
 
     path: str
@@ -62,13 +62,12 @@
     Raises
     ------
     DeclarationError
-        With file, line, path, value and what was expected; the first that
-        is found.
+        For the first invalid declaration.
     """
     root = pathlib.Path(directory)
     files = sorted(root.rglob(f"*{SUFFIX}"))
     if not files:
-        raise DeclarationError(directory, "", f"no {SUFFIX} file there")
+        raise DeclarationError(directory, "", f"no {SUFFIX} file found")
     found: dict[str, Declaration] = {}
     for file in files:
         for declared in read_file(str(file)):
@@ -77,7 +76,7 @@
                 raise DeclarationError(
                     declared.place,
                     declared.path,
-                    f"declared before at {first.place}",
+                    f"already declared at {first.place}",
                 )
     return tuple(found.values())
 
@@ -111,12 +110,12 @@
 def field_value(
     kind: type, path: str, place: str, key: str, text: str
 ) -> typing.Any:
-    """Return one field's value from its text.
+    """Return one field's value, parsed from its text.
 
     Raises
     ------
     DeclarationError
-        When the field is not known or the text does not fit.
+        When the field is unknown or the text is invalid.
     """
     hints = typing.get_type_hints(kind, include_extras=True)
     if key not in hints:
@@ -133,14 +132,15 @@
         raise DeclarationError(
             place, path, f"{key} = {text}: {error}"
         ) from error
-    # Through JSON, so that a list is one here as it is when read back.
+    # Converted through JSON so that sequences are lists, as in values that
+    # are read back from the log.
     return msgspec.json.decode(msgspec.json.encode(typed))
 
 
 def validated(
     place: str, path: str, value: dict[str, typing.Any]
 ) -> dict[str, typing.Any]:
-    """Return a whole value after the schema's check."""
+    """Return a complete value after validating it against the schema."""
     try:
         schema.parse_value(path, value)
     except schema.SchemaError as error:
@@ -151,16 +151,22 @@
 def check_tokens(
     tree: typing.Mapping[str, typing.Any], places: typing.Mapping[str, str]
 ) -> None:
-    """Raise when a declared organisation has another one's bearer token.
+    """Check that no declared organisation shares another's bearer token.
 
-    Their callers would be taken for one another's.
+    With a shared token, requests of one organisation could not be
+    distinguished from those of the other.
 
     Parameters
     ----------
     tree
-        Values by path, as they would stand after the change.
+        Values by path after the change.
     places
-        Where the declared paths were declared.
+        ``file:line`` of each declared path.
+
+    Raises
+    ------
+    DeclarationError
+        When a token is shared.
     """
     owners: dict[str, str] = {}
     for path in sorted(tree, key=lambda path: path in places):
@@ -170,7 +176,7 @@
         other = owners.setdefault(digest, path)
         if other != path and path in places:
             raise DeclarationError(
-                places[path], path, f"has the same token_digest as {other}"
+                places[path], path, f"same token_digest as {other}"
             )
 
 
@@ -184,15 +190,15 @@
     path
         Path in the tree.
     present
-        Its present value; ``None`` when it is absent.
+        The current value; ``None`` when it is absent.
     assignments
-        In the form of the INI files; an empty value takes the field out, so
-        that its default counts.
+        Values in the format of the INI files; an empty value resets the
+        field to its default.
 
     Raises
     ------
     DeclarationError
-        When the outcome does not fit the path.
+        When the result is not valid for the path.
     """
     try:
         kind = schema.value_type(path)
--- a/src/briarseam/configuration/fold.py
+++ b/src/briarseam/configuration/fold.py
@@ -1,7 +1,7 @@
-"""The fold: every reader of the same records holds the same tree.
+"""Folds change records into a tree, the same for all readers.
 
-Nothing here depends on the schema, the release or a clock.  The verdict on
-a record follows from the records before it and from the teams alone.
+The fold does not depend on the schema, the release or a clock: the verdict
+on a record follows only from the preceding records and the teams.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from briarseam.configuration import records
 from briarseam.configuration import teams as team_types
 
-# How far back, in offsets, a change may have been planned and an id is
-# remembered.  A double of a record further back than that carries a base
-# that is too old, so forgetting its id is harmless.
+# Number of offsets for which ids are remembered and a change's base is
+# accepted.  A copy of an older record has a base outside the window, so its
+# id need not be remembered.
 REPLAY_WINDOW = 4096
 ABSENT = 0
 DIGEST_BYTES = 16
@@ -26,7 +26,7 @@
 
 
 class RejectReason(enum.StrEnum):
-    """Why a record changed nothing."""
+    """Why a record had no effect."""
 
     CONFLICT = "conflict"
     NOT_OWNED = "not-owned"
@@ -37,25 +37,25 @@
 
 @dataclasses.dataclass(frozen=True)
 class Accepted:
-    """The change took effect, whole, at ``offset``."""
+    """The change took effect as a whole at ``offset``."""
 
     offset: int
 
 
 @dataclasses.dataclass(frozen=True)
 class Rejected:
-    """The change had no effect, nor will it ever have.
+    """The change had no effect and never will.
 
     Attributes
     ----------
     offset
-        Where the record stands.
+        Offset of the record.
     reason
-        Why.
+        Why it was rejected.
     path
-        First path that stood against it; empty when none did.
+        First path that caused the rejection; empty when none did.
     winning_revision
-        Offset of the change that holds the path; 0 when it is absent.
+        Current revision of the path; 0 when it is absent.
     """
 
     offset: int
@@ -66,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Duplicate:
-    """The id was seen before at ``first``; that verdict stands."""
+    """The id occurred before at ``first``, whose verdict remains valid."""
 
     offset: int
     first: int
@@ -74,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class StoppedUnknownVersion:
-    """An authentic record of a version that this release does not know."""
+    """An authentic record of a version unknown to this release."""
 
     offset: int
     version: int
@@ -85,14 +85,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry:
-    """What stands at a path.
+    """The value at a path.
 
     Attributes
     ----------
     revision
-        The offset that set it.
+        Offset of the change that set it.
     packed
-        The raw value in msgpack, a fifth of the size of its objects.
+        The raw value in msgpack, which takes a fifth of the memory of the
+        decoded objects.
     """
 
     revision: int
@@ -105,29 +106,28 @@
 
 
 def item_digest(*parts: typing.Any) -> int:
-    """Return one item's share of the digest."""
+    """Return one item's summand of the digest."""
     packed = msgpack.packb(parts)
     digest = hashlib.blake2b(packed, digest_size=DIGEST_BYTES).digest()
     return int.from_bytes(digest, "big")
 
 
 class Fold:
-    """The tree after a prefix of the stream.
-
-    Not safe for several threads.
+    """The tree after a prefix of the stream; not thread-safe.
 
     Attributes
     ----------
     offset
-        Last record folded in.
+        Offset of the last record applied.
     entries
         The tree by path.
     known_ids
         First offset of each id in the window, in order of offset.
     changed_paths
-        Paths set or deleted since the owner last cleared it.
+        Paths set or deleted after the owner last cleared this set.
     stopped
-        Set once an unknown version was met; nothing is folded after it.
+        Set at a record of an unknown version, after which no record is
+        applied.
     """
 
     def __init__(self) -> None:
@@ -142,8 +142,8 @@
     def digest(self) -> str:
         """Digest of the tree and the remembered ids, in hex.
 
-        A sum over items, so that one change costs as much as it touches
-        and not as much as the tree holds.
+        It is a sum over items, so that the cost of an update depends on the
+        size of the change and not on that of the tree.
         """
         return f"{self.digest_sum:0{2 * DIGEST_BYTES}x}"
 
@@ -159,12 +159,12 @@
     def apply(
         self, offset: int, data: bytes, teams: team_types.Teams
     ) -> FoldVerdict:
-        """Fold in the record at ``offset``, the one after the last.
+        """Apply the record at ``offset``, which follows the last one.
 
         Raises
         ------
         ValueError
-            When it is not the next one.
+            When ``offset`` does not follow the last one.
         """
         if self.stopped is not None:
             return self.stopped
@@ -181,14 +181,14 @@
     def evaluate(
         self, offset: int, data: bytes, teams: team_types.Teams
     ) -> FoldVerdict:
-        """Return the verdict on a record and carry it out."""
+        """Return the verdict on a record and apply it."""
         try:
             envelope = records.open_envelope(data)
         except records.RecordError:
             return Rejected(offset, RejectReason.NOT_AUTHENTIC)
-        # Whoever can only append to the log holds no team's key, so this
-        # comes before anything that the record says is believed, its
-        # version included: a forged unknown version must not stop us.
+        # The proof is verified before any other part of the record is used,
+        # the version included: a writer without a team's key must not be
+        # able to stop the fold by a forged version.
         if not teams.verifies(
             envelope.author, envelope.signed_bytes(), envelope.proof
         ):
@@ -204,10 +204,10 @@
     def evaluate_change(
         self, offset: int, change: records.Change, teams: team_types.Teams
     ) -> FoldVerdict:
-        """Return the verdict on an authentic change and carry it out."""
-        # A copy of an old record appended again must not bring its values
-        # back.  Within the window its id is known; beyond it its base, which
-        # the proof covers, is too old.
+        """Return the verdict on an authentic change and apply it."""
+        # An old record that is appended again must not restore its values.
+        # Within the window its id is known; beyond the window its base,
+        # which the proof covers, is too old.
         if not offset - REPLAY_WINDOW <= change.base < offset:
             return Rejected(offset, RejectReason.STALE)
         first = self.known_ids.get(change.id)
@@ -228,14 +228,14 @@
         return Accepted(offset)
 
     def put(self, path: str, revision: int, value: records.Value) -> None:
-        """Set or, with ``None``, delete one path."""
+        """Set one path, or delete it if ``value`` is ``None``."""
         packed = None if value is None else msgpack.packb(value)
         self.put_packed(path, revision, packed)
 
     def put_packed(
         self, path: str, revision: int, packed: bytes | None
     ) -> None:
-        """Set or, with ``None``, delete one path by its packed value."""
+        """Set one path to a packed value, or delete it if ``None``."""
         self.changed_paths.add(path)
         old = self.entries.pop(path, None)
         if old is not None:
@@ -245,12 +245,12 @@
             self.add_to_digest(item_digest(path, revision, packed))
 
     def remember_id(self, change_id: str, offset: int) -> None:
-        """Remember where an id came first."""
+        """Remember the first offset of an id."""
         self.known_ids[change_id] = offset
         self.add_to_digest(item_digest(change_id, offset))
 
     def forget_ids(self) -> None:
-        """Forget the ids that the window has passed."""
+        """Forget the ids that are outside the window."""
         while self.known_ids:
             change_id, first = next(iter(self.known_ids.items()))
             if self.offset - first <= REPLAY_WINDOW:
@@ -259,12 +259,12 @@
             self.add_to_digest(-item_digest(change_id, first))
 
     def add_to_digest(self, amount: int) -> None:
-        """Add an item's digest, negative to take it out."""
+        """Add an item's digest, or remove it if negative."""
         self.digest_sum = (self.digest_sum + amount) % DIGEST_MODULUS
 
 
 def dump(fold: Fold) -> bytes:
-    """Return the fold's whole state as bytes."""
+    """Return the fold's complete state as bytes."""
     entries = [
         [path, entry.revision, entry.packed]
         for path, entry in fold.entries.items()
@@ -276,12 +276,12 @@
 
 
 def load(data: bytes) -> Fold:
-    """Return the fold of :func:`dump`'s bytes.
+    """Return the fold of the bytes that :func:`dump` returned.
 
     Raises
     ------
     ValueError
-        When the bytes are no such state.
+        When the bytes are not a valid state.
     """
     fold = Fold()
     try:
--- a/src/briarseam/configuration/following.py
+++ b/src/briarseam/configuration/following.py
@@ -1,4 +1,4 @@
-"""Follows an accepted change until every live agent has it in force."""
+"""Tracks an accepted change until every live agent has it in force."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class AgentStatus:
-    """One agent as an entry's status names it.
+    """An agent in an entry's status.
 
     Attributes
     ----------
     name
-        The agent.
+        Name of the agent.
     configuration_offset
-        Last offset that it reported.
+        Last offset that the agent reported.
     state
-        As its peers see it.
+        The agent's state in the view of its peers.
     age_s
-        Time since it was heard.
+        Time since the agent was last heard from, in seconds.
     reached
-        Whether it answered the entry's question.
+        Whether the agent answered the entry's query.
     """
 
     name: str
@@ -45,34 +45,34 @@
 
 @dataclasses.dataclass(frozen=True)
 class Status:
-    """The part of an entry's status that matters here."""
+    """The part of an entry's status that the tracker uses."""
 
     agents: tuple[AgentStatus, ...]
 
 
 class StatusUnavailableError(Exception):
-    """An entry did not tell the agents' offsets."""
+    """An entry did not report the agents' offsets."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Propagation:
-    """How far a change has come.
+    """Which agents have a change in force.
 
     Attributes
     ----------
     offset
-        The change's offset.
+        Offset of the change.
     reached
-        Live agents that have it in force.
+        Live agents that have the change in force.
     stragglers
-        Live agents that have not reported it.
+        Live agents that have not reported the change.
     unseen
-        Agents that the instance list calls live and no entry told of.
+        Agents that are live in the instance list but that no entry reported.
     listed
-        Whether the instance list named any agent; if not, these are only
-        the agents of the cells of the entries asked.
+        Whether the instance list contained any agent; if not, only the cells
+        of the queried entries are covered.
     waited_s
-        How long that was followed.
+        How long the change was tracked, in seconds.
     """
 
     offset: int
@@ -83,22 +83,22 @@
     waited_s: float
 
     def done(self) -> bool:
-        """Tell whether every live agent has the change in force."""
+        """Return whether every live agent has the change in force."""
         return bool(self.reached) and not self.stragglers and not self.unseen
 
 
 class PropagationTracker:
-    """Asks entries how far the agents are.
+    """Queries entries for the offsets of the agents.
 
-    An entry tells of its own cell, so entries are asked until every agent
-    that the instance list calls live was told of.
+    An entry reports its own cell only, so entries are queried until every
+    agent that is live in the instance list has been reported.
 
     Parameters
     ----------
     entries
-        Entry addresses to ask first.
+        Addresses of the entries to query first.
     instances
-        Names the further entries and the live agents.
+        Source of the other entries and the live agents.
     token
         Operator token.
     """
@@ -115,7 +115,7 @@
         self.pool = urllib3.PoolManager(retries=False)
 
     def follow(self, offset: int, timeout_s: float) -> Propagation:
-        """Ask until every live agent has ``offset`` or time is up."""
+        """Poll until every live agent has ``offset`` or the time is up."""
         started = time.monotonic()
         while True:
             expected, agents = self.collect_statuses()
@@ -126,7 +126,7 @@
             time.sleep(POLL_S)
 
     def collect_statuses(self) -> tuple[set[str], dict[str, AgentStatus]]:
-        """Return the names of listed agents and those told of, by name."""
+        """Return the names of listed agents, and reported agents by name."""
         listed = self.list_live_instances()
         expected = {one.name for one in listed if one.role == "agent"}
         entries = [one.address for one in listed if one.role == "entry"]
@@ -142,7 +142,7 @@
         return expected, agents
 
     def list_live_instances(self) -> list[instance_list.Instance]:
-        """Return the live instances, none while the list is down."""
+        """Return the live instances; none while the list is unavailable."""
         try:
             rows = self.instances.read().instances
         except instance_list.InstanceListUnavailableError:
@@ -151,12 +151,12 @@
         return [one for one in rows if one.state is live]
 
     def fetch_status(self, address: str) -> Status:
-        """Return the status that an entry gives.
+        """Return the status from an entry.
 
         Raises
         ------
         StatusUnavailableError
-            When it gives none.
+            When the entry does not return its status.
         """
         try:
             response = self.pool.request(
@@ -180,7 +180,7 @@
     offset: int,
     waited_s: float,
 ) -> Propagation:
-    """Return who has reached ``offset``."""
+    """Return which agents have reached ``offset``."""
     live = [one for one in agents.values() if one.state not in NOT_LIVE]
     return Propagation(
         offset=offset,
@@ -195,5 +195,5 @@
 
 
 def has_reached(agent: AgentStatus, offset: int) -> bool:
-    """Tell whether an agent reports to have ``offset`` in force."""
+    """Return whether an agent reported that it has ``offset`` in force."""
     return agent.reached and agent.configuration_offset >= offset
--- a/src/briarseam/configuration/handlers.py
+++ b/src/briarseam/configuration/handlers.py
@@ -1,4 +1,4 @@
-"""Answers other agents' questions about the configuration."""
+"""Handles other agents' queries for the configuration."""
 
 from __future__ import annotations
 
@@ -22,11 +22,12 @@
     Parameters
     ----------
     tree
-        What this agent holds.
+        The local tree.
     ready
-        Whether this agent has a tree that may be believed.
+        Returns whether the local tree has been loaded.
     proof_age_ms
-        Age of this agent's last proof that it was current, -1 for never.
+        Returns the age of the last proof that the local tree was current,
+        in ms; -1 for never.
     """
 
     def __init__(
@@ -42,14 +43,14 @@
         self.packed_offset = -1
 
     def register(self, router: server.Router) -> None:
-        """Answer these messages on ``router``."""
+        """Register the handlers with ``router``."""
         router.on(messages.FetchRecords, self.fetch_records)
         router.on(messages.FetchState, self.fetch_state)
 
     def fetch_records(
         self, peer: connections.Identity, request: messages.FetchRecords
     ) -> messages.Records:
-        """Return records past the asker's offset, waiting for some."""
+        """Return records after the peer's offset; may wait for some."""
         wait_s = min(request.wait_ms, MAX_WAIT_MS) / 1000
         with self.tree.changed:
             if wait_s > 0:
@@ -67,7 +68,7 @@
     def fetch_state(
         self, peer: connections.Identity, request: messages.FetchState
     ) -> messages.State:
-        """Return one part of the whole state."""
+        """Return one part of the complete state."""
         if not self.ready():
             return messages.State(ready=False)
         with self.tree.changed:
--- a/src/briarseam/configuration/history.py
+++ b/src/briarseam/configuration/history.py
@@ -1,4 +1,4 @@
-"""Who changed what, when, and what came of it."""
+"""Lists past changes with their author, time and verdict."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Event:
-    """One record of the stream, judged.
+    """A record of the stream with its verdict.
 
     Attributes
     ----------
     offset
-        Where it stands.
+        Offset of the record.
     time_ms
-        The log's clock, in ms since the epoch.
+        Time by the log's clock, in ms since the epoch.
     team, operator, id
-        Who wrote it; empty when the record tells nothing that is proved.
+        Author and id of the change; empty when the record is not authentic.
     verdict
-        What came of it.
+        The verdict on the record.
     sets
         Values by path; ``None`` deletes.
     """
@@ -45,17 +45,17 @@
 def read(
     client: logs.LogClient, teams: team_types.Teams, key: bytes
 ) -> tuple[Event, ...]:
-    """Return the events that the log still holds and that can be judged.
+    """Return the events that the log retains and that can be evaluated.
 
-    Judging begins at the stream's start or, once retention has passed that,
-    at the oldest snapshot that reaches it.
+    Evaluation begins at the start of the stream or, once retention has
+    removed that, at the oldest snapshot that covers the removed records.
 
     Raises
     ------
     logs.LogUnavailableError
         When the log cannot be read.
     loading.HistoryLostError
-        When no snapshot reaches the oldest record.
+        When no snapshot covers the records before the oldest one.
     """
     events: list[Event] = []
 
@@ -67,7 +67,7 @@
 
 
 def oldest_fold(client: logs.LogClient, key: bytes) -> folds.Fold:
-    """Return the earliest fold from which the log can be read on."""
+    """Return the earliest fold from which the log can be read."""
     first = client.read(records.STREAM, 0, limit=1).first
     if first == 1:
         return folds.Fold()
@@ -78,10 +78,10 @@
 
 
 def make_event(record: logs.Record, verdict: folds.FoldVerdict) -> Event:
-    """Return a judged record as an event."""
+    """Return a record and its verdict as an event."""
     change = records.decode_unverified(record.data)
     match verdict:
-        # What a forged record says of its author is nobody's word.
+        # The author named in a forged record can't be trusted.
         case folds.Rejected(reason=folds.RejectReason.NOT_AUTHENTIC):
             change = None
     return Event(
--- a/src/briarseam/configuration/loading.py
+++ b/src/briarseam/configuration/loading.py
@@ -1,4 +1,4 @@
-"""A fold from the log alone: newest whole snapshot, then the tail."""
+"""Loads a fold from the log: the newest complete snapshot, then the tail."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 class HistoryLostError(Exception):
-    """Records that no whole snapshot covers are past the log's retention."""
+    """Retention removed records that no complete snapshot covers."""
 
 
 def ignore(record: logs.Record, verdict: folds.FoldVerdict) -> None:
-    """Take no note of a record."""
+    """Ignore a record."""
 
 
 def load(
@@ -39,18 +39,18 @@
     client
         The log.
     teams
-        Whose changes are believed.
+        Teams that may author changes.
     key
         Key of the snapshots.
     on_record
-        Told of each record of the tail with its verdict.
+        Called with each record of the tail and its verdict.
 
     Raises
     ------
     logs.LogUnavailableError
         When the log cannot be read.
     HistoryLostError
-        When neither the records nor a snapshot of them are left.
+        When neither the records nor a snapshot of them are available.
     """
     fold = load_snapshot(client, key)
     read_tail(client, fold, teams, on_record)
@@ -60,8 +60,8 @@
 def start_over(client: logs.LogClient) -> folds.Fold:
     """Return an empty tree at the end of a log that lost its history.
 
-    Only for an operator who knows that no agent holds a tree any more: all
-    instances were away for longer than the log keeps records.
+    Used only by an operator who knows that no agent still holds a tree,
+    because all instances were down for longer than the log's retention.
 
     Raises
     ------
@@ -74,7 +74,7 @@
 
 
 def load_snapshot(client: logs.LogClient, key: bytes) -> folds.Fold:
-    """Return the fold of the newest whole snapshot, else an empty one."""
+    """Return the fold of the newest complete snapshot, or an empty fold."""
     newest, _ = snapshots.newest_complete(client, key)
     if newest is None:
         return folds.Fold()
@@ -93,14 +93,14 @@
     teams: team_types.Teams,
     on_record: OnRecord = ignore,
 ) -> None:
-    """Fold in what follows, up to the end of the log.
+    """Apply the records after the fold's offset, up to the log's end.
 
     Raises
     ------
     logs.LogUnavailableError
         When the log cannot be read.
     HistoryLostError
-        When the record after the fold's last is gone.
+        When the record after the fold's last one has been removed.
     """
     while True:
         batch = client.read(records.STREAM, fold.offset)
@@ -115,16 +115,17 @@
 
 
 def check_batch(batch: logs.Batch, offset: int) -> None:
-    """Raise unless ``batch`` goes on from ``offset``.
+    """Check that ``batch`` continues from ``offset``.
 
     Raises
     ------
     HistoryLostError
-        When records between are gone, or the log ends before ``offset``.
+        When records in between are missing, or the log ends before
+        ``offset``.
     """
-    # Folding on over a hole would leave this reader alone with its own
-    # tree; a log that ends earlier than what we hold has lost records, and
-    # following it would take accepted changes back.
+    # Folding over missing records would give this reader a tree that
+    # differs from all others.  A log that ends before the tree has lost
+    # records, and following it would revert accepted changes.
     if batch.first > offset + 1:
         raise HistoryLostError(
             f"the log starts at {batch.first}, the tree ends at {offset}"
--- a/src/briarseam/configuration/messages.py
+++ b/src/briarseam/configuration/messages.py
@@ -10,14 +10,14 @@
 @codec.message("configuration.fetch-records")
 @dataclasses.dataclass(frozen=True)
 class FetchRecords:
-    """Ask a peer for records past ``after``; it may wait for some.
+    """Query a peer for records after ``after``.
 
     Attributes
     ----------
     after
-        Last offset the asker has folded.
+        Offset of the last record that the sender has applied.
     wait_ms
-        How long the peer may hold the answer back while it has none.
+        Maximum time that the peer waits for a record before it answers.
     """
 
     after: int
@@ -27,23 +27,23 @@
 @codec.message("configuration.records")
 @dataclasses.dataclass(frozen=True)
 class Records:
-    """Records in order of offset without holes.
+    """Records in order of offset, without gaps.
 
     Attributes
     ----------
     ready
-        Whether the peer has a tree at all.
+        Whether the peer has loaded a tree.
     offset
-        Last offset the peer has folded.
+        Offset of the last record that the peer has applied.
     digest
-        Digest of its fold at that offset.
+        Digest of the peer's fold at that offset.
     proof_age_ms
-        How long ago the peer's state was last shown to be the log's end;
-        -1 when never.
+        Age of the last proof that the peer's state was the log's end;
+        -1 for never.
     retained
-        Whether the peer still holds every record past ``after``.
+        Whether the peer holds every record after ``after``.
     data
-        The records' bytes; the first has offset ``after`` + 1.
+        The encoded records; the first has offset ``after`` + 1.
     """
 
     ready: bool
@@ -57,7 +57,7 @@
 @codec.message("configuration.fetch-state")
 @dataclasses.dataclass(frozen=True)
 class FetchState:
-    """Ask a peer for one part of its whole state."""
+    """Query a peer for one part of its complete state."""
 
     part: int = 0
 
@@ -70,17 +70,17 @@
     Attributes
     ----------
     ready
-        Whether the peer has a tree at all; if not, the rest is empty.
+        Whether the peer has loaded a tree; if not, all else is empty.
     offset
-        Last offset folded in.
+        Offset of the last record applied.
     digest
         Digest of the fold.
     parts
         Number of parts.
     part
-        Which one this is, from 0.
+        Index of this part, from 0.
     data
-        Its bytes.
+        Bytes of this part.
     """
 
     ready: bool
--- a/src/briarseam/configuration/peers.py
+++ b/src/briarseam/configuration/peers.py
@@ -1,4 +1,4 @@
-"""Configuration from other agents, asked for over the wire."""
+"""Fetches the configuration from other agents."""
 
 from __future__ import annotations
 
@@ -19,41 +19,42 @@
 READERS_PER_CELL = 2
 ANSWER_TIMEOUT_S = 1.5
 MAX_PARTS = 4096
-# Above any offset: an answer to it carries the peer's offset and no data.
+# The answer to a query after this offset carries the peer's offset but no
+# records.
 ABOVE_ANY_OFFSET = 1 << 62
 
 Members = typing.Callable[[], typing.Mapping[str, str]]
 
 
 class PeerError(Exception):
-    """The peer gave no usable answer."""
+    """The peer returned no usable answer."""
 
 
 def rank(name: str) -> int:
-    """Return where a member stands in the order of readers."""
+    """Return a member's sort key in the order of readers."""
     return xxhash.xxh64_intdigest(f"configuration-reader/{name}".encode())
 
 
 def ranked(names: typing.Iterable[str]) -> list[str]:
-    """Return the names, those that read the log first."""
+    """Return the names in the order of readers."""
     return sorted(names, key=rank)
 
 
 @dataclasses.dataclass
 class Peers:
-    """Asks peers; keeps one client for each address.
+    """Queries peers; keeps one client for each address.
 
     Attributes
     ----------
     identity
-        This process.
+        Identity of the local process.
     key
         The agents' shared key.
     members
-        Gives the live members of the cell, wire address by name.
+        Returns wire addresses by name of the live members of the cell.
     other_cell_members
-        Gives agents of other cells in the same form; asked only when
-        neither the log nor the cell can tell.
+        Returns wire addresses by name of agents of other cells; these are
+        queried only when neither the log nor the cell can answer.
     """
 
     identity: connections.Identity
@@ -70,7 +71,7 @@
         return members
 
     def other_cell_addresses(self) -> dict[str, str]:
-        """Return agents of other cells, addresses by name."""
+        """Return the addresses of agents of other cells by name."""
         known = {*self.members(), self.identity.name}
         return {
             name: address
@@ -79,16 +80,16 @@
         }
 
     def address_of(self, name: str) -> str | None:
-        """Return an agent's address, ``None`` when it is not known."""
+        """Return an agent's address, or ``None`` when it is unknown."""
         address = self.addresses().get(name)
         return address or self.other_cell_addresses().get(name)
 
     def readers(self) -> list[str]:
-        """Return the names of those that read the log for the cell.
+        """Return the names of the agents that read the log for the cell.
 
-        Members may differ for a moment over who that is.  Then some more or
-        fewer read the log, and those that hear nothing turn to it
-        themselves; nothing else depends on it.
+        While members have different views of the cell, more or fewer agents
+        read the log.  Agents that receive no records read it themselves, so
+        nothing else depends on agreement.
         """
         names = {*self.addresses(), self.identity.name}
         return ranked(names)[:READERS_PER_CELL]
@@ -96,12 +97,12 @@
     def fetch_records(
         self, address: str, after: int, wait_ms: int
     ) -> messages.Records:
-        """Return a peer's records past ``after``.
+        """Return a peer's records after ``after``.
 
         Raises
         ------
         PeerError
-            When it gave no usable answer.
+            When the peer returned no usable answer.
         """
         request = messages.FetchRecords(after, wait_ms)
         timeout_s = wait_ms / 1000 + ANSWER_TIMEOUT_S
@@ -111,12 +112,13 @@
         return reply
 
     def fetch_state(self, address: str) -> folds.Fold:
-        """Return a peer's whole state.
+        """Return a peer's complete state.
 
         Raises
         ------
         PeerError
-            When it has none or it changed too often meanwhile.
+            When the peer has no state, or it changed too often during the
+            transfer.
         """
         parts: list[messages.State] = []
         for _ in range(MAX_PARTS):
@@ -125,21 +127,20 @@
             if not isinstance(reply, messages.State) or not reply.ready:
                 raise PeerError(f"{address} has no state")
             if parts and reply.offset != parts[0].offset:
-                # It moved on between two parts: begin again.
+                # The state changed between two parts; start again.
                 parts = []
                 continue
             parts.append(reply)
             if len(parts) == reply.parts:
                 return join_parts(parts)
-        raise PeerError(f"{address} gave no whole state")
+        raise PeerError(f"{address} returned no complete state")
 
     def highest_state(
         self, addresses: typing.Iterable[str]
     ) -> folds.Fold | None:
-        """Return the state of highest offset among these, ``None`` of none.
+        """Return the state with the highest offset, ``None`` without any.
 
-        One that cannot give its state after all is passed over for the
-        next.
+        A peer that can't return its state is skipped for the next one.
         """
         offsets: dict[str, int] = {}
         for address in addresses:
--- a/src/briarseam/configuration/plans.py
+++ b/src/briarseam/configuration/plans.py
@@ -1,4 +1,4 @@
-"""What a set of declarations would change in a tree."""
+"""Plans the changes that bring a tree in line with declarations."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Action(enum.StrEnum):
-    """What happens to a path."""
+    """The action on a path."""
 
     ADD = "add"
     CHANGE = "change"
@@ -23,21 +23,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class Step:
-    """One path of a plan.
+    """The change of one path.
 
     Attributes
     ----------
     action
-        What happens to it.
+        The action on the path.
     path
         Path in the tree.
     before, after
-        Its value; ``None`` when absent.
+        The values; ``None`` when absent.
     revision
-        Its present revision, 0 when absent.
+        The current revision; 0 when absent.
     conflict
-        Whether it was set after the offset that the declarations are based
-        on.
+        Whether the path was set after the offset that the declarations are
+        based on.
     """
 
     action: Action
@@ -48,7 +48,7 @@
     conflict: bool = False
 
     def differences(self) -> tuple[str, ...]:
-        """Return one text for each field that differs."""
+        """Return a description of each field that differs."""
         if self.action is Action.DELETE:
             return ()
         after = self.after
@@ -68,20 +68,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Plan:
-    """What one team's declarations would change.
+    """The changes that a team's declarations require.
 
     Attributes
     ----------
     team
         The author.
     base
-        Offset of the tree that it was made on.
+        Offset of the tree that the plan is made for.
     steps
-        Changes by path.
+        Changes in order of path.
     foreign
-        Declared paths that other teams hold; they are left alone.
+        Declared paths that other teams own, which are not changed.
     unchanged
-        Number of declared paths that stand already.
+        Number of declared paths that are already as declared.
     """
 
     team: str
@@ -91,11 +91,11 @@
     unchanged: int
 
     def conflicts(self) -> tuple[Step, ...]:
-        """Return the steps that someone else came before."""
+        """Return the steps whose path was set in the meantime."""
         return tuple(step for step in self.steps if step.conflict)
 
     def change(self, operator: str) -> records.Change:
-        """Return the one atomic change that carries it out."""
+        """Return the atomic change that executes the plan."""
         return records.Change(
             id=records.new_id(),
             author=self.team,
@@ -107,7 +107,7 @@
 
 
 def format_value(value: typing.Any) -> str:
-    """Return a field's value as an operator would write it."""
+    """Return a field's value in the format of the INI files."""
     match value:
         case None:
             return "(default)"
@@ -126,16 +126,16 @@
     declared: typing.Mapping[str, typing.Any],
     based_on: int | None = None,
 ) -> Plan:
-    """Return the plan that makes a team's subtree what is declared.
+    """Return the plan that brings a team's subtree in line with declarations.
 
     Parameters
     ----------
     fold
-        The present tree.
+        The current tree.
     teams
-        Who holds which path.
+        Owners of the paths.
     team
-        The author; paths of its subtree that are not declared are deleted.
+        The author; undeclared paths of its subtree are deleted.
     declared
         Values by path.
     based_on
@@ -148,7 +148,7 @@
         plan_step(fold, path, declared.get(path), based_on)
         for path in sorted(own | held)
     ]
-    changed = tuple(found for found in steps if found is not None)
+    changed = tuple(step for step in steps if step is not None)
     return Plan(
         team=team,
         base=fold.offset,
@@ -161,7 +161,7 @@
 def plan_step(
     fold: folds.Fold, path: str, after: typing.Any, based_on: int | None
 ) -> Step | None:
-    """Return what happens to one path, ``None`` for nothing."""
+    """Return the step for one path, or ``None`` if it is unchanged."""
     entry = fold.entries.get(path)
     before = entry.value if entry else None
     if before == after:
--- a/src/briarseam/configuration/publish.py
+++ b/src/briarseam/configuration/publish.py
@@ -1,4 +1,4 @@
-"""Publishes a change and finds out what became of it."""
+"""Publishes a change and determines its outcome."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
     from briarseam.configuration import teams as team_types
 
 DEFAULT_SETTLE_S = 10.0
-# Part of the time to settle after which a change that did not show is made
-# void; the rest is for that.
+# Fraction of the settle time after which a change that has not appeared in
+# the log is voided; the remaining time is for voiding it.
 VOID_AFTER_FRACTION = 0.3
 POLL_MS = 250
 RETRY_S = 0.2
@@ -32,14 +32,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Unknown:
-    """The log did not say in time what became of the change.
+    """The outcome of the change could not be determined in time.
 
     Attributes
     ----------
     id
-        The change's id, to look for in the history.
+        Id of the change, to search for in the history.
     detail
-        What was lost.
+        Why the outcome is unknown.
     """
 
     id: str
@@ -57,14 +57,16 @@
     client
         The log.
     teams
-        Whose changes are believed; holds the author's key.
+        Teams that may author changes; holds the author's key.
     fold
-        The tree the changes are planned on; followed on from there.
+        The tree that the changes are planned on; later records are applied
+        to it.
     settle_s
-        How long to go on finding out what became of a change.
+        Maximum time to determine the outcome of a change, in seconds.
     void_after_s
-        How long a change whose append got no answer is looked for before
-        it is made void; a part of ``settle_s`` unless given.
+        How long the log is searched for a change whose append was not
+        answered before the change is voided, in seconds; by default a
+        fraction of ``settle_s``.
     """
 
     def __init__(
@@ -86,14 +88,14 @@
         )
 
     def apply(self, change: records.Change) -> Outcome:
-        """Publish ``change`` and return what became of it.
-
-        The change is appended once.  When the answer to that is lost, its
-        record may be in the log already, may come later or never.  So the
-        log is read on for its id; if it does not show, an empty change of
-        the same id is appended, and whichever of the two has the lower
-        offset counts at every reader.  Appending the change itself again
-        would be safe too, but could bring it into force long after its
+        """Publish ``change`` and return its outcome.
+
+        The change is appended once.  If the answer is lost, the record may
+        be in the log already, or arrive later or never.  The log is then
+        searched for the change's id.  If it does not appear, an empty change
+        with the same id is appended; every reader applies whichever of the
+        two has the lower offset.  Appending the change itself again would
+        be safe as well, but might bring it into force long after the
         operator gave up.
 
         Raises
@@ -101,7 +103,7 @@
         RecordError
             When the change is too large for the log.
         TeamsError
-            When the author's key is not known here.
+            When this process does not hold the author's key.
         """
         deadline = time.monotonic() + self.settle_s
         data = records.encode(change, self.teams.sign)
@@ -118,7 +120,7 @@
     def settle(
         self, change: records.Change, detail: str, deadline: float
     ) -> Outcome:
-        """Find out what became of a change whose append had no answer."""
+        """Determine the outcome of a change whose append was not answered."""
         search_deadline = min(deadline, time.monotonic() + self.void_after_s)
         outcome = self.find_outcome(change, search_deadline)
         if outcome is not None:
@@ -128,8 +130,8 @@
         )
         data = records.encode(void, self.teams.sign)
         while time.monotonic() < deadline:
-            # A void is idempotent, so this one is sent until it is known
-            # to be in the log.
+            # The empty change is idempotent, so it is appended again until
+            # it is known to be in the log.
             append = self.client.append(records.STREAM, data)
             if isinstance(append, logs.Appended):
                 outcome = self.find_outcome(change, deadline)
@@ -142,14 +144,14 @@
     def find_outcome(
         self, change: records.Change, deadline: float
     ) -> Outcome | None:
-        """Read on for the change's id; ``None`` when it did not show."""
+        """Search the log for the change; ``None`` if it did not appear."""
         while True:
             outcome = self.read_batch(change)
             if outcome is not None or time.monotonic() >= deadline:
                 return outcome
 
     def read_batch(self, change: records.Change) -> Outcome | None:
-        """Fold in one batch; return the change's outcome if it is there."""
+        """Apply one batch and return the change's outcome if it has it."""
         try:
             batch = self.client.read(records.STREAM, self.fold.offset, POLL_MS)
             loading.check_batch(batch, self.fold.offset)
@@ -169,19 +171,19 @@
         record: logs.Record,
         verdict: folds.FoldVerdict,
     ) -> Outcome | None:
-        """Return the change's outcome if ``record`` settles it."""
+        """Return the change's outcome if ``record`` determines it."""
         if isinstance(verdict, folds.StoppedUnknownVersion):
             return Unknown(
                 change.id,
                 f"the record at {verdict.offset} has version"
-                f" {verdict.version}, which this release does not know",
+                f" {verdict.version}, which this release does not support",
             )
         recorded = records.decode_unverified(record.data)
         if recorded is None or recorded.id != change.id:
             return None
         match verdict:
             case folds.Accepted() if change.sets and not recorded.sets:
-                return NotAppended("made void: the log did not answer", 0.0)
+                return NotAppended("voided: the log did not answer", 0.0)
             case folds.Accepted() | folds.Rejected():
                 return authentic_or_none(verdict)
         return None
@@ -190,7 +192,7 @@
 def authentic_or_none(
     verdict: folds.Accepted | folds.Rejected,
 ) -> Outcome | None:
-    """Return the verdict unless it is on a forgery of the change."""
+    """Return the verdict, or ``None`` if the record was forged."""
     match verdict:
         case folds.Rejected(reason=folds.RejectReason.NOT_AUTHENTIC):
             return None
--- a/src/briarseam/configuration/reader.py
+++ b/src/briarseam/configuration/reader.py
@@ -1,8 +1,8 @@
-"""An agent's reader: the configuration in force here, and how current.
+"""Keeps an agent's configuration up to date and knows how current it is.
 
-Two agents of a cell follow the log; the others put long polls to those two
-and get each record as it arrives.  An agent that learns nothing from them
-turns to the log itself, then to any other peer.
+Two agents of a cell follow the log; the others send long polls to those two
+and receive each record as it arrives.  An agent that receives nothing from
+them reads the log itself, then queries other peers.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     from briarseam.wire import connection as connections
     from briarseam.wire import server
 
-# A peer's proof older than this is no news: ask someone else too.
+# A peer whose proof is older than this is not current: query others as well.
 MAX_PROOF_AGE_S = 4.0
 MIN_PAUSE_S = 0.1
 MAX_PAUSE_S = 2.0
@@ -42,16 +42,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Options:
-    """How a reader works.
+    """Options of a reader.
 
     Attributes
     ----------
     log_wait_ms
-        Length of one long poll at the log.
+        Duration of a long poll of the log.
     peer_wait_ms
-        Length of one long poll at a reading peer.
+        Duration of a long poll of a peer that reads the log.
     all_agents_read
-        Every agent follows the log; for comparison by measurement.
+        Make every agent follow the log, as a baseline for benchmarks.
     snapshots
         When snapshots are due.
     """
@@ -63,14 +63,14 @@
 
 
 def options_for(log_poll_ms: int, log_retention_s: float) -> Options:
-    """Return the options that a platform's log asks for.
+    """Return the options for the settings of a platform's log.
 
     Parameters
     ----------
     log_poll_ms
-        Length of one long poll at the log.
+        Duration of a long poll of the log.
     log_retention_s
-        How long the log keeps a record.
+        How long the log keeps a record, in seconds.
     """
     max_age_s = log_retention_s / snapshotting.RENEWALS_PER_RETENTION
     return Options(
@@ -87,16 +87,18 @@
     client
         The log.
     teams
-        Whose changes are believed.
+        Teams that may author changes.
     identity
-        This process.
+        Identity of the local process.
     key
         The agents' shared key.
     members
-        Gives the live members of the cell, wire address by name; with or
-        without this agent.
+        Returns wire addresses by name of the live members of the cell, with
+        or without this agent.
+    other_cell_members
+        Returns wire addresses by name of agents of other cells.
     options
-        How it works.
+        Options of the reader.
     """
 
     def __init__(
@@ -139,39 +141,39 @@
         )
 
     def start(self) -> None:
-        """Begin to load and to follow."""
+        """Start loading and following the configuration."""
         self.thread.start()
         self.snapshotter.start()
 
     def stop(self) -> None:
-        """Stop after the poll under way."""
+        """Stop after the current poll."""
         self.stopping.set()
         self.snapshotter.stop()
         self.peers.close()
 
     def register(self, router: server.Router) -> None:
-        """Answer peers' messages on ``router``."""
+        """Register the handlers of peers' messages with ``router``."""
         self.handlers.register(router)
 
     def view(self) -> schema.View:
-        """Return the typed tree in force here."""
+        """Return the typed tree in force at this agent."""
         return self.tree.view
 
     def offset(self) -> int:
-        """Return the offset of the last record in force here."""
+        """Return the offset of the last record in force at this agent."""
         return self.tree.view.offset
 
     def ready(self) -> bool:
-        """Tell whether there is a tree; before that, no new work."""
+        """Return whether a tree is loaded, which new work requires."""
         return self.tree.loaded
 
     def staleness_s(self) -> float:
-        """Return for how long this agent has heard neither log nor peer.
+        """Return the time without contact to the log or a peer, in seconds.
 
-        An agent over the limit refuses new work as not run: it may be cut
-        off from changes that everybody else follows.  Hearing a peer that
-        is not ahead counts too, or an outage of the log, during which
-        nothing can be published, would end all service.
+        An agent over the limit refuses new work as not run, because it may
+        miss changes that all other agents follow.  An answer from a peer
+        that is not ahead counts as contact: otherwise an outage of the log,
+        during which nothing can be published, would end all service.
         """
         if not self.ready():
             return math.inf
@@ -179,20 +181,23 @@
         return max(0.0, states.now_s() - last_contact_at)
 
     def log_age_s(self) -> float:
-        """Return the age of the last proof that this is the log's end."""
+        """Return the age of the last proof that the tree is current.
+
+        The proof is that the tree's offset was the end of the log.
+        """
         return max(0.0, states.now_s() - self.proof_at)
 
     def proof_age_ms(self) -> int:
-        """Return :meth:`log_age_s` in ms, -1 for never."""
+        """Return :meth:`log_age_s` in ms; -1 for never."""
         age_s = self.log_age_s()
         return -1 if math.isinf(age_s) else int(age_s * 1000)
 
     def record_peer_offset(self, name: str, offset: int) -> None:
-        """Take note of the offset in a peer's heartbeat."""
+        """Record the offset from a peer's heartbeat."""
         self.peer_offsets[name] = offset
 
     def reader_rank(self) -> int | None:
-        """Return this agent's place among the log's readers, else None."""
+        """Return this agent's rank among the log's readers, else None."""
         if self.options.all_agents_read:
             return 0
         readers = self.peers.readers()
@@ -200,7 +205,7 @@
         return readers.index(name) if name in readers else None
 
     def run(self) -> None:
-        """Load, then follow until stopped."""
+        """Load the configuration, then follow it until stopped."""
         pauses = backoff.Backoff(MIN_PAUSE_S, MAX_PAUSE_S)
         while not self.stopping.is_set():
             if self.poll():
@@ -209,7 +214,7 @@
             self.stopping.wait(pauses.next_s())
 
     def poll(self) -> bool:
-        """Ask once for what is new; tell whether that brought proof."""
+        """Poll once for new records; return whether a source was current."""
         if self.tree.fold.stopped is not None:
             return False
         if not self.ready():
@@ -221,7 +226,7 @@
         return proved
 
     def poll_sources(self) -> bool:
-        """Ask the sources in turn until one proves to be current."""
+        """Poll the sources in turn until one proves to be current."""
         polled: set[str] = set()
         if self.reader_rank() is None:
             for name in self.reading_peers():
@@ -237,7 +242,7 @@
         return self.poll_others(polled)
 
     def poll_others(self, polled: set[str]) -> bool:
-        """Ask some others of the cell, then of other cells."""
+        """Poll some other peers of the cell and some of other cells."""
         others = [
             name for name in self.peers.addresses() if name not in polled
         ]
@@ -246,10 +251,12 @@
         return any([self.follow_peer(name, 0) for name in names])
 
     def reading_peers(self) -> list[str]:
-        """Return the reading peers, half of the cell's one order each.
+        """Return the peers that read the log, in the order to poll them.
 
-        One that gave no answer or no proof goes last: a frozen reader
-        would else cost a timeout at every turn until it is known as gone.
+        Half of the cell's agents use the reverse order.  The last peer that
+        returned no answer or no proof is polled last: otherwise a frozen
+        reader would cost a timeout in every round until membership removes
+        it.
         """
         names = self.peers.readers()
         if peer_calls.rank(self.peers.identity.name) % 2:
@@ -257,13 +264,13 @@
         return sorted(names, key=lambda name: name == self.deprioritized)
 
     def poll_peers_ahead(self) -> None:
-        """Ask a peer whose heartbeat told of a higher offset."""
+        """Poll the peers whose heartbeats carried a higher offset."""
         for name, offset in list(self.peer_offsets.items()):
             if offset > self.offset():
                 self.follow_peer(name, 0)
 
     def follow_log(self, wait_ms: int) -> bool:
-        """Read the log once; tell whether this agent is current with it."""
+        """Read the log once; return whether this agent is current."""
         sent_at = states.now_s()
         offset = self.offset()
         try:
@@ -285,7 +292,7 @@
         return bool(data) and self.tree.fold.stopped is None
 
     def follow_peer(self, name: str, wait_ms: int) -> bool:
-        """Ask a peer once; tell whether it has recent proof."""
+        """Poll a peer once; return whether it has recent proof."""
         address = self.peers.address_of(name)
         if address is None:
             self.peer_offsets.pop(name, None)
@@ -305,7 +312,17 @@
     def apply_reply(
         self, reply: messages.Records, sent_at: float, after: int
     ) -> bool:
-        """Fold in a peer's records; tell whether it has recent proof."""
+        """Apply a peer's records; return whether it has recent proof.
+
+        Parameters
+        ----------
+        reply
+            The peer's answer.
+        sent_at
+            When the query was sent.
+        after
+            Offset that the query named.
+        """
         if not reply.ready:
             return False
         self.counters.peer_bytes += sum(map(len, reply.data))
@@ -313,8 +330,8 @@
         self.tree.digest_differs(reply.offset, reply.digest)
         if self.offset() < reply.offset:
             return bool(reply.data)
-        # Counted from when the question was sent: an agent that was frozen
-        # and finds an old answer in its socket must not think it current.
+        # The age counts from the sending of the query: an agent that was
+        # frozen must not treat an old answer in its socket as current.
         self.peer_contact_at = max(self.peer_contact_at, sent_at)
         if reply.proof_age_ms < 0:
             return False
@@ -324,7 +341,7 @@
         return age_s <= MAX_PROOF_AGE_S
 
     def load(self) -> bool:
-        """Take the tree from the log, else from the peers."""
+        """Load the tree from the log, or else from peers."""
         started_at = states.now_s()
         try:
             fold = loading.load(self.client, self.teams, self.snapshot_key)
@@ -342,11 +359,11 @@
         return True
 
     def load_from_peers(self) -> bool:
-        """Take the highest state among the cell's peers, else further ones.
+        """Load the highest state among the cell's peers, or else others.
 
-        Before the log has been read that is the best to be had: an instance
-        keeps nothing, so what the one that it replaces had seen is not
-        known to it.
+        An instance stores no state, so it does not know the offset of the
+        instance that it replaces.  Until the log can be read, the highest
+        state of its peers is the most current one available.
         """
         cell = list(self.peers.addresses().values())
         other_cell_members = list(self.peers.other_cell_addresses().values())
@@ -355,7 +372,7 @@
         )
 
     def load_highest(self, addresses: list[str]) -> bool:
-        """Take the highest state among these; tell whether there was one."""
+        """Load the highest state among these; return whether one exists."""
         started_at = states.now_s()
         fold = self.peers.highest_state(addresses)
         if fold is None:
@@ -365,11 +382,11 @@
         return True
 
     def record_proof(self, at_s: float) -> None:
-        """Note that this was the log's end at ``at_s``."""
+        """Record that the tree was at the log's end at ``at_s``."""
         self.proof_at = max(self.proof_at, at_s)
 
     def record_history_lost(self, error: loading.HistoryLostError) -> None:
-        """Count lost history; a line when it begins."""
+        """Count an occurrence of lost history and log the first one."""
         self.counters.history_lost += 1
         if not self.history_lost:
             log.error("configuration_history_lost", detail=str(error))
@@ -377,5 +394,5 @@
 
 
 def sample(items: list[str]) -> list[str]:
-    """Return a few of the items."""
+    """Return a random sample of the items."""
     return random.sample(items, min(SAMPLE_SIZE, len(items)))
--- a/src/briarseam/configuration/records.py
+++ b/src/briarseam/configuration/records.py
@@ -1,10 +1,10 @@
 """Change records of the stream ``configuration``.
 
 A record is the msgpack array ``[v, author, body, proof]``.  The body is
-opaque bytes (for version 1: zlib over msgpack) and the proof is an HMAC by
-the author's team over the other three.  This envelope is the same for every
-version, so that each release can tell an authentic record of a version it
-does not know from a forged one.
+opaque bytes (in version 1: msgpack compressed by zlib) and the proof is an
+HMAC over the other three with a key of the author's team.  All versions use
+this envelope, so that each release can distinguish an authentic record of an
+unknown version from a forged one.
 """
 
 from __future__ import annotations
@@ -37,16 +37,16 @@
     Attributes
     ----------
     id
-        Random, 16 bytes in hex; doubles are known by it.
+        Random, 16 bytes in hex; identifies duplicates.
     author
         Name of the team.
     operator
-        Who gave the command, for the history only.
+        Who issued the command, for the history only.
     base
         Offset of the tree that the change was planned on.
     expects
-        Revision that each path must still have; 0 means absent.  Every
-        path set must be among them.
+        Revision that each path must still have; 0 means absent.  Must
+        contain every path in ``sets``.
     sets
         New value by path; ``None`` deletes.
     """
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Envelope:
-    """A record as it stands in the log, not yet believed."""
+    """A record of the log whose proof has not been verified."""
 
     version: int
     author: str
@@ -69,13 +69,13 @@
     proof: bytes
 
     def signed_bytes(self) -> bytes:
-        """Return what the proof is over."""
+        """Return the bytes that the proof covers."""
         parts = [LABEL, self.version, self.author, self.body]
         return typing.cast("bytes", msgpack.packb(parts))
 
 
 def new_id() -> str:
-    """Return a fresh change id."""
+    """Return a new change id."""
     return secrets.token_hex(ID_BYTES)
 
 
@@ -87,14 +87,14 @@
     Parameters
     ----------
     change
-        What to publish.
+        The change to publish.
     sign
-        Makes the proof, see :meth:`teams.Teams.sign`.
+        Returns the proof, see :meth:`teams.Teams.sign`.
 
     Raises
     ------
     RecordError
-        When the record is larger than the log takes.
+        When the record exceeds the log's size limit.
     """
     fields = {
         "id": change.id,
@@ -109,8 +109,8 @@
     data = msgpack.packb([VERSION, change.author, body, proof])
     if len(data) > MAX_RECORD_BYTES:
         raise RecordError(
-            f"the change is {len(data)} bytes, the log takes"
-            f" {MAX_RECORD_BYTES}: apply it in parts"
+            f"the change has {len(data)} bytes, the log's limit is"
+            f" {MAX_RECORD_BYTES}: split the change"
         )
     return typing.cast("bytes", data)
 
@@ -121,7 +121,7 @@
     Raises
     ------
     RecordError
-        When the bytes are no record.
+        When the bytes are not a record.
     """
     try:
         version, author, body, proof = msgpack.unpackb(data, raw=False)
@@ -142,12 +142,12 @@
     """Return the change in a version 1 envelope.
 
     The checks are part of version 1 and must never change: a release that
-    took another view of a body would fold another tree.
+    decoded a body differently would fold a different tree.
 
     Raises
     ------
     RecordError
-        When the body is no change.
+        When the body is not a change.
     """
     try:
         inflater = zlib.decompressobj()
@@ -168,7 +168,7 @@
 
 
 def decode_unverified(data: bytes) -> Change | None:
-    """Return the change in a record unproved, ``None`` when there is none."""
+    """Return a record's change without verifying it; ``None`` if invalid."""
     try:
         return decode_body(open_envelope(data))
     except RecordError:
@@ -176,7 +176,13 @@
 
 
 def check_types(change: Change) -> None:
-    """Raise :class:`RecordError` unless every field has its type."""
+    """Check the type of every field.
+
+    Raises
+    ------
+    RecordError
+        When a field has the wrong type.
+    """
     if not isinstance(change.id, str) or not change.id:
         raise RecordError("the id is not a string")
     if not isinstance(change.base, int):
--- a/src/briarseam/configuration/schema.py
+++ b/src/briarseam/configuration/schema.py
@@ -1,8 +1,8 @@
-"""What the paths of the configuration tree hold, validated.
+"""The schema of the configuration tree, and its typed view.
 
-A path is ``kind/name``; its value is one JSON object.  This module is the
-only place that knows the kinds and their fields.  It is used at the border
-(before a change is published) and to give every slice a typed view of the
+A path is ``kind/name``; its value is one JSON object.  Only this module
+defines which kinds exist and which type each one has.  It validates changes
+before they are published and gives all other packages a typed view of the
 folded tree.
 """
 
@@ -18,14 +18,14 @@
 
 
 class SchemaError(Exception):
-    """A value that does not fit its path.
+    """A value that is not valid for its path.
 
     Attributes
     ----------
     path
         The path in the tree.
     expected
-        What was expected, in one sentence.
+        The expected value, in one sentence.
     """
 
     def __init__(self, path: str, expected: str) -> None:
@@ -60,12 +60,12 @@
 
 
 def value_type(path: str) -> type:
-    """Return the data class that ``path`` holds.
+    """Return the data class of the value at ``path``.
 
     Raises
     ------
     SchemaError
-        When no value may stand at ``path``.
+        When the schema has no such path.
     """
     if path in SINGLES:
         return SINGLES[path]
@@ -82,17 +82,17 @@
     Parameters
     ----------
     path
-        Where it stands.
+        Path in the tree.
     raw
         JSON object.
     strict
-        Refuse fields that are not known; a reader that meets a newer
-        release's field passes over it.
+        Reject unknown fields; readers ignore these, since a newer release
+        may have added them.
 
     Raises
     ------
     SchemaError
-        With the path and what was expected.
+        When the value is not valid.
     """
     kind = value_type(path)
     if not isinstance(raw, dict):
@@ -111,12 +111,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class View:
-    """The folded tree, typed; replaced as a whole on each change.
+    """The typed tree; replaced as a whole on each change.
 
     Attributes
     ----------
     offset
-        Offset of the last configuration record folded in; 0 means none.
+        Offset of the last configuration record applied; 0 means none.
     """
 
     offset: int = 0
@@ -147,8 +147,8 @@
     def by_token(self) -> typing.Mapping[str, str]:
         """Organisation names by token digest.
 
-        A digest that two organisations hold names neither: the callers of
-        one would else reach the answers of the other.
+        A digest that two organisations share is omitted: otherwise callers
+        of one could access the answers of the other.
         """
         names: dict[str, str] = {}
         duplicates: set[str] = set()
@@ -176,7 +176,7 @@
     collections
         Values by kind and name.
     singles
-        Values by path, of the paths that stand alone.
+        Values by path, for the paths outside collections.
     """
     return View(
         offset=offset,
@@ -190,7 +190,7 @@
 def build_view(
     offset: int, tree: typing.Mapping[str, typing.Any]
 ) -> tuple[View, tuple[SchemaError, ...]]:
-    """Return the typed view of a whole tree and what did not fit.
+    """Return the typed view of a complete tree and the invalid values.
 
     Parameters
     ----------
--- a/src/briarseam/configuration/snapshots.py
+++ b/src/briarseam/configuration/snapshots.py
@@ -1,8 +1,9 @@
 """Snapshots on the stream ``configuration-snapshots``.
 
-The log keeps records for a limited time, so the tree is written again in
-chunks, each under its own MAC, long before the last snapshot goes.  Several
-writers' chunks may lie between one another; doubles are harmless.
+The log keeps records for a limited time, so a new snapshot is written long
+before retention removes the last one.  It consists of chunks, each with its
+own MAC.  Chunks of several writers may be interleaved; duplicate snapshots
+are harmless.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 
 class SnapshotError(ValueError):
-    """Bytes that are not an authentic chunk, or chunks that do not fit."""
+    """Bytes that are not an authentic chunk, or an invalid state."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -41,17 +42,17 @@
     Attributes
     ----------
     id
-        Random, the same in all chunks of one snapshot.
+        Random, the same in all chunks of a snapshot.
     through
-        Offset of the last change in it.
+        Offset of the last change in the snapshot.
     digest
         Digest of the fold.
     count
         Number of chunks.
     index
-        Which one this is, from 0.
+        Index of this chunk, from 0.
     data
-        Its part of the compressed state.
+        This chunk's part of the compressed state.
     """
 
     id: str
@@ -64,18 +65,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Snapshot:
-    """All chunks of one snapshot have been read.
+    """A snapshot whose chunks have all been read.
 
     Attributes
     ----------
     id
-        Its id.
+        Id of the snapshot.
     through
-        Offset of the last change in it.
+        Offset of the last change in the snapshot.
     digest
-        Digest of the fold, as its writer saw it.
+        Digest of the writer's fold.
     time_ms
-        The log's clock at its first chunk.
+        Time of the first chunk by the log's clock, in ms since the epoch.
     state
         The compressed state.
     """
@@ -88,7 +89,7 @@
 
 
 def derive_key(wire_key: bytes) -> bytes:
-    """Return the snapshots' key, made from the agents' shared key."""
+    """Return the snapshots' key, derived from the agents' shared key."""
     return hmac.digest(wire_key, LABEL, hashlib.sha256)
 
 
@@ -103,7 +104,7 @@
     Raises
     ------
     SnapshotError
-        When the state is not what its offset and digest say.
+        When the state does not match its offset and digest.
     """
     try:
         packed = zlib.decompressobj().decompress(state, MAX_STATE_BYTES)
@@ -111,7 +112,7 @@
     except (ValueError, zlib.error) as error:
         raise SnapshotError(f"not a state: {error}") from error
     if fold.offset != through or fold.digest != digest:
-        raise SnapshotError("the state does not have its digest")
+        raise SnapshotError("the state does not match its digest")
     return fold
 
 
@@ -139,15 +140,15 @@
 def write(
     client: logs.LogClient, chunks: typing.Iterable[Chunk], key: bytes
 ) -> bool:
-    """Append a snapshot's chunks; give up at the first that fails.
+    """Append a snapshot's chunks; stop at the first failure.
 
-    The chunks before it then complete nothing and are passed over by
-    readers; a later try writes a new snapshot.
+    Readers ignore the chunks of an incomplete snapshot; the next attempt
+    writes a new snapshot.
 
     Returns
     -------
     bool
-        Whether the snapshot is whole on the log.
+        Whether all chunks were appended.
     """
     return all(
         isinstance(
@@ -165,17 +166,17 @@
     data
         The record.
     key
-        Checks the MAC.
+        Key of the MAC.
 
     Raises
     ------
     SnapshotError
-        When the record is no authentic chunk.
+        When the record is not an authentic chunk.
     """
     try:
         version, body, mac = msgpack.unpackb(data, raw=False)
         if version != VERSION:
-            raise SnapshotError(f"snapshot version {version}")
+            raise SnapshotError(f"unsupported snapshot version {version}")
         expected = hmac.digest(key, LABEL + body, hashlib.sha256)
         if not hmac.compare_digest(expected, mac):
             raise SnapshotError("the chunk is not authentic")
@@ -187,7 +188,7 @@
 
 
 class Assembler:
-    """Puts chunks together; gives each snapshot out once, when whole."""
+    """Assembles chunks; returns each snapshot once, when it is complete."""
 
     def __init__(self, key: bytes) -> None:
         self.key = key
@@ -196,7 +197,7 @@
         self.bad_chunks = 0
 
     def add(self, record: logs.Record) -> Snapshot | None:
-        """Take one record; return the snapshot that it completes."""
+        """Add one record; return the snapshot that it completes, if any."""
         try:
             chunk = decode_chunk(record.data, self.key)
         except SnapshotError:
@@ -210,13 +211,13 @@
         del self.parts[chunk.id]
         time_ms = self.times_ms.pop(chunk.id)
         state = b"".join(parts[index].data for index in sorted(parts))
-        # A writer that died part way leaves chunks that nothing completes;
-        # those of an older state are of no use to anyone now.
+        # A writer that fails leaves an incomplete snapshot; one of an older
+        # state is no longer needed.
         self.drop_older(chunk.through)
         return Snapshot(chunk.id, chunk.through, chunk.digest, time_ms, state)
 
     def drop_older(self, through: int) -> None:
-        """Forget parts of snapshots of an older state."""
+        """Drop incomplete snapshots of an older state."""
         for snapshot_id, parts in list(self.parts.items()):
             if next(iter(parts.values())).through < through:
                 del self.parts[snapshot_id]
@@ -226,10 +227,10 @@
 def newest_complete(
     client: logs.LogClient, key: bytes
 ) -> tuple[Snapshot | None, int]:
-    """Return the newest whole snapshot and the end of its stream.
+    """Return the newest complete snapshot and the end of its stream.
 
-    Reads backwards in windows that double, since the newest is all that is
-    wanted and the stream may hold many.
+    Searches backwards in windows that double in size, since the stream may
+    hold many snapshots and only the newest is needed.
 
     Raises
     ------
@@ -250,7 +251,7 @@
 def newest_after(
     client: logs.LogClient, key: bytes, after: int, end: int
 ) -> Snapshot | None:
-    """Return the newest whole snapshot in ``(after, end]``."""
+    """Return the newest complete snapshot in ``(after, end]``."""
     assembler = Assembler(key)
     newest: Snapshot | None = None
     while after < end:
@@ -270,7 +271,7 @@
 def oldest_complete(
     client: logs.LogClient, key: bytes, through: int
 ) -> Snapshot | None:
-    """Return the oldest whole snapshot that reaches ``through``.
+    """Return the oldest complete snapshot that reaches ``through``.
 
     Raises
     ------
--- a/src/briarseam/configuration/snapshotting.py
+++ b/src/briarseam/configuration/snapshotting.py
@@ -1,4 +1,4 @@
-"""Writes snapshots and checks those of others."""
+"""Writes snapshots and verifies those of other agents."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from briarseam.configuration import state as states
 
 DAY_S = 86400.0
-# Leaves three more quarters of the retention for tries that fail.
+# The first attempt leaves three quarters of the retention for retries.
 RENEWALS_PER_RETENTION = 4
 log = structlog.get_logger("briarseam.configuration")
 
@@ -29,14 +29,14 @@
     Attributes
     ----------
     every_records
-        After this many records since the last one.
+        Maximum number of records after the last snapshot.
     max_age_s
-        When the last one is older.
+        Maximum age of the last snapshot, in seconds.
     backoff_s
-        The reader of rank n waits n to n + 1 times this, so that as a rule
-        one of all readers writes.
+        The reader of rank n delays writing by n to n + 1 times this, in
+        seconds, so that usually only one reader writes.
     check_s
-        Time between two looks at the stream.
+        Time between two reads of the stream, in seconds.
     """
 
     every_records: int = 2000
@@ -46,19 +46,19 @@
 
 
 class Snapshotter:
-    """A thread that keeps a recent whole snapshot on the log.
+    """A thread that keeps a recent complete snapshot in the log.
 
     Parameters
     ----------
     client
         The log.
     tree
-        What this agent holds.
+        The local tree.
     key
         Key of the snapshots.
     rank
-        This agent's place among the log's readers; ``None`` when it is not
-        one, then it does nothing.
+        Returns this agent's rank among the log's readers; ``None`` when it
+        is not a reader and thus writes no snapshots.
     options
         When snapshots are due.
     """
@@ -86,15 +86,15 @@
         )
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start the thread."""
         self.thread.start()
 
     def stop(self) -> None:
-        """Stop after the look under way."""
+        """Stop after the current read or write."""
         self.stopping.set()
 
     def run(self) -> None:
-        """Look, and write when due, until stopped."""
+        """Read the stream, and write snapshots when due, until stopped."""
         while not self.stopping.wait(self.options.check_s):
             rank = self.rank()
             if rank is None or not self.tree.loaded:
@@ -107,7 +107,7 @@
                 self.due_at = None
 
     def read_snapshots(self) -> None:
-        """Read what was written since the last look."""
+        """Read the snapshots written after the last read."""
         if self.read_offset is None:
             self.latest, self.read_offset = snapshots.newest_complete(
                 self.client, self.key
@@ -127,14 +127,14 @@
                 return
 
     def handle_snapshot(self, snapshot: snapshots.Snapshot) -> None:
-        """Take note of a whole snapshot and check it."""
+        """Record a complete snapshot and compare its digest."""
         self.tree.counters.snapshots_read += 1
         self.tree.digest_differs(snapshot.through, snapshot.digest)
         if self.latest is None or snapshot.through >= self.latest.through:
             self.latest = snapshot
 
     def is_due(self) -> bool:
-        """Tell whether a new snapshot is wanted."""
+        """Return whether a new snapshot is due."""
         offset = self.tree.view.offset
         if self.tree.fold.stopped is not None or offset == 0:
             return False
@@ -148,7 +148,7 @@
         )
 
     def write_when_due(self, rank: int) -> None:
-        """Write once a due snapshot was not written by others."""
+        """Write a due snapshot unless another agent writes it first."""
         if not self.is_due():
             self.due_at = None
             return
@@ -162,9 +162,9 @@
         self.write()
 
     def write(self) -> None:
-        """Write a snapshot of the tree as it is now."""
-        # Packed under the lock, appended without it: an append may take
-        # seconds, and the followers must not wait for it.
+        """Write a snapshot of the current tree."""
+        # Packed under the lock but appended without it: an append may take
+        # seconds, during which followers must not be blocked.
         with self.tree.changed:
             chunks = snapshots.make_chunks(self.tree.fold)
         if snapshots.write(self.client, chunks, self.key):
--- a/src/briarseam/configuration/state.py
+++ b/src/briarseam/configuration/state.py
@@ -1,4 +1,4 @@
-"""What an agent holds of the configuration, for all its threads."""
+"""An agent's state of the configuration, shared by its threads."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 
 
 def now_s() -> float:
-    """Return seconds that also pass while the instance is suspended.
+    """Return the time in seconds by a clock that includes suspension.
 
-    A frozen process or a suspended instance must see on waking that its
-    last proof is old; the monotonic clock stands still in a suspension.
+    After a suspension of the instance, the process must find that its last
+    proof is old; the monotonic clock stops during a suspension.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def ignore_verdict(verdict: folds.FoldVerdict, data: bytes) -> None:
-    """Take no note of a record."""
+    """Ignore a record's verdict."""
 
 
 @dataclasses.dataclass
 class Counters:
-    """Counts since start; the metrics read them."""
+    """Counters from the start of the process, exported as metrics."""
 
     accepted: int = 0
     rejected: int = 0
@@ -58,19 +58,20 @@
 
 
 class SharedTree:
-    """The fold, its typed view and the last records, under one lock.
+    """The fold, its typed view and the recent records, under one lock.
 
     Parameters
     ----------
     teams
-        Whose changes are believed.
+        Teams that may author changes.
     counters
-        Counts verdicts.
+        Counters of verdicts.
 
     Attributes
     ----------
     on_verdict
-        Told of each record followed, with its verdict.
+        Called with the verdict on each record that is applied, and with the
+        record.
     """
 
     def __init__(self, teams: team_types.Teams, counters: Counters) -> None:
@@ -88,10 +89,16 @@
         self.changed = threading.Condition()
 
     def replace(self, fold: folds.Fold) -> bool:
-        """Take a whole state; refuse one that ends earlier than ours."""
+        """Replace the fold, unless the new one is not ahead of it.
+
+        Returns
+        -------
+        bool
+            Whether the fold was replaced.
+        """
         with self.changed:
-            # An older state, from a peer that lags or a snapshot, would
-            # take back changes that callers here have already seen in
+            # An older state, from a lagging peer or a snapshot, would revert
+            # changes that callers of this instance have already seen in
             # force.
             if self.loaded and fold.offset <= self.fold.offset:
                 return False
@@ -105,10 +112,10 @@
             return True
 
     def extend(self, first: int, data: typing.Sequence[bytes]) -> None:
-        """Fold in records that begin at offset ``first``.
+        """Apply records that begin at offset ``first``.
 
-        Those already folded are passed over, so a doubled or late answer
-        changes nothing.
+        Records already applied are skipped, so a duplicate or late answer
+        has no effect.
         """
         with self.changed:
             before = self.fold.offset
@@ -119,7 +126,7 @@
                 self.publish()
 
     def apply(self, offset: int, record: bytes) -> None:
-        """Fold in the next record and count its verdict."""
+        """Apply the next record and count its verdict."""
         if self.fold.stopped is not None:
             return
         verdict = self.fold.apply(offset, record, self.teams)
@@ -133,7 +140,7 @@
             self.recent_bytes -= len(self.recent.popleft())
 
     def count(self, verdict: folds.FoldVerdict) -> None:
-        """Count one verdict; a line for those that need an operator."""
+        """Count one verdict; log those that need an operator."""
         match verdict:
             case folds.Accepted():
                 self.counters.accepted += 1
@@ -153,7 +160,7 @@
                 )
 
     def publish(self) -> None:
-        """Make the new tree visible; the lock is held."""
+        """Make the new tree visible; the caller holds the lock."""
         self.view = self.views.update(
             self.fold.offset, self.fold.entries, self.fold.changed_paths
         )
@@ -167,9 +174,9 @@
     def records_after(
         self, after: int, max_bytes: int
     ) -> tuple[bytes, ...] | None:
-        """Return records past ``after``; ``None`` when some are forgotten.
+        """Return the records after ``after``; ``None`` if some were dropped.
 
-        The lock is held.
+        The caller holds the lock.
         """
         missing = self.fold.offset - after
         if missing > len(self.recent):
@@ -186,17 +193,17 @@
         return tuple(records)
 
     def wait_past(self, after: int, timeout_s: float) -> None:
-        """Wait until the tree ends after ``after``; the lock is held."""
+        """Wait for a record after ``after``; the caller holds the lock."""
         self.changed.wait_for(
             lambda: self.fold.offset > after, timeout=timeout_s
         )
 
     def digest_differs(self, offset: int, digest: str) -> bool:
-        """Tell whether our fold at ``offset`` is known to be another.
+        """Return whether the local fold at ``offset`` has another digest.
 
-        A mismatch means that two agents fold the same records to different
-        trees: settings of teams that differ, or a fault.  Our own fold is
-        kept: the other may be the wrong one.
+        A mismatch means that two agents fold the same records into different
+        trees, because their team settings differ or because of a fault.  The
+        local fold is kept, since the other one may be wrong.
         """
         with self.changed:
             own = self.digests.get(offset)
--- a/src/briarseam/configuration/teams.py
+++ b/src/briarseam/configuration/teams.py
@@ -1,4 +1,4 @@
-"""Who may set which paths, and the keys that prove it."""
+"""Teams, the paths that they own, and the keys that sign their changes."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 
 class TeamsError(ValueError):
-    """Two teams hold the same subtree, or a team has no name."""
+    """Two teams own the same subtree, or a team lacks a name or key."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Team:
-    """One team and its subtree.
+    """A team and its subtree.
 
     Attributes
     ----------
     name
-        Its name, the author of its changes.
+        Name of the team, the author of its changes.
     keys
-        Secret keys; the first signs, all of them verify, so that a key can
-        be replaced without making older records invalid.
+        Secret keys; the first one signs and all of them verify, so that a
+        key can be replaced without invalidating older records.
     prefixes
-        Paths it holds: ``models`` or ``models/draft`` with everything
-        below, or ``endpoints/draft-*`` for names that begin so.
+        Paths that the team owns: ``models`` or ``models/draft`` with all
+        paths below, or ``endpoints/draft-*`` for names with that prefix.
     """
 
     name: str
@@ -40,7 +40,7 @@
 
 
 def prefix_covers(prefix: str, path: str) -> bool:
-    """Tell whether ``path`` lies under ``prefix``."""
+    """Return whether ``prefix`` covers ``path``."""
     if prefix.endswith(ANY):
         return path.startswith(prefix[: -len(ANY)])
     subtree = prefix.rstrip("/")
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Teams:
-    """All teams of a deployment; the same in every agent's settings.
+    """All teams of a deployment; identical in every agent's settings.
 
     Attributes
     ----------
@@ -66,7 +66,7 @@
                 raise TeamsError("a team has no name")
             for prefix in team.prefixes:
                 if prefix in prefixes:
-                    raise TeamsError(f"two teams hold {prefix}")
+                    raise TeamsError(f"two teams own {prefix}")
                 prefixes.add(prefix)
 
     @functools.cached_property
@@ -75,7 +75,7 @@
         return {team.name: team for team in self.members}
 
     def owner(self, path: str) -> str | None:
-        """Return the team that holds ``path``: the longest prefix wins."""
+        """Return the team that owns ``path``: the longest prefix wins."""
         longest = ""
         name = None
         for team in self.members:
@@ -86,7 +86,7 @@
         return name
 
     def sign(self, author: str, data: bytes) -> bytes:
-        """Return the proof of ``data`` by ``author``'s first key.
+        """Return the proof of ``data`` with ``author``'s first key.
 
         Raises
         ------
@@ -95,11 +95,11 @@
         """
         team = self.by_name.get(author)
         if team is None or not team.keys:
-            raise TeamsError(f"no key of team {author} in the settings")
+            raise TeamsError(f"the settings have no key of team {author}")
         return hmac.digest(team.keys[0], data, hashlib.sha256)
 
     def verifies(self, author: str, data: bytes, proof: bytes) -> bool:
-        """Tell whether ``proof`` shows that ``author`` wrote ``data``."""
+        """Return whether ``proof`` is ``author``'s proof of ``data``."""
         team = self.by_name.get(author)
         if team is None:
             return False
@@ -115,7 +115,7 @@
     Raises
     ------
     TeamsError
-        When two of them hold the same subtree.
+        When two teams own the same subtree.
     """
     return Teams(
         tuple(
@@ -125,7 +125,7 @@
 
 
 def keys_of(team: sections.Team) -> tuple[bytes, ...]:
-    """Return a team's keys, the one that signs first."""
+    """Return a team's keys; the first one signs."""
     if team.old_key is None:
         return (team.key.value,)
     return (team.key.value, team.old_key.value)
--- a/src/briarseam/configuration/values.py
+++ b/src/briarseam/configuration/values.py
@@ -1,4 +1,4 @@
-"""The data classes of the values that paths hold."""
+"""Data classes of the values in the configuration tree."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class EndpointKind(enum.StrEnum):
-    """What an endpoint does."""
+    """The kind of an endpoint."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -41,17 +41,18 @@
     Attributes
     ----------
     token_digest
-        blake2b-16 of the bearer token, in hex.
+        blake2b digest of the bearer token, 16 bytes in hex.
     weight
         Share under contention, relative to other organisations.
     max_running
-        Requests running at once over the cell; 0 means no limit.
+        Maximum number of concurrent requests in the cell; 0 means no limit.
     requests_per_s
-        Sustained rate over the cell; 0 means no limit.
+        Maximum sustained rate in the cell; 0 means no limit.
     priority
-        Best priority its requests may ask for, 0 high to 9 low.
+        Highest priority that its requests may have, from 0 (high) to 9
+        (low).
     cache_share
-        Largest part of the kept cache it may fill.
+        Maximum share of the kept cache.
     """
 
     token_digest: Digest
@@ -71,11 +72,11 @@
     version
         Weight version for new requests.
     adapter
-        Adapter to load besides the weights; empty for none.
+        Adapter to load in addition to the weights; empty for none.
     floor
-        Least number of endpoints that keep serving during a rollout.
+        Minimum number of endpoints that keep serving during a rollout.
     max_tokens
-        Most tokens one answer may have.
+        Maximum number of tokens of an answer.
     """
 
     version: str
@@ -95,19 +96,19 @@
     address
         ``ip:port``.
     zone
-        Its availability zone.
+        Availability zone.
     models
-        Models an engine may serve.
+        Models that an engine may serve.
     services
-        Plain services it offers.
+        Plain services that the endpoint offers.
     fencing
-        Whether it refuses orders with an old fencing number.
+        Whether the endpoint refuses orders with an old fencing number.
     state
         Draining endpoints get no new work.
     link_bytes_per_s
-        A store's link budget; 0 means no limit.
+        Bandwidth budget of a store's link; 0 means no limit.
     role
-        Role an engine is ordered to take; empty leaves it as it is.
+        Role that an engine is ordered to take; empty for no change.
     """
 
     kind: EndpointKind
@@ -128,9 +129,9 @@
     Attributes
     ----------
     non_idempotent
-        Calls that may not be repeated.
+        Names of the calls that must not be repeated.
     timeout_ms
-        Bound on one call.
+        Timeout of a call, in ms.
     """
 
     non_idempotent: tuple[str, ...] = ()
@@ -139,25 +140,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutingPolicy:
-    """``policies/routing``: what the choice of an endpoint minds.
+    """``policies/routing``: how endpoints are selected for requests.
 
     Attributes
     ----------
     strategy
-        ``predicted``, or ``round-robin`` as a baseline to measure against.
+        ``predicted``, or ``round-robin`` as a baseline for benchmarks.
     recompute_weight
-        0 minds only the predicted time to first token, 1 mainly the share
-        of prompt work recomputed.
+        0 considers only the predicted time to first token, 1 mainly the
+        share of the prompt that is recomputed.
     candidates
-        Endpoints looked at per request.
+        Number of endpoints considered per request.
     retry_budget
-        Retries allowed as a part of first tries, per organisation.
+        Maximum ratio of retries to first attempts, per organisation.
     queueing
-        ``fair`` over organisations, or ``arrival`` (priority, then
-        deadline, whoever asks) as a baseline to measure against.
+        ``fair`` between organisations, or ``arrival`` (by priority, then
+        deadline, regardless of the organisation) as a baseline for
+        benchmarks.
     returning
-        ``spaced`` gives each refused caller a time of its own to return,
-        ``fixed`` tells all of them 1 s, as a baseline.
+        ``spaced`` gives each refused caller a different retry time;
+        ``fixed`` gives all of them 1 s, as a baseline for benchmarks.
     """
 
     strategy: typing.Literal["predicted", "round-robin"] = "predicted"
@@ -175,12 +177,12 @@
     Attributes
     ----------
     policy
-        ``value`` (return chance times recompute cost per byte), ``lru`` or
-        ``off``.
+        ``value`` (probability of a return times recompute cost per byte),
+        ``lru`` or ``off``.
     fill
-        Part of a store's capacity to use.
+        Fraction of a store's capacity to use.
     min_pieces
-        Shorter prefixes are not kept.
+        Minimum length of a kept prefix, in pieces.
     """
 
     policy: typing.Literal["value", "lru", "off"] = "value"
@@ -190,21 +192,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cell:
-    """``cells/ZONE``: how many cells a zone's agents are cut into."""
+    """``cells/ZONE``: the number of cells that a zone is divided into."""
 
     parts: typing.Annotated[int, msgspec.Meta(ge=1, le=64)] = 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Weights:
-    """``platform/weights``: where weights are loaded from.
+    """``platform/weights``: the store that weights are loaded from.
 
     Attributes
     ----------
     address
         ``ip:port`` of the weight store.
     max_loading
-        Endpoints loading at once.
+        Maximum number of endpoints that load concurrently.
     """
 
     address: Address
--- a/src/briarseam/configuration/views.py
+++ b/src/briarseam/configuration/views.py
@@ -1,4 +1,4 @@
-"""Typed views of a tree, without parsing again what did not change."""
+"""Builds typed views of a tree, parsing only changed values."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class ViewBuilder:
-    """Builds the view after each change from the paths that it touched.
+    """Builds the view after each change from the changed paths.
 
-    A view is never changed once it is out: a kind that was touched gets a
-    new mapping, the others are shared with the view before.
+    A returned view is never modified: a kind with changed paths gets a new
+    mapping, the others are shared with the previous view.
 
     Attributes
     ----------
     view
         The last view.
     errors
-        Values that do not fit, by path; they are left out of the view.
+        Errors of invalid values, by path; the view omits these values.
     """
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
         Parameters
         ----------
         offset
-            Of the last record folded in.
+            Offset of the last record applied.
         entries
             The tree.
         changed_paths
@@ -59,7 +59,7 @@
         return self.view
 
     def update_path(self, path: str, entry: folds.Entry | None) -> None:
-        """Take one path's present state."""
+        """Apply one path's current entry."""
         kind, _, name = path.partition("/")
         self.errors.pop(path, None)
         self.singles.pop(path, None)
