--- a/tests/configuration/conftest.py
+++ b/tests/configuration/conftest.py
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def cluster(log, teams):
-    found = helpers.Cluster(log, teams)
-    yield found
-    for name in list(found.agents):
-        found.remove(name)
+    made = helpers.Cluster(log, teams)
+    yield made
+    for name in list(made.agents):
+        made.remove(name)
--- a/tests/configuration/helpers.py
+++ b/tests/configuration/helpers.py
@@ -23,7 +23,7 @@
 
 
 class Agent:
-    """A reader behind a wire server, as in the agent daemon."""
+    """A reader with a wire server, as in an agent."""
 
     def __init__(self, cluster, name, address, options):
         identity = connections.Identity("agent", name)
@@ -50,7 +50,7 @@
 
 
 class Cluster:
-    """Agents of one cell, their log and the teams."""
+    """Agents of one cell with their log and teams."""
 
     def __init__(self, log, teams):
         self.log = log
@@ -95,7 +95,7 @@
     author: str = "drafts",
     change_id: str = "",
 ) -> records.Change:
-    """Return a change; paths are expected absent unless said."""
+    """Return a change; paths not in ``expects`` are expected absent."""
     return records.Change(
         id=change_id or records.new_id(),
         author=author,
--- a/tests/configuration/test_fold.py
+++ b/tests/configuration/test_fold.py
@@ -51,13 +51,13 @@
     st.integers(0, 20),
     st.data(),
 )
-def test_any_reader_of_one_prefix_holds_the_same_tree(
+def test_all_readers_of_the_same_records_hold_the_same_tree(
     drawn, doubled, cut, data
 ):
-    # Operators race, appends are doubled, and agents start at any moment
-    # from a snapshot taken anywhere.  If two agents then held different
-    # trees, a caller's answer would depend on whom it asked.
-    whole = [
+    # Guards against agents that hold different trees, so that an answer
+    # depends on the agent.  Changes conflict, records are appended twice,
+    # and an agent starts from a snapshot at any offset.
+    encoded = [
         encode(
             dataclasses.replace(
                 change, expects={p: 0 for p in change.sets} | change.expects
@@ -66,7 +66,9 @@
         for change in drawn
     ]
     datas = data.draw(
-        st.permutations(whole + [whole[i] for i in doubled if i < len(whole)])
+        st.permutations(
+            encoded + [encoded[i] for i in doubled if i < len(encoded)]
+        )
     )
     fold, verdicts = apply_all(datas)
     early, _ = apply_all(datas[:cut])
@@ -85,9 +87,10 @@
     assert {e.revision for e in fold.entries.values()} <= set(accepted)
 
 
-def test_of_two_racing_changes_the_lower_offset_wins_everywhere():
-    # Two operators change one path from the same revision.  The second is
-    # told which revision won, and none of its other paths is set.
+def test_lower_offset_of_two_conflicting_changes_wins():
+    # Two operators change a path from the same revision.  The second change
+    # is rejected with the winning revision, and sets none of its other
+    # paths.
     first = encode(helpers.change({"models/draft": 1}))
     second = encode(helpers.change({"models/other": 2, "models/draft": 2}))
     fold, verdicts = apply_all([first, second])
@@ -97,9 +100,10 @@
     assert fold.values() == {"models/draft": 1}
 
 
-def test_a_replayed_record_does_not_bring_a_deleted_path_back():
-    # Somebody with write access to the log appends an old accepted record
-    # again after its path was deleted, at once or much later.
+def test_replayed_record_does_not_restore_a_deleted_path():
+    # Guards against a writer with access to the log alone that appends an
+    # accepted record again after its path was deleted, within the window of
+    # remembered ids or after it.
     create = encode(helpers.change({"models/draft": 1}))
     delete = encode(
         helpers.change({"models/draft": None}, {"models/draft": 1}, base=1)
@@ -116,10 +120,14 @@
 @pytest.mark.parametrize(
     "data",
     [
-        pytest.param(b"\xc1", id="no-msgpack"),
+        pytest.param(b"\xc1", id="not-msgpack"),
         pytest.param(msgpack.packb([1, 2, 3, 4]), id="wrong-types"),
-        pytest.param(msgpack.packb([99, "drafts", b"", b""]), id="version"),
-        pytest.param(msgpack.packb([1, "nobody", b"", b""]), id="stranger"),
+        pytest.param(
+            msgpack.packb([99, "drafts", b"", b""]), id="unknown-version"
+        ),
+        pytest.param(
+            msgpack.packb([1, "nobody", b"", b""]), id="unknown-team"
+        ),
         pytest.param(
             encode(
                 helpers.change({"models/draft": 1}),
@@ -131,18 +139,18 @@
         ),
     ],
 )
-def test_a_forged_record_changes_nothing(data):
-    # Write access to the log alone must not change what is in force, nor
-    # stop the agents by a version that they do not know.
+def test_forged_record_has_no_effect(data):
+    # Guards against a writer with access to the log alone that changes the
+    # configuration, or stops the agents by a record of an unknown version.
     fold, verdicts = apply_all([data])
     assert verdicts[0].reason == folds.RejectReason.NOT_AUTHENTIC
     assert fold.stopped is None
     assert fold.entries == {}
 
 
-def test_an_authentic_unknown_version_stops_the_fold():
-    # A newer release publishes a record that this one cannot fold.  Passing
-    # over it would leave this agent alone with another tree.
+def test_authentic_record_of_unknown_version_stops_the_fold():
+    # A newer release publishes a record that this one can't apply.  Skipping
+    # it would leave the agent with a different tree.
     unsigned = records.Envelope(2, "drafts", b"body", b"")
     proof = TEAMS.sign("drafts", unsigned.signed_bytes())
     data = msgpack.packb([2, "drafts", b"body", proof])
@@ -152,7 +160,7 @@
     assert fold.offset == 1
 
 
-def test_a_team_sets_only_its_own_paths(teams):
+def test_team_sets_only_its_own_paths(teams):
     fold, verdicts = apply_all(
         [
             encode(helpers.change({"services/x": 1}), teams),
--- a/tests/configuration/test_following.py
+++ b/tests/configuration/test_following.py
@@ -20,19 +20,19 @@
 )
 
 
-class Listed:
+class InstanceSource:
     def __init__(self, rows):
         self.rows = rows
 
     def read(self):
         if self.rows is None:
-            raise instances.InstanceListUnavailableError("away")
+            raise instances.InstanceListUnavailableError("unavailable")
         return instances.Listing(self.rows, 0)
 
 
 @pytest.fixture
 def tracker(monkeypatch):
-    """A follower whose entries tell of one cell each, or are away."""
+    """A tracker whose entries report one cell each or are unreachable."""
     cells = {
         "127.0.0.1:3": following.AgentStatus("a", 7, "alive", 0.0),
         "127.0.0.1:4": following.AgentStatus("b", 6, "alive", 0.0),
@@ -49,16 +49,16 @@
 
     def make(rows=LIST):
         return following.PropagationTracker(
-            ["127.0.0.1:3"], Listed(rows), "token"
+            ["127.0.0.1:3"], InstanceSource(rows), "token"
         )
 
     make.cells = cells
     return make
 
 
-def test_agents_of_other_cells_are_asked_for_too(tracker):
-    # An entry tells of its own cell.  An operator who reads "in force
-    # everywhere" must not have been told of one zone alone.
+def test_agents_of_other_cells_are_tracked(tracker):
+    # Guards against a report that a change is in force everywhere when only
+    # one zone was covered: an entry reports its own cell only.
     propagation = tracker().follow(7, timeout_s=0)
     assert propagation.reached == ("a",)
     assert [agent.name for agent in propagation.stragglers] == ["b"]
@@ -66,15 +66,17 @@
     assert tracker().follow(6, timeout_s=0).done()
 
 
-def test_a_listed_agent_that_no_entry_tells_of_is_named(tracker):
+def test_listed_agent_that_no_entry_reports_is_unseen(tracker):
     del tracker.cells["127.0.0.1:4"]
     propagation = tracker().follow(7, timeout_s=0)
     assert propagation.unseen == ("b",)
     assert not propagation.done()
 
 
-@pytest.mark.parametrize("rows", [None, ()], ids=["away", "empty"])
-def test_without_the_instance_list_only_the_own_cell_is_claimed(tracker, rows):
+@pytest.mark.parametrize("rows", [None, ()], ids=["unavailable", "empty"])
+def test_only_the_cells_of_the_entries_are_covered_without_instance_list(
+    tracker, rows
+):
     propagation = tracker(rows).follow(7, timeout_s=0)
     assert propagation.reached == ("a",)
     assert not propagation.listed
--- a/tests/configuration/test_publish.py
+++ b/tests/configuration/test_publish.py
@@ -8,7 +8,7 @@
 from briarseam.testing import waiting
 
 
-def test_of_two_racing_operators_one_is_told_what_won(cluster):
+def test_conflicting_change_is_rejected_with_the_winning_revision(cluster):
     first = cluster.publisher()
     second = cluster.publisher()
     assert first.apply(helpers.change({"models/a": {"version": "1"}})) == (
@@ -19,18 +19,18 @@
     )
 
 
-def test_an_append_whose_answer_is_lost_is_settled_by_reading(cluster):
-    # The operator's change takes effect but the log's answer never comes.
-    # Sent again blindly it would stand in the log twice.
+def test_append_whose_answer_is_lost_is_settled_by_reading_the_log(cluster):
+    # Guards against a second record of a change that took effect although
+    # the log's answer was lost.
     cluster.log.set(lose_answers=1)
     outcome = cluster.publisher().apply(helpers.change({"models/a": {}}))
     assert outcome == folds.Accepted(1)
     assert cluster.log.stream("configuration").next_offset == 2
 
 
-def test_an_append_that_never_arrives_is_made_void(cluster, monkeypatch):
-    # The request is lost on its way: nothing shows in the log.  Should it
-    # arrive after the operator was told "not applied", it must do nothing.
+def test_append_that_does_not_arrive_is_voided(cluster, monkeypatch):
+    # The request does not reach the log.  If it arrives after the operator
+    # received "not applied", it must have no effect.
     publisher = cluster.publisher(void_after_s=0.1)
     lost = []
     append = publisher.client.append
@@ -51,9 +51,7 @@
 
 
 @pytest.mark.parametrize("down", ["outage", "gone"])
-def test_a_change_while_the_log_is_down_is_never_called_accepted(
-    cluster, down
-):
+def test_change_is_not_accepted_while_the_log_is_down(cluster, down):
     publisher = cluster.publisher(settle_s=0.6, void_after_s=0.2)
     if down == "gone":
         cluster.log.stop()
@@ -64,8 +62,8 @@
     assert isinstance(outcome, kind)
 
 
-def test_an_accepted_change_is_told_so_whatever_its_values_are(cluster):
-    # A declared list came back from the log in another Python type than it
-    # had before.  The operator read "not applied" for a change in force.
+def test_accepted_change_is_reported_regardless_of_value_types(cluster):
+    # Guards against "not applied" for a change in force: a declared sequence
+    # is read back from the log with a different Python type.
     change = helpers.change({"models/a": {"names": ("x", "y")}})
     assert cluster.publisher().apply(change) == folds.Accepted(1)
--- a/tests/configuration/test_reader.py
+++ b/tests/configuration/test_reader.py
@@ -43,9 +43,9 @@
     )
 
 
-def test_a_change_reaches_agents_that_never_read_the_log(cluster):
-    # Two of the cell read the log, the others ask those two: a change is
-    # in force at all, with few reads at the log.
+def test_change_reaches_agents_that_do_not_read_the_log(cluster):
+    # Two agents of the cell read the log and the others poll those two: a
+    # change is in force at all agents with few reads of the log.
     start(cluster)
     reads = {n: a.reader.counters.log_reads for n, a in cluster.agents.items()}
     for number in range(5):
@@ -57,9 +57,9 @@
             assert agent.reader.counters.log_reads - reads[name] <= 1
 
 
-def test_agents_whose_readers_die_go_on_by_themselves(cluster):
+def test_agents_follow_the_log_when_its_readers_are_lost(cluster):
     # Both agents that read the log are killed while the member list still
-    # names them: the others must not wait for it.
+    # contains them: the others must not wait for their removal.
     start(cluster)
     wait_for_offset(cluster, set_model(cluster, "first"))
     for name in peers.ranked(NAMES)[:2]:
@@ -73,9 +73,9 @@
     waiting.until(lambda: {a.reader.offset() for a in others} == {offset})
 
 
-def test_an_agent_starts_from_the_highest_peer_while_the_log_is_down(cluster):
-    # The log is down when an instance is replaced.  The new one takes the
-    # highest state among its peers, though one of them lags behind.
+def test_agent_starts_from_the_highest_peer_while_the_log_is_down(cluster):
+    # The log is down when an instance is replaced.  The new one must load
+    # the highest state among its peers, although one of them lags behind.
     start(cluster, ["a", "b"])
     set_model(cluster, "one")
     wait_for_offset(cluster, 1)
@@ -93,9 +93,9 @@
     assert late.tree.fold.digest == ahead.tree.fold.digest
 
 
-def test_a_new_agent_without_log_or_ready_peer_takes_no_work(cluster):
-    # Every instance is replaced while the log is down.  Nobody knows the
-    # configuration, so nobody may act as if it were empty.
+def test_new_agent_without_log_or_ready_peer_is_not_ready(cluster):
+    # All instances are replaced while the log is down, so no agent knows the
+    # configuration.  None may serve as if it were empty.
     set_model(cluster)
     cluster.log.set(outage=True)
     fresh = [cluster.add(name).reader for name in "ab"]
@@ -107,9 +107,9 @@
     waiting.until(lambda: all(r.offset() == 1 for r in fresh))
 
 
-def test_an_agent_never_goes_back_to_an_earlier_offset(cluster):
-    # A peer with an older state, or a log that came back without its last
-    # records, must not take a change in force back.
+def test_agent_does_not_return_to_an_earlier_offset(cluster):
+    # Guards against a change in force that is reverted by a peer with an
+    # older state, or by a log that was restored without its last records.
     start(cluster, ["a"])
     set_model(cluster)
     set_model(cluster, "second")
@@ -128,9 +128,9 @@
     assert reader.log_age_s() >= 0
 
 
-def test_a_new_agent_starts_from_a_snapshot_once_records_are_gone(cluster):
-    # The log's retention passes the first changes.  An instance replaced
-    # after that finds them in a snapshot and the rest in the tail.
+def test_new_agent_starts_from_a_snapshot_when_records_are_removed(cluster):
+    # The log's retention removes the first changes.  A new instance must
+    # read them from a snapshot and the others from the tail of the log.
     cluster.add(
         "a",
         options=dataclasses.replace(
@@ -162,11 +162,11 @@
 
 
 @pytest.mark.parametrize("damage", ["forged", "half-written"])
-def test_a_snapshot_that_is_not_whole_and_authentic_is_passed_over(
+def test_incomplete_or_forged_snapshot_is_ignored(
     cluster, damage, monkeypatch
 ):
-    # A writer dies between two chunks, or somebody who can only append to
-    # the log writes a snapshot of a tree of his own.
+    # A writer fails between two chunks, or a writer with access to the log
+    # alone forges a snapshot.
     set_model(cluster)
     fold = folds.Fold()
     fold.put("models/evil", 9, MODEL)
@@ -188,15 +188,16 @@
     assert reader.view().models.keys() == {"m"}
 
 
-def test_a_fold_that_differs_is_an_alarm_and_ours_is_kept(cluster):
-    # One instance was given other teams' keys, so it takes a change for
-    # forged that all others take.  Someone must be told.
+def test_digest_mismatch_is_counted_and_the_local_fold_is_kept(cluster):
+    # One instance has different keys of the teams in its settings, so it
+    # rejects as forged a change that all others accept.  Operators must be
+    # able to detect this.
     start(cluster, ["a", "b"])
     others = team_types.Teams(
         (team_types.Team("drafts", (b"other",), ("models",)),)
     )
-    odd = cluster.agents["a"].reader
-    odd.tree.teams = others
+    mismatched = cluster.agents["a"].reader
+    mismatched.tree.teams = others
     set_model(cluster)
     wait_for_offset(cluster, 1)
     both = [agent.reader for agent in cluster.agents.values()]
@@ -207,13 +208,13 @@
                 and one.counters.digest_mismatches == 1
             )
         )
-    assert odd.view().models.keys() == set()
+    assert mismatched.view().models.keys() == set()
     assert cluster.agents["b"].reader.view().models.keys() == {"m"}
 
 
-def test_a_log_outage_alone_does_not_make_agents_stale(cluster):
-    # The log is down for long.  Nothing can be published meanwhile, and
-    # agents that hear one another go on serving; one alone does not.
+def test_log_outage_alone_does_not_make_agents_stale(cluster):
+    # During a long outage of the log nothing can be published, and agents
+    # that reach one another must keep serving; an isolated agent must not.
     start(cluster, ["a", "b", "c"])
     cluster.log.set(outage=True)
     one = cluster.agents["a"].reader
@@ -224,9 +225,9 @@
     waiting.until(lambda: one.staleness_s() > 1.0)
 
 
-def test_a_late_answer_does_not_show_that_a_woken_agent_is_current(cluster):
-    # An agent is frozen with a question under way.  On waking it finds an
-    # answer that was true before; it must count from its question.
+def test_late_answer_does_not_prove_that_a_resumed_agent_is_current(cluster):
+    # An agent is frozen during a query.  When it resumes, the answer in its
+    # socket is old, so the age must count from the sending of the query.
     reader = cluster.add("a").reader
     waiting.until(reader.ready)
     reader.stopping.set()
@@ -235,14 +236,14 @@
     answer = messages.Records(
         True, reader.offset(), reader.tree.fold.digest, 0, True
     )
-    asked_at = states.now_s() - 60
-    reader.apply_reply(answer, asked_at, reader.offset())
+    sent_at = states.now_s() - 60
+    reader.apply_reply(answer, sent_at, reader.offset())
     assert reader.staleness_s() >= 60
 
 
-def test_a_heartbeat_of_a_higher_offset_is_followed(cluster):
-    # One agent's replica of the log lags and says that nothing is new; the
-    # heartbeat of another agent carries a higher offset.
+def test_peer_whose_heartbeat_carries_a_higher_offset_is_polled(cluster):
+    # An agent's replica of the log lags and returns no new records, while
+    # the heartbeat of another agent carries a higher offset.
     start(cluster, ["b"])
     with log_service.LogService() as lagging:
         late = cluster.add("a", lagging.address, EVERYONE).reader
@@ -253,10 +254,10 @@
         waiting.until(lambda: late.offset() == offset)
 
 
-def test_records_lost_to_retention_are_not_folded_over(cluster):
-    # An agent is cut off for longer than the log keeps records, and no
-    # snapshot covers what it missed.  Folding on would leave it alone with
-    # a tree that nobody else has.
+def test_fold_does_not_skip_records_removed_by_retention(cluster):
+    # An agent is disconnected for longer than the log's retention, and no
+    # snapshot covers the records that it missed.  Skipping them would give
+    # it a tree that differs from all others.
     agent = cluster.add("a", options=NO_SNAPSHOTS).reader
     set_model(cluster, "one")
     waiting.until(lambda: agent.offset() == 1)
@@ -276,7 +277,7 @@
     assert fresh.offset() in (0, 1)
 
 
-def test_a_doubled_or_late_answer_changes_nothing(cluster):
+def test_duplicate_or_late_answer_has_no_effect(cluster):
     reader = cluster.add("a").reader
     data = []
     for name in ("one", "two"):
@@ -291,39 +292,39 @@
     assert reader.offset() == 2
 
 
-def test_an_agent_without_a_tree_gives_none_away(cluster):
+def test_agent_without_a_tree_returns_no_state(cluster):
     cluster.log.set(outage=True)
-    start_name = cluster.add("a").name
-    asker = cluster.add("b").reader
+    empty_name = cluster.add("a").name
+    reader = cluster.add("b").reader
     with pytest.raises(peers.PeerError):
-        asker.peers.fetch_state(cluster.members()[start_name])
+        reader.peers.fetch_state(cluster.members()[empty_name])
 
 
-def test_an_agent_alone_in_its_cell_starts_from_another_cell(cluster):
-    # All agents of a small cell are replaced while the log is down; those
-    # of other cells hold the configuration.
+def test_agent_alone_in_its_cell_starts_from_another_cell(cluster):
+    # All agents of a small cell are replaced while the log is down, and only
+    # agents of other cells hold the configuration.
     start(cluster, ["a"])
     set_model(cluster)
     wait_for_offset(cluster, 1)
     cluster.log.set(outage=True)
-    elsewhere = cluster.members()
-    cluster.other_cell_members = lambda: elsewhere
-    far = cluster.agents.pop("a")
+    other_members = cluster.members()
+    cluster.other_cell_members = lambda: other_members
+    remote = cluster.agents.pop("a")
     fresh = cluster.add("b").reader
     waiting.until(fresh.ready)
     assert fresh.offset() == 1
-    far.stop()
+    remote.stop()
 
 
-def test_a_frozen_reader_costs_its_listeners_one_timeout_only(cluster):
-    # One of the two that read the log is frozen; it still counts as live
-    # for some seconds.  Agents that listen to it must turn to the other and
-    # stay there, or each change reaches them a timeout late.
+def test_frozen_reader_costs_each_follower_only_one_timeout(cluster):
+    # One of the two agents that read the log is frozen but still listed as
+    # live for some seconds.  Agents that poll it must switch to the other
+    # one, or each change would reach them with the delay of a timeout.
     start(cluster)
     wait_for_offset(cluster, set_model(cluster, "first"))
-    listener = cluster.agents[peers.ranked(NAMES)[-1]].reader
-    frozen = listener.reading_peers()[0]
+    follower = cluster.agents[peers.ranked(NAMES)[-1]].reader
+    frozen = follower.reading_peers()[0]
     cluster.agents[frozen].server.router.handlers[messages.FetchRecords] = (
         lambda *_: waiting.until(lambda: False, 5)
     )
-    waiting.until(lambda: listener.reading_peers()[-1] == frozen)
+    waiting.until(lambda: follower.reading_peers()[-1] == frozen)
--- a/tests/configuration/test_schema.py
+++ b/tests/configuration/test_schema.py
@@ -11,9 +11,9 @@
     return fold.entries
 
 
-def test_a_token_of_two_organisations_names_neither():
-    # Two teams' changes, each valid alone, give two organisations the same
-    # bearer token.  Its callers must reach neither's answers.
+def test_token_shared_by_two_organisations_identifies_neither():
+    # Changes of two teams, each valid alone, give two organisations the same
+    # bearer token.  Its callers must have access to the answers of neither.
     same, own = "0" * 32, "1" * 32
     tree = {
         "organisations/a": {"token_digest": same},
@@ -27,8 +27,8 @@
     assert view.organisation_of(own) == "c"
 
 
-def test_a_value_that_does_not_fit_is_left_out_and_told():
-    # A newer release publishes a field and a path that this one lacks.
+def test_invalid_value_is_omitted_and_reported():
+    # A newer release publishes a field and a path unknown to this one.
     builder = views.ViewBuilder()
     tree = {
         "models/a": {"version": "1", "newer": 1},
@@ -45,8 +45,8 @@
     assert builder.errors.keys() == {"newer/c"}
 
 
-def test_a_view_that_is_out_does_not_change():
-    # A request holds a view while a change deletes what it looks at.
+def test_returned_view_is_not_modified():
+    # A request holds a view while a change deletes values in it.
     builder = views.ViewBuilder()
     weights = {"address": "127.0.0.1:1"}
     tree = {"models/a": {"version": "1"}, "platform/weights": weights}
--- a/tests/configuration/test_snapshots.py
+++ b/tests/configuration/test_snapshots.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("wrong", ["offset", "digest", "bytes"])
-def test_a_state_that_is_not_what_it_says_is_refused(wrong):
+def test_state_that_does_not_match_its_offset_or_digest_is_rejected(wrong):
     fold = fold_through(3)
     state = snapshots.pack_state(fold)
     with pytest.raises(snapshots.SnapshotError):
@@ -34,11 +34,10 @@
         )
 
 
-def test_chunks_of_several_writers_may_lie_between_one_another(
-    log, monkeypatch
-):
-    # Two agents write the same snapshot at once and a third dies part way;
-    # a starting agent must find a whole one however far back it stands.
+def test_complete_snapshot_is_found_among_interleaved_chunks(log, monkeypatch):
+    # Two agents write the same snapshot at once and a third one fails after
+    # some chunks.  A starting agent must find a complete snapshot, however
+    # far back in the stream.
     monkeypatch.setattr(snapshots, "CHUNK_BYTES", 32)
     client = logs.LogClient(log.address)
     one = snapshots.make_chunks(fold_through(5))
@@ -52,7 +51,7 @@
     assert end == len(mixed) + 30 * len(broken)
 
 
-def test_the_oldest_snapshot_that_reaches_far_enough_is_found(log):
+def test_oldest_snapshot_that_reaches_the_offset_is_found(log):
     client = logs.LogClient(log.address)
     for offset in (2, 4, 6):
         append(client, fold_through(offset))
