--- a/src/briarseam/compose/node.py
+++ b/src/briarseam/compose/node.py
@@ -253,7 +253,7 @@
     def keep_house(self) -> None:
         """Forget what is old, and fetch what peers have newer."""
         self.feeds.registry.forget_lapsed()
-        self.forget_all_but(self.feeds.registry.ids())
+        self.keep_only_endpoints(self.feeds.registry.ids())
         self.pool.close_expired()
         self.guard.forget_expired()
         self.threads.renew()
@@ -316,8 +316,8 @@
         self.in_flight.close(wait_s)
         self.feeds.stop()
         self.topic_reads.stop()
-        if self.instances.service is not None:
-            self.instances.service.stop()
+        if self.instances.membership is not None:
+            self.instances.membership.stop()
         self.loop.stop()
         self.supervisor.stop()
 
@@ -369,7 +369,7 @@
             self.chooser.residency.forget(endpoint_id)
             self.weights.known_weights.forget(endpoint_id)
 
-    def forget_all_but(self, ids: frozenset[str]) -> None:
+    def keep_only_endpoints(self, ids: frozenset[str]) -> None:
         """Forget what came late of starts that are over.
 
         Guard: it is of no effect, since it is found under the id of its own
--- a/src/briarseam/compose/node_calls.py
+++ b/src/briarseam/compose/node_calls.py
@@ -50,11 +50,11 @@
         self.far: dict[str, clients.Client] = {}
         self.lock = threading.Lock()
 
-    def service(self) -> membership.Membership:
+    def require_membership(self) -> membership.Membership:
         """Return membership, or raise :class:`replies.NoReplyError`."""
-        if self.instances.service is None:
+        if self.instances.membership is None:
             raise replies.NoReplyError("no peer is met yet")
-        return self.instances.service
+        return self.instances.membership
 
     def near(
         self,
@@ -71,7 +71,7 @@
             When it does not answer with what was asked.
         """
         try:
-            client = self.service().client(name)
+            client = self.require_membership().client(name)
             return replies.checked(client.call(message, timeout_s), kind)
         except wire_connection.WireError as error:
             raise replies.NoReplyError(str(error)) from error
@@ -95,12 +95,12 @@
 
     def client(self, address: str) -> clients.Client:
         """Return the client of an instance of another cell."""
-        service = self.service()
+        membership = self.require_membership()
         with self.lock:
             found = self.far.get(address)
             if found is None:
                 found = clients.Client(
-                    address, service.identity, service.key, max_idle=1
+                    address, membership.identity, membership.key, max_idle=1
                 )
                 self.far[address] = found
         return found
@@ -109,22 +109,22 @@
 
     def name(self) -> str:
         """Return the name of this cell; empty before peers are met."""
-        service = self.instances.service
-        return "" if service is None else service.local_member.cell
+        membership = self.instances.membership
+        return "" if membership is None else membership.local_member.cell
 
     def size(self) -> int:
         """Return how many instances this cell has."""
-        service = self.instances.service
-        return 1 if service is None else len(service.members())
+        membership = self.instances.membership
+        return 1 if membership is None else len(membership.members())
 
     def peers(self) -> list[str]:
         """Return where to reach the other instances of this cell."""
-        service = self.instances.service
-        if service is None:
+        membership = self.instances.membership
+        if membership is None:
             return []
         return [
             member.agent_address
-            for member in service.live()
+            for member in membership.live()
             if member.name != self.instances.me
         ]
 
--- a/src/briarseam/compose/node_draining.py
+++ b/src/briarseam/compose/node_draining.py
@@ -83,8 +83,8 @@
 
     def announce_leaving(self) -> None:
         """Tell peers and store that this instance will be gone soon."""
-        if self.instances.service is not None:
-            self.instances.service.announce_leaving()
+        if self.instances.membership is not None:
+            self.instances.membership.announce_leaving()
         # The store may be away; what serves must not wait for it.
         threading.Thread(
             target=self.sign_off, name="sign-off", daemon=True
--- a/src/briarseam/compose/node_instances.py
+++ b/src/briarseam/compose/node_instances.py
@@ -41,11 +41,11 @@
     def __init__(self, me: str) -> None:
         self.me = me
         self.rows: registrations.Registrations | None = None
-        self.service: membership.Membership | None = None
+        self.membership: membership.Membership | None = None
 
     def all(self) -> collections.abc.Sequence[members.Member]:
         """Return all known instances, this one included."""
-        return () if self.service is None else self.service.all_members()
+        return () if self.membership is None else self.membership.all_members()
 
     def all_names(self) -> list[str]:
         """Return the names of all known instances."""
@@ -53,9 +53,9 @@
 
     def cell(self) -> list[str]:
         """Return the instances of this cell that stay, this one included."""
-        if self.service is None:
+        if self.membership is None:
             return []
-        return [member.name for member in self.service.live()]
+        return [member.name for member in self.membership.live()]
 
     def weight_of(self, name: str) -> float:
         """Return the work an instance can take, relative to others."""
@@ -72,22 +72,22 @@
 
     def heard(self) -> list[str]:
         """Return who is heard, by any cell; empty with no fresh view."""
-        if self.service is None or not self.service.is_fresh():
+        if self.membership is None or not self.membership.is_fresh():
             return []
         return self.all_names()
 
     def told(self) -> bool:
         """Tell whether all peers know what this instance says of itself."""
-        return self.service is None or self.service.is_published()
+        return self.membership is None or self.membership.is_published()
 
     def tell_at_once(self) -> None:
         """Send the next heartbeats now."""
-        if self.service is not None:
-            self.service.publish_now()
+        if self.membership is not None:
+            self.membership.publish_now()
 
     def is_leader_candidate(self) -> bool:
         """Tell whether this instance should take part in giving orders."""
-        if self.service is None:
+        if self.membership is None:
             return False
         names = self.candidates()
         if len(names) <= LEADER_CANDIDATES:
--- a/src/briarseam/compose/node_meeting.py
+++ b/src/briarseam/compose/node_meeting.py
@@ -173,7 +173,7 @@
             self.tally,
             self.loop,
         )
-        self.instances.service = service
+        self.instances.membership = service
         if service is not None:
             self.tell_loads(service)
         log.info("peers_met", address=str(self.settings.listen.peers))
--- a/tests/compose/test_node_calls.py
+++ b/tests/compose/test_node_calls.py
@@ -53,7 +53,7 @@
     )
     instances = types.SimpleNamespace(
         me=me,
-        service=service,
+        membership=service,
         all=lambda: MEMBERS,
         cell=lambda: ["a1", "a2"],
         weight_of=lambda name: WEIGHTS.get(name, 1.0),
@@ -72,7 +72,7 @@
 
 def test_nobody_is_told_or_asked_before_peers_are_met():
     made = calls()
-    made.instances.service = None
+    made.instances.membership = None
     with pytest.raises(replies.NoReplyError):
         made.send_losses("b2:1", loss_sharing.RequestsLost(()))
     with pytest.raises(replies.NoReplyError):
--- a/tests/compose/test_node_instances.py
+++ b/tests/compose/test_node_instances.py
@@ -32,7 +32,7 @@
         None, "topic", registrations.Registration(me, "", "north", "a")
     )
     if options:
-        made.service = service(**options)
+        made.membership = service(**options)
     return made
 
 
--- a/tests/platform/test_restarted_endpoint.py
+++ b/tests/platform/test_restarted_endpoint.py
@@ -61,7 +61,7 @@
     restarted.restart(case, "entry")
     about = restarted.THINGS[thing]
     about.note(case.node, restarted.OLD, case)
-    case.node.forget_all_but(case.registry.ids())
+    case.node.keep_only_endpoints(case.registry.ids())
     assert not about.knows(case.node, restarted.OLD)
 
 
@@ -70,7 +70,7 @@
     restarted.restart(case, "entry")
     about = restarted.THINGS[thing]
     about.note(case.node, restarted.NEW, case)
-    case.node.forget_all_but(case.registry.ids())
+    case.node.keep_only_endpoints(case.registry.ids())
     case.registry.apply_changes([case.entry()])
     assert about.knows(case.node, case.id())
 
--- a/tests/platform/test_restarted_endpoint_serving.py
+++ b/tests/platform/test_restarted_endpoint_serving.py
@@ -37,13 +37,15 @@
     one that a report showed a second later, from the engine's entry.
     """
     instances = born_system.node.instances
-    waiting.until(lambda: instances.service is not None, restarted.PATIENCE_S)
+    waiting.until(
+        lambda: instances.membership is not None, restarted.PATIENCE_S
+    )
     content = {
         "endpoint-starts": restarted.packed(
             (restarted.NAME, restarted.NEW_BORN)
         )
     }
-    instances.service.sections.consume("peer", content)
+    instances.membership.sections.consume("peer", content)
     assert [item.id for item in born_system.node.feeds.registry.all()] == [
         restarted.NEW
     ]
