--- a/src/briarseam/compose/node.py
+++ b/src/briarseam/compose/node.py
@@ -10,16 +10,16 @@
 from briarseam import inflight
 from briarseam import malformed
 from briarseam import repeating
+from briarseam.compose import local_handlers
 from briarseam.compose import node_calls
 from briarseam.compose import node_draining
 from briarseam.compose import node_feeds
 from briarseam.compose import node_instances
-from briarseam.compose import node_meeting
+from briarseam.compose import node_membership
 from briarseam.compose import node_metrics
 from briarseam.compose import node_servers
 from briarseam.compose import node_weights
 from briarseam.compose import reloading
-from briarseam.compose import small_answers
 from briarseam.discovery import restarts
 from briarseam.feeds import sharing as feeds_sharing
 from briarseam.forwarding import attempts
@@ -155,7 +155,7 @@
         self.peer_configuration = peer_configuration.PeerConfiguration(
             self.feeds.operators, self.calls
         )
-        self.meeting = node_meeting.Meeting(
+        self.meeting = node_membership.Meeting(
             settings,
             self.store,
             self.feeds.registrations,
@@ -175,9 +175,9 @@
             "housekeeping", self.keep_house, HOUSEKEEPING_S
         )
 
-    def told(self) -> node_meeting.Told:
+    def told(self) -> node_membership.Told:
         """Return the parts that tell peers something."""
-        return node_meeting.Told(
+        return node_membership.Told(
             loads=self.chooser.loads,
             cell_loads=self.cell_loads,
             restarts=self.restarts,
@@ -216,7 +216,7 @@
     def build_servers(self) -> dict[str, http.Server]:
         """Return the servers by what they are for, nothing bound."""
         listen = self.settings.listen
-        small = small_answers.SmallAnswers(
+        small = local_handlers.SmallAnswers(
             self.is_ready,
             zonal.ZonalLookup(
                 self.instances.all,
--- a/src/briarseam/compose/node_servers.py
+++ b/src/briarseam/compose/node_servers.py
@@ -12,7 +12,7 @@
     import collections.abc
 
     from briarseam import inflight
-    from briarseam.compose import small_answers
+    from briarseam.compose import local_handlers
     from briarseam.settings import sections
     from briarseam.settings import serving
 
@@ -23,7 +23,7 @@
     listen: serving.Listen,
     forward: Handle,
     in_flight: inflight.InFlight,
-    small: small_answers.SmallAnswers,
+    small: local_handlers.SmallAnswers,
 ) -> dict[str, http.Server]:
     """Return the servers by what they are for, nothing bound.
 
