--- a/src/briarseam/compose/node_calls.py
+++ b/src/briarseam/compose/node_calls.py
@@ -218,7 +218,7 @@
     def read_topic(
         self,
         reader: str,
-        asked: shared_messages.RecordsAsked,
+        query: shared_messages.RecordsAsked,
         timeout_s: float,
     ) -> shared_messages.RecordsTold:
         """Ask for records of a shared topic.
@@ -230,7 +230,7 @@
         """
         kind = shared_messages.RecordsTold
         try:
-            return self.near(reader, asked, kind, timeout_s)
+            return self.near(reader, query, kind, timeout_s)
         except replies.NoReplyError as error:
             raise feeds_sharing.ReaderUnavailableError(str(error)) from error
 
--- a/src/briarseam/feeds/following.py
+++ b/src/briarseam/feeds/following.py
@@ -72,7 +72,7 @@
         self.pause_s = pause_s
         self.next: int | None = None
         self.available = True
-        self.was_empty = False
+        self.last_batch_empty = False
         self.stopping = threading.Event()
         self.thread = threading.Thread(
             target=self.run, name=f"follow-{topic}", daemon=True
@@ -88,13 +88,13 @@
 
     def run(self) -> None:
         """Follow until stopped."""
-        pauses = backoff.Backoff(RETRY_S, MAX_RETRY_S, JITTER)
+        retry_backoff = backoff.Backoff(RETRY_S, MAX_RETRY_S, JITTER)
         while not self.stopping.is_set():
             try:
                 self.read_once()
             except records.StoreUnavailableError as error:
-                self.note_lost(str(error))
-                self.stopping.wait(pauses.next_s())
+                self.record_store_lost(str(error))
+                self.stopping.wait(retry_backoff.next_s())
                 continue
             except Exception:
                 # A fault of ours must not end the thread: nothing would
@@ -103,26 +103,30 @@
                 log.exception("read_failed", topic=self.topic)
                 self.stopping.wait(MAX_RETRY_S)
                 continue
-            pauses.reset()
-            self.note_regained()
-            self.stopping.wait(self.pause())
+            retry_backoff.reset()
+            self.record_store_regained()
+            self.stopping.wait(self.next_pause_s())
 
-    def pause(self) -> float:
+    def next_pause_s(self) -> float:
         """Return the pause after a read that was answered, in seconds.
 
         Guard: whoever is asked may answer at once that there is nothing,
         and would then be asked as fast as it answers.
         """
-        return max(self.pause_s, EMPTY_PAUSE_S if self.was_empty else 0.0)
+        return max(
+            self.pause_s, EMPTY_PAUSE_S if self.last_batch_empty else 0.0
+        )
 
     def read_once(self) -> None:
         """Read what is new, or everything where records have expired."""
         if self.next is None:
             batch = self.store.newest(self.topic)
-            self.hand_on(self.listener.apply_all, batch)
+            self.deliver(self.listener.apply_all, batch)
             return
         try:
-            batch = self.store.read_keyed(self.topic, self.next, self.wait())
+            batch = self.store.read_keyed(
+                self.topic, self.next, self.next_wait_s()
+            )
         except records.StoreRestoredError as error:
             log.warning("topic_restored", topic=self.topic, detail=str(error))
             # What others wrote since the copy may be missing for a while.
@@ -133,9 +137,9 @@
             log.warning("records_expired", topic=self.topic, detail=str(error))
             self.next = None
             return
-        self.hand_on(self.listener.apply_changes, batch)
+        self.deliver(self.listener.apply_changes, batch)
 
-    def wait(self) -> float:
+    def next_wait_s(self) -> float:
         """Return the length of the next long poll, in seconds.
 
         While the store is away each try hangs until its own end.  A long
@@ -144,30 +148,30 @@
         """
         return self.wait_s if self.available else 0.0
 
-    def hand_on(
+    def deliver(
         self,
-        take: collections.abc.Callable[
+        apply: collections.abc.Callable[
             [tuple[records.KeyedRecord, ...]], None
         ],
         batch: records.KeyedBatch,
     ) -> None:
         """Hand a batch on and remember where to read next."""
         try:
-            take(batch.records)
+            apply(batch.records)
         except Exception:
             # A record that can't be taken in must not stop all later ones.
             log.exception("records_not_taken", topic=self.topic)
         self.next = batch.next
-        self.was_empty = not batch.records
+        self.last_batch_empty = not batch.records
 
-    def note_lost(self, detail: str) -> None:
+    def record_store_lost(self, detail: str) -> None:
         """Note that the store does not answer; log it once."""
         if self.available:
             log.warning("store_lost", topic=self.topic, detail=detail)
         self.available = False
         self.listener.store_lost()
 
-    def note_regained(self) -> None:
+    def record_store_regained(self) -> None:
         """Note that the store answers; log it once."""
         if not self.available:
             log.warning("store_regained", topic=self.topic, next=self.next)
--- a/src/briarseam/feeds/packing.py
+++ b/src/briarseam/feeds/packing.py
@@ -9,21 +9,21 @@
 from briarseam.feeds import shared_messages as messages
 
 # Larger values are compressed: a configuration becomes a fifth.
-PACK_FROM_BYTES = 2000
-FASTEST = 1
+COMPRESS_MIN_BYTES = 2000
+COMPRESSION_LEVEL = 1
 # Of what is handed on at once.  Larger batches are read from the store by
 # each instance: thirty copies would hold up the link of the reader.
-MOST_BYTES = 20_000
+MAX_MESSAGE_BYTES = 20_000
 # Largest value that is unpacked.
-MOST_UNPACKED_BYTES = 16 * 1024 * 1024
-PACKED_KEPT = 4
+MAX_UNPACKED_BYTES = 16 * 1024 * 1024
+COMPRESSED_CACHE_SIZE = 4
 
 
 class UnpackError(Exception):
     """A value that was handed on can't be unpacked."""
 
 
-def told(
+def pack_batch(
     batch: records.KeyedBatch, unpacks: bool
 ) -> messages.RecordsTold | None:
     """Return the message that hands records on.
@@ -44,18 +44,18 @@
     rows: list[tuple[str, bytes | None]] = []
     for record in batch.records:
         value = record.value
-        if unpacks and value is not None and len(value) >= PACK_FROM_BYTES:
+        if unpacks and value is not None and len(value) >= COMPRESS_MIN_BYTES:
             packed.append(len(rows))
-            value = compressed(value)
+            value = compress(value)
         rows.append((record.key, value))
-    if sum(len(value or b"") for _key, value in rows) > MOST_BYTES:
+    if sum(len(value or b"") for _key, value in rows) > MAX_MESSAGE_BYTES:
         return None
     return messages.RecordsTold(
         True, tuple(rows), batch.next, packed=tuple(packed)
     )
 
 
-def taken(message: messages.RecordsTold) -> records.KeyedBatch:
+def unpack_batch(message: messages.RecordsTold) -> records.KeyedBatch:
     """Return the records of a message.
 
     Raises
@@ -67,24 +67,24 @@
     found = tuple(
         records.KeyedRecord(
             key,
-            decompressed(value) if value and number in packed else value,
+            decompress(value) if value and number in packed else value,
         )
         for number, (key, value) in enumerate(message.records)
     )
     return records.KeyedBatch(found, message.next)
 
 
-@functools.lru_cache(maxsize=PACKED_KEPT)
-def compressed(value: bytes) -> bytes:
+@functools.lru_cache(maxsize=COMPRESSED_CACHE_SIZE)
+def compress(value: bytes) -> bytes:
     """Return a value compressed; the same one goes to forty instances."""
-    return zlib.compress(value, FASTEST)
+    return zlib.compress(value, COMPRESSION_LEVEL)
 
 
-def decompressed(value: bytes) -> bytes:
+def decompress(value: bytes) -> bytes:
     """Return a value that was compressed."""
     unpacker = zlib.decompressobj()
     try:
-        found = unpacker.decompress(value, MOST_UNPACKED_BYTES)
+        found = unpacker.decompress(value, MAX_UNPACKED_BYTES)
     except zlib.error as error:
         raise UnpackError(str(error)) from error
     if not unpacker.eof:
--- a/src/briarseam/feeds/record_cache.py
+++ b/src/briarseam/feeds/record_cache.py
@@ -16,11 +16,11 @@
 MAX_AGE_S = 1.4
 # Records that are kept for those who are behind: a minute and a half of a
 # topic with 55 changes a second.
-MOST_RECORDS = 5000
+MAX_RECORDS = 5000
 # Records that an instance keeps of what it follows: some seconds' worth.
-TAIL_RECORDS = 500
+MAX_TAIL_RECORDS = 500
 # No offset is known yet.
-NOWHERE = -1
+NO_OFFSET = -1
 
 
 class MissReason(enum.Enum):
@@ -48,11 +48,11 @@
 
     def __init__(self) -> None:
         self.records: collections.deque[records.KeyedRecord] = (
-            collections.deque(maxlen=TAIL_RECORDS)
+            collections.deque(maxlen=MAX_TAIL_RECORDS)
         )
-        self.next = NOWHERE
+        self.next = NO_OFFSET
 
-    def note(self, start: int, batch: records.KeyedBatch) -> None:
+    def append(self, start: int, batch: records.KeyedBatch) -> None:
         """Take in what was read from an offset on."""
         if start != self.next:
             self.records.clear()
@@ -82,17 +82,17 @@
     def __init__(self, clock: typing.Callable[[], float]) -> None:
         self.clock = clock
         self.changed = changes.Change()
-        self.next = NOWHERE
+        self.next = NO_OFFSET
         self.records: collections.deque[records.KeyedRecord] = (
-            collections.deque(maxlen=MOST_RECORDS)
+            collections.deque(maxlen=MAX_RECORDS)
         )
-        self.away = False
-        self.confirmed_s: float | None = None
+        self.store_unavailable = False
+        self.confirmed_at_s: float | None = None
 
     @property
-    def begun(self) -> bool:
+    def was_confirmed(self) -> bool:
         """Whether the store has confirmed the content at all."""
-        return self.confirmed_s is not None
+        return self.confirmed_at_s is not None
 
     def resume(self, tail: Tail) -> None:
         """Go on from what was followed; nothing of it is confirmed yet."""
@@ -105,7 +105,7 @@
         with self.changed:
             self.records.clear()
             self.next = start
-            self.confirm()
+            self.mark_confirmed()
             self.changed.notify_all()
 
     def append(self, batch: records.KeyedBatch) -> None:
@@ -113,42 +113,46 @@
         with self.changed:
             self.records.extend(batch.records)
             self.next = batch.next
-            self.confirm()
+            self.mark_confirmed()
             if batch.records:
                 self.changed.notify_all()
 
-    def confirm(self) -> None:
+    def mark_confirmed(self) -> None:
         """Take note that the store answered; call it under the lock."""
-        self.away = False
-        self.confirmed_s = self.clock()
+        self.store_unavailable = False
+        self.confirmed_at_s = self.clock()
 
-    def doubt(self) -> None:
+    def mark_unavailable(self) -> None:
         """Hand nothing on until the store has answered again.
 
         Who asks then asks another reader.
         """
         with self.changed:
-            self.away = True
+            self.store_unavailable = True
             self.changed.notify_all()
 
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Return for how long the content is still current."""
-        if self.away or self.confirmed_s is None:
+        if self.store_unavailable or self.confirmed_at_s is None:
             return 0.0
-        return self.confirmed_s + MAX_AGE_S - self.clock()
+        return self.confirmed_at_s + MAX_AGE_S - self.clock()
 
-    def has_news(self, start: int) -> bool:
+    def has_answer(self, start: int) -> bool:
         """Tell whether there is an answer now; call it under the lock."""
-        return self.away or (self.begun and self.next > start)
+        return self.store_unavailable or (
+            self.was_confirmed and self.next > start
+        )
 
-    def wait_s(self, wait_s: float) -> float:
+    def limit_wait_s(self, wait_s: float) -> float:
         """Return how long to wait for news, given how long is wanted."""
-        return min(wait_s, self.left_s()) if self.begun else wait_s
+        return (
+            min(wait_s, self.remaining_s()) if self.was_confirmed else wait_s
+        )
 
-    async def await_news(self, start: int, wait_s: float) -> None:
+    async def await_answer(self, start: int, wait_s: float) -> None:
         """Wait for an answer, without a thread."""
         await self.changed.reached(
-            lambda: self.has_news(start), self.wait_s(wait_s)
+            lambda: self.has_answer(start), self.limit_wait_s(wait_s)
         )
 
     def read(
@@ -157,9 +161,9 @@
         """Return records from an offset on, waiting for the first."""
         with self.changed:
             self.changed.wait_for(
-                lambda: self.has_news(start), self.wait_s(wait_s)
+                lambda: self.has_answer(start), self.limit_wait_s(wait_s)
             )
-            if self.left_s() <= 0:
+            if self.remaining_s() <= 0:
                 return MissReason.STORE_UNAVAILABLE
             first = self.next - len(self.records)
             if not first <= start <= self.next:
--- a/src/briarseam/feeds/sharing.py
+++ b/src/briarseam/feeds/sharing.py
@@ -26,21 +26,21 @@
     import collections.abc
 
 # With fewer instances each reads the store itself, and depends on nobody.
-SHARED_FROM = 11
+MIN_SHARING_INSTANCES = 11
 # What an answer of the reader may take beyond its wait.  A reader that is
 # gone without a word is noticed in their sum.
-SLACK_S = 0.5
+READER_SLACK_S = 0.5
 # How long a reader that gave no answer, or that the store does not answer,
 # is not asked again.
-AVOID_S = 1.0
+BACKOFF_S = 1.0
 # A reader whom nobody has asked for so long stops, unless it ranks first.
-UNASKED_S = 5.0
+READER_IDLE_S = 5.0
 # While no reader gets answers, each instance asks the store itself so
 # seldom: of forty, ten ask in a second.
-OWN_TRY_S = 4.0
-OWN_TRY_JITTER = 0.5
+PROBE_S = 4.0
+PROBE_JITTER = 0.5
 # After an answer to such a try the store is read directly for so long.
-DIRECT_S = 2.0
+DIRECT_READ_S = 2.0
 log = structlog.get_logger("briarseam.feeds")
 
 
@@ -61,7 +61,7 @@
         """
 
     def read_topic(
-        self, reader: str, asked: messages.RecordsAsked, timeout_s: float
+        self, reader: str, query: messages.RecordsAsked, timeout_s: float
     ) -> messages.RecordsTold:
         """Ask a reader.
 
@@ -94,22 +94,22 @@
         store: records.KeyedStore,
         topics: collections.abc.Iterable[str],
         readers: Readers,
-        me: str,
+        own_name: str,
         clock: typing.Callable[[], float] = clocks.boot_clock,
     ) -> None:
         self.store = store
         self.readers = readers
-        self.me = me
+        self.own_name = own_name
         self.clock = clock
         self.topics = tuple(topics)
         self.caches: dict[str, record_cache.RecordCache] = {}
         self.active_readers: dict[str, topic_reader.TopicReader] = {}
         self.tails = {topic: record_cache.Tail() for topic in self.topics}
-        self.avoided: dict[str, float] = {}
-        self.away: dict[str, float] = {}
-        self.own_try_s = 0.0
+        self.silent_until_s: dict[str, float] = {}
+        self.unavailable_until_s: dict[str, float] = {}
+        self.next_probe_s = 0.0
         self.direct_until_s = float("-inf")
-        self.asked_s = float("-inf")
+        self.last_query_s = float("-inf")
         self.lock = threading.Lock()
         self.direct_reads = 0
         self.shared_reads = 0
@@ -130,22 +130,22 @@
         StoreUnavailableError
             When neither a reader nor the store answers properly.
         """
-        batch = self.read_somewhere(topic, start, wait_s)
-        self.tails[topic].note(start, batch)
+        batch = self.read_shared_or_direct(topic, start, wait_s)
+        self.tails[topic].append(start, batch)
         return batch
 
-    def read_somewhere(
+    def read_shared_or_direct(
         self, topic: str, start: int, wait_s: float
     ) -> records.KeyedBatch:
         """Return changes from a reader, or else from the store."""
-        shared_wait_s = min(wait_s, topic_reader.WAIT_S)
-        found = self.read_shared(topic, start, shared_wait_s)
-        match found:
+        shared_wait_s = min(wait_s, topic_reader.MAX_WAIT_S)
+        result = self.read_from_readers(topic, start, shared_wait_s)
+        match result:
             case records.KeyedBatch():
                 self.shared_reads += 1
-                return found
+                return result
             case record_cache.MissReason.STORE_UNAVAILABLE:
-                return self.try_store(topic, start, wait_s)
+                return self.probe_store(topic, start, wait_s)
             case record_cache.MissReason.UNKNOWN:
                 return self.read_directly(topic, start, wait_s)
 
@@ -156,7 +156,7 @@
         self.direct_reads += 1
         return self.store.read_keyed(topic, start, wait_s)
 
-    def try_store(
+    def probe_store(
         self, topic: str, start: int, wait_s: float
     ) -> records.KeyedBatch:
         """Ask the store itself, though it answers none of the readers.
@@ -168,60 +168,60 @@
         now_s = self.clock()
         if now_s < self.direct_until_s:
             batch = self.read_directly(topic, start, wait_s)
-        elif now_s >= self.own_try_s:
-            pause_s = backoff.jittered(OWN_TRY_S, OWN_TRY_JITTER)
-            self.own_try_s = now_s + pause_s
+        elif now_s >= self.next_probe_s:
+            pause_s = backoff.jittered(PROBE_S, PROBE_JITTER)
+            self.next_probe_s = now_s + pause_s
             # Were the store silent, a long poll would hold up the follower.
             batch = self.read_directly(topic, start, 0.0)
         else:
             raise records.StoreUnavailableError(
                 "the store answers none of the cell's readers"
             )
-        self.direct_until_s = self.clock() + DIRECT_S
+        self.direct_until_s = self.clock() + DIRECT_READ_S
         return batch
 
-    def read_shared(
+    def read_from_readers(
         self, topic: str, start: int, wait_s: float
     ) -> records.KeyedBatch | record_cache.MissReason:
         """Return what a reader has, asking them by rank."""
-        if self.readers.instance_count() < SHARED_FROM:
+        if self.readers.instance_count() < MIN_SHARING_INSTANCES:
             self.stop()
             return record_cache.MissReason.UNKNOWN
         names = list(self.readers.topic_readers())
         self.stop_unless_needed(names)
-        is_away = False
+        store_unavailable = False
         for name in names:
-            if self.is_marked(self.away, name):
-                is_away = True
+            if self.is_skipped(self.unavailable_until_s, name):
+                store_unavailable = True
                 continue
-            if self.is_marked(self.avoided, name):
+            if self.is_skipped(self.silent_until_s, name):
                 continue
-            found = self.read_through(name, topic, start, wait_s)
-            match found:
+            result = self.read_from(name, topic, start, wait_s)
+            match result:
                 case records.KeyedBatch():
-                    return found
+                    return result
                 case record_cache.MissReason.STORE_UNAVAILABLE:
-                    self.away[name] = self.clock() + AVOID_S
-                    is_away = True
+                    self.unavailable_until_s[name] = self.clock() + BACKOFF_S
+                    store_unavailable = True
                 case record_cache.MissReason.UNKNOWN:
-                    return found
+                    return result
                 case None:
-                    self.avoided[name] = self.clock() + AVOID_S
-        if is_away:
+                    self.silent_until_s[name] = self.clock() + BACKOFF_S
+        if store_unavailable:
             return record_cache.MissReason.STORE_UNAVAILABLE
         return record_cache.MissReason.UNKNOWN
 
-    def is_marked(self, marks: dict[str, float], name: str) -> bool:
+    def is_skipped(self, skipped_until_s: dict[str, float], name: str) -> bool:
         """Tell whether a reader is left alone just now."""
-        return marks.get(name, float("-inf")) > self.clock()
+        return skipped_until_s.get(name, float("-inf")) > self.clock()
 
-    def read_through(
+    def read_from(
         self, name: str, topic: str, start: int, wait_s: float
     ) -> records.KeyedBatch | record_cache.MissReason | None:
         """Return what one reader has; ``None`` if it does not answer."""
-        if name != self.me:
-            return self.ask(name, topic, start, wait_s)
-        self.asked_s = self.clock()
+        if name != self.own_name:
+            return self.query_reader(name, topic, start, wait_s)
+        self.last_query_s = self.clock()
         self.start_reading()
         # Another topic's follower may just have seen other readers and
         # stopped all of this.
@@ -230,46 +230,54 @@
             return record_cache.MissReason.UNKNOWN
         return cache.read(start, wait_s)
 
-    def ask(
+    def query_reader(
         self, reader: str, topic: str, start: int, wait_s: float
     ) -> records.KeyedBatch | record_cache.MissReason | None:
         """Ask another instance."""
-        asked = messages.RecordsAsked(topic, start, wait_s, unpacks=True)
+        query = messages.RecordsAsked(topic, start, wait_s, unpacks=True)
         try:
-            told = self.readers.read_topic(reader, asked, wait_s + SLACK_S)
-            batch = packing.taken(told)
+            reply = self.readers.read_topic(
+                reader, query, wait_s + READER_SLACK_S
+            )
+            batch = packing.unpack_batch(reply)
         except (ReaderUnavailableError, packing.UnpackError) as error:
             log.warning(
                 "topic_reader_silent", reader=reader, detail=str(error)
             )
             return None
-        if told.away:
+        if reply.away:
             return record_cache.MissReason.STORE_UNAVAILABLE
-        if not told.known:
+        if not reply.known:
             return record_cache.MissReason.UNKNOWN
         return batch
 
     # For instances that ask this one.
 
-    async def await_answer(self, asked: messages.RecordsAsked) -> None:
+    async def await_answer(self, query: messages.RecordsAsked) -> None:
         """Wait until there is an answer for another instance."""
-        self.asked_s = self.clock()
+        self.last_query_s = self.clock()
         # The ranking of the whole cell is not worked out for each call.
-        if not self.active_readers and self.me in self.readers.topic_readers():
+        if (
+            not self.active_readers
+            and self.own_name in self.readers.topic_readers()
+        ):
             self.start_reading()
-        cache = self.caches.get(asked.topic)
+        cache = self.caches.get(query.topic)
         if cache is not None:
-            wait_s = min(asked.wait_s, topic_reader.WAIT_S)
-            await cache.await_news(asked.start, wait_s)
+            wait_s = min(query.wait_s, topic_reader.MAX_WAIT_S)
+            await cache.await_answer(query.start, wait_s)
 
-    def answer(self, asked: messages.RecordsAsked) -> messages.RecordsTold:
+    def answer(self, query: messages.RecordsAsked) -> messages.RecordsTold:
         """Answer an instance that takes this one for a reader, at once."""
-        cache = self.caches.get(asked.topic)
+        cache = self.caches.get(query.topic)
         if cache is None:
             return messages.UNKNOWN
-        match cache.read(asked.start, 0.0):
+        match cache.read(query.start, 0.0):
             case records.KeyedBatch() as batch:
-                return packing.told(batch, asked.unpacks) or messages.UNKNOWN
+                return (
+                    packing.pack_batch(batch, query.unpacks)
+                    or messages.UNKNOWN
+                )
             case record_cache.MissReason.STORE_UNAVAILABLE:
                 return messages.STORE_UNAVAILABLE
             case record_cache.MissReason.UNKNOWN:
@@ -299,10 +307,10 @@
 
     def stop_unless_needed(self, names: list[str]) -> None:
         """Read for nobody any more, if others do."""
-        if not self.active_readers or names[:1] == [self.me]:
+        if not self.active_readers or names[:1] == [self.own_name]:
             return
-        unasked_s = self.clock() - self.asked_s
-        if self.me not in names or unasked_s > UNASKED_S:
+        idle_s = self.clock() - self.last_query_s
+        if self.own_name not in names or idle_s > READER_IDLE_S:
             self.stop()
 
     def stop(self) -> None:
--- a/src/briarseam/feeds/topic_reader.py
+++ b/src/briarseam/feeds/topic_reader.py
@@ -11,9 +11,9 @@
 from briarseam.feeds import records
 
 # Longest wait for a record, at the store and at the reader.
-WAIT_S = 0.8
+MAX_WAIT_S = 0.8
 # The reader's pause after it got records, so that it gets them in batches.
-PAUSE_S = 0.3
+BATCH_PAUSE_S = 0.3
 RETRY_S = 0.4
 # Failed reads of a topic, one after the other, that mean an outage; one by
 # itself is an answer that was lost.
@@ -31,26 +31,26 @@
     def __init__(self) -> None:
         self.lock = threading.Lock()
         self.failures: dict[str, int] = {}
-        self.asking = ""
+        self.probing_topic = ""
 
-    def may_ask(self, topic: str) -> bool:
+    def may_read(self, topic: str) -> bool:
         """Tell whether a topic is to be read now."""
         with self.lock:
-            return self.asking in ("", topic)
+            return self.probing_topic in ("", topic)
 
-    def note_failure(self, topic: str) -> None:
+    def record_failure(self, topic: str) -> None:
         """Take note of a read that failed."""
         with self.lock:
             count = self.failures[topic] = self.failures.get(topic, 0) + 1
-            if not self.asking and count >= OUTAGE_FAILURES:
-                self.asking = topic
+            if not self.probing_topic and count >= OUTAGE_FAILURES:
+                self.probing_topic = topic
 
-    def note_answer(self, topic: str) -> None:
+    def record_success(self, topic: str) -> None:
         """Take note of a read that was answered."""
         with self.lock:
             self.failures.pop(topic, None)
-            if self.asking == topic:
-                self.asking = ""
+            if self.probing_topic == topic:
+                self.probing_topic = ""
 
 
 class TopicReader:
@@ -84,7 +84,7 @@
             self.read_once,
             records.StoreUnavailableError,
             RETRY_S,
-            self.doubt,
+            self.handle_failure,
         )
 
     def start(self) -> None:
@@ -95,37 +95,37 @@
         """Stop after the read under way."""
         self.poller.stop()
 
-    def doubt(self, error: Exception) -> None:
+    def handle_failure(self, error: Exception) -> None:
         """Hand nothing on while the store does not answer."""
         del error
-        self.cache.doubt()
+        self.cache.mark_unavailable()
 
     def read_once(self) -> float:
         """Read what is new; return the pause to the next read."""
-        if not self.gate.may_ask(self.topic):
+        if not self.gate.may_read(self.topic):
             raise records.StoreUnavailableError("another topic's read asks")
         try:
-            pause_s = self.ask()
+            pause_s = self.read_store()
         except records.StoreUnavailableError:
-            self.gate.note_failure(self.topic)
+            self.gate.record_failure(self.topic)
             raise
-        self.gate.note_answer(self.topic)
+        self.gate.record_success(self.topic)
         return pause_s
 
-    def ask(self) -> float:
+    def read_store(self) -> float:
         """Ask the store; return the pause to the next time."""
-        if self.cache.next == record_cache.NOWHERE:
-            return self.begin_anew()
-        wait_s = WAIT_S if self.cache.begun else 0.0
+        if self.cache.next == record_cache.NO_OFFSET:
+            return self.restart()
+        wait_s = MAX_WAIT_S if self.cache.was_confirmed else 0.0
         try:
             batch = self.store.read_keyed(self.topic, self.cache.next, wait_s)
         except records.RecordsExpiredError as error:
             log.warning("records_expired", topic=self.topic, detail=str(error))
-            return self.begin_anew()
+            return self.restart()
         self.cache.append(batch)
-        return PAUSE_S if batch.records else 0.0
+        return BATCH_PAUSE_S if batch.records else 0.0
 
-    def begin_anew(self) -> float:
+    def restart(self) -> float:
         """Begin where the topic ends now; return the pause after that."""
         self.cache.reset(self.store.newest(self.topic).next)
         return 0.0
--- a/tests/feeds/fakes.py
+++ b/tests/feeds/fakes.py
@@ -45,9 +45,9 @@
     def __init__(self):
         self.instances = {}
         self.named = ["reader"]
-        self.total = sharing.SHARED_FROM
+        self.total = sharing.MIN_SHARING_INSTANCES
         self.silent = False
-        self.asked = 0
+        self.queries = 0
 
     def instance_count(self):
         return self.total
@@ -55,11 +55,11 @@
     def topic_readers(self):
         return self.named
 
-    def read_topic(self, reader, asked, timeout_s):
-        self.asked += 1
+    def read_topic(self, reader, query, timeout_s):
+        self.queries += 1
         if self.silent:
             raise sharing.ReaderUnavailableError("silent")
-        now = msgspec.structs.replace(asked, wait_s=0.0)
+        now = msgspec.structs.replace(query, wait_s=0.0)
         instance = self.instances[reader]
         asyncio.run(instance.await_answer(now))
         return instance.answer(now)
--- a/tests/feeds/test_outages.py
+++ b/tests/feeds/test_outages.py
@@ -111,7 +111,7 @@
     monkeypatch.setattr(topic_reader.TopicReader, "start", lambda self: None)
     cell = Cell(clocks.ManualClock())
     # At first, before anything is read, all three begin to read.
-    cell.pass_time(sharing.UNASKED_S + 3.0)
+    cell.pass_time(sharing.READER_IDLE_S + 3.0)
     cell.forget_calls()
     return cell
 
@@ -130,7 +130,7 @@
     each, until the reader was served again.
     """
     cell.turn_away("first", "asker-0", "asker-1")
-    cell.pass_time(sharing.UNASKED_S + 3.0)
+    cell.pass_time(sharing.READER_IDLE_S + 3.0)
     cell.forget_calls()
     cell.write(3)
     cell.pass_time(3.0)
@@ -143,7 +143,7 @@
     cell.turn_away("first")
     cell.pass_time(5.0)
     cell.take_back()
-    cell.pass_time(sharing.UNASKED_S + 2.0)
+    cell.pass_time(sharing.READER_IDLE_S + 2.0)
     cell.forget_calls()
     cell.pass_time(5.0)
     assert {name for name, store in cell.stores.items() if store.calls} == {
@@ -161,7 +161,7 @@
     assert all(cell.failed.values())
     cell.forget_calls()
     cell.pass_time(8.0)
-    own_tries = ASKERS * 8.0 / sharing.OWN_TRY_S
+    own_tries = ASKERS * 8.0 / sharing.PROBE_S
     by_readers = len(READERS) * 8.0 / STEP_S
     assert cell.calls() <= 1.5 * own_tries + by_readers
     cell.take_back()
@@ -174,10 +174,10 @@
     """The store turns away all readers and serves one other instance."""
     others = cell.stores.keys() - {"asker-7"}
     cell.turn_away(*others)
-    cell.pass_time(sharing.OWN_TRY_S * 2)
+    cell.pass_time(sharing.PROBE_S * 2)
     cell.failed = dict.fromkeys(cell.failed, 0)
     cell.write(3)
-    cell.pass_time(sharing.OWN_TRY_S * 2)
+    cell.pass_time(sharing.PROBE_S * 2)
     assert cell.nexts["asker-7"] == 4
     assert cell.nexts["asker-8"] == 3
 
@@ -188,10 +188,10 @@
     """
     others = cell.stores.keys() - {"asker-7"}
     cell.turn_away(*others)
-    cell.pass_time(sharing.OWN_TRY_S * 2)
+    cell.pass_time(sharing.PROBE_S * 2)
     served = cell.stores["asker-7"]
     served.waits.clear()
-    cell.pass_time(sharing.DIRECT_S * 3)
+    cell.pass_time(sharing.DIRECT_READ_S * 3)
     assert served.waits
     assert set(served.waits) == {WAIT_S}
 
@@ -233,13 +233,13 @@
         one.poller.step()
         other.poller.step()
     assert store.calls == 5
-    assert one.cache.away
-    assert other.cache.away
+    assert one.cache.store_unavailable
+    assert other.cache.store_unavailable
     store.away = False
     one.poller.step()
     other.poller.step()
-    assert not one.cache.away
-    assert not other.cache.away
+    assert not one.cache.store_unavailable
+    assert not other.cache.store_unavailable
 
 
 def test_lost_answer_of_one_topic_does_not_hold_up_the_others():
@@ -252,7 +252,7 @@
     one.poller.step()
     store.away = False
     other.poller.step()
-    assert not other.cache.away
+    assert not other.cache.store_unavailable
 
 
 def test_reading_begins_with_all_topics_or_none(monkeypatch):
--- a/tests/feeds/test_sharing.py
+++ b/tests/feeds/test_sharing.py
@@ -54,7 +54,7 @@
     with_reader = cell["reader"]
     with_reader.read_keyed(fakes.TOPIC, 0, 0.0)
     reader = with_reader.active_readers[fakes.TOPIC]
-    if not reader.cache.begun:
+    if not reader.cache.was_confirmed:
         reader.read_once()
     reader.read_once()
 
@@ -110,12 +110,12 @@
     topic.records.append(fakes.record(3))
     for _ in range(3):
         assert cell["asker"].read_keyed(fakes.TOPIC, 3, 0.0).next == 4
-    assert readers.asked == 1
+    assert readers.queries == 1
     readers.silent = False
-    clock.now_s += sharing.AVOID_S + 0.1
+    clock.now_s += sharing.BACKOFF_S + 0.1
     read_on(cell)
     assert cell["asker"].read_keyed(fakes.TOPIC, 4, 0.0).next == 4
-    assert readers.asked == 2
+    assert readers.queries == 2
 
 
 def test_instance_that_is_not_the_reader_tells_nothing(cell, topic, readers):
@@ -133,8 +133,8 @@
     readers.named = ["other"]
     cell["reader"].read_keyed(fakes.TOPIC, 3, 0.0)
     assert not cell["reader"].active_readers
-    asked = messages.RecordsAsked(fakes.TOPIC, 3, 0.0)
-    assert cell["reader"].answer(asked) == messages.UNKNOWN
+    query = messages.RecordsAsked(fakes.TOPIC, 3, 0.0)
+    assert cell["reader"].answer(query) == messages.UNKNOWN
 
 
 def test_reader_that_is_stopped_by_another_topics_follower_reads_on(
@@ -151,9 +151,9 @@
 
 
 def test_small_deployment_reads_the_store_itself(cell, topic, readers):
-    readers.total = sharing.SHARED_FROM - 1
+    readers.total = sharing.MIN_SHARING_INSTANCES - 1
     assert cell["asker"].read_keyed(fakes.TOPIC, 0, 0.0).next == 3
-    assert (topic.calls, readers.asked) == (1, 0)
+    assert (topic.calls, readers.queries) == (1, 0)
 
 
 def test_large_records_are_read_from_the_store_by_each(cell, topic):
@@ -162,7 +162,7 @@
     they may.
     """
     read_on(cell)
-    noise = random.Random(1).randbytes(packing.MOST_BYTES + 1)
+    noise = random.Random(1).randbytes(packing.MAX_MESSAGE_BYTES + 1)
     topic.records.append(fakes.record(3, noise))
     read_on(cell)
     topic.calls = 0
@@ -181,7 +181,7 @@
         b'{"name": "route-%d", "service": "draft"},' % number
         for number in range(2000)
     )
-    assert len(text) > packing.MOST_BYTES
+    assert len(text) > packing.MAX_MESSAGE_BYTES
     topic.records.append(fakes.record(3, text))
     read_on(cell)
     topic.calls = 0
@@ -193,19 +193,19 @@
 
 def test_instance_that_cannot_unpack_is_told_as_before(cell, topic):
     read_on(cell)
-    text = b"x" * packing.PACK_FROM_BYTES
+    text = b"x" * packing.COMPRESS_MIN_BYTES
     topic.records.append(fakes.record(3, text))
     read_on(cell)
-    asked = messages.RecordsAsked(fakes.TOPIC, 3, 0.0)
-    told = cell["reader"].answer(asked)
-    assert told.records == (("key-3", text),)
-    assert told.packed == ()
+    query = messages.RecordsAsked(fakes.TOPIC, 3, 0.0)
+    reply = cell["reader"].answer(query)
+    assert reply.records == (("key-3", text),)
+    assert reply.packed == ()
 
 
 def test_answer_that_cannot_be_unpacked_is_none(cell, topic, readers):
     """A reader's answer is damaged; the records come from the store."""
     broken = messages.RecordsTold(True, (("key-3", b"no"),), 4, packed=(0,))
-    readers.read_topic = lambda reader, asked, timeout_s: broken
+    readers.read_topic = lambda reader, query, timeout_s: broken
     topic.records.append(fakes.record(3))
     assert cell["asker"].read_keyed(fakes.TOPIC, 3, 0.0).records == (
         fakes.record(3),
@@ -215,12 +215,12 @@
 def test_question_waits_for_a_record(clock):
     cache = record_cache.RecordCache(clock)
     cache.reset(7)
-    told = []
-    asking = threading.Thread(
-        target=lambda: told.append(cache.read(7, LONG_S))
+    reply = []
+    reading = threading.Thread(
+        target=lambda: reply.append(cache.read(7, LONG_S))
     )
-    asking.start()
+    reading.start()
     waiting.until(lambda: cache.changed._waiters, what="it waits")
     cache.append(records.KeyedBatch((fakes.record(7),), 8))
-    asking.join(LONG_S)
-    assert told == [records.KeyedBatch((fakes.record(7),), 8)]
+    reading.join(LONG_S)
+    assert reply == [records.KeyedBatch((fakes.record(7),), 8)]
