--- a/src/briarseam/feeds/__init__.py
+++ b/src/briarseam/feeds/__init__.py
@@ -1,1 +1,1 @@
-"""Following what others write on the platform's store."""
+"""Followers of keyed topics in the platform's store."""
--- a/src/briarseam/feeds/following.py
+++ b/src/briarseam/feeds/following.py
@@ -13,44 +13,44 @@
 if typing.TYPE_CHECKING:
     import collections.abc
 
-# After a failed read; a change should be seen soon after the store's return
-# and a store that refuses must not be asked by everybody at once.
+# Delays after a failed read: short, so that changes arrive soon after the
+# store's return, with jitter, so that instances don't retry all at once.
 RETRY_S = 0.2
 MAX_RETRY_S = 0.8
 JITTER = 0.3
-# Least time between two reads of which the first brought nothing.
+# Minimum pause after a read that returned no records.
 EMPTY_PAUSE_S = 0.05
 log = structlog.get_logger("briarseam.feeds")
 
 
 class Listener(typing.Protocol):
-    """Whatever a topic's content is for.  Called by one thread."""
+    """Consumer of a topic's records; called by the follower's thread."""
 
     def apply_all(
         self, changes: collections.abc.Sequence[records.KeyedRecord]
     ) -> None:
-        """Take in the newest record of each key; others are no more."""
+        """Replace all content by the newest record of each key."""
 
     def apply_changes(
         self, changes: collections.abc.Sequence[records.KeyedRecord]
     ) -> None:
-        """Take in changes, maybe none, in order."""
+        """Apply changes in order; there may be none."""
 
     def store_lost(self) -> None:
-        """Take note that the store does not answer."""
+        """Handle the loss of the store."""
 
 
 class Follower:
-    """Follows one keyed topic and hands on what changes.
+    """Follows one keyed topic and delivers its changes to a listener.
 
     Parameters
     ----------
     store
-        Where the topic lies.
+        Store that holds the topic.
     topic
-        Its name.
+        Name of the topic.
     listener
-        Takes the changes.
+        Receives the changes.
     wait_s
         Length of one long poll, in seconds.
     pause_s
@@ -79,15 +79,15 @@
         )
 
     def start(self) -> None:
-        """Begin following."""
+        """Start the thread."""
         self.thread.start()
 
     def stop(self) -> None:
-        """Stop after the read under way."""
+        """Stop the thread after its current read."""
         self.stopping.set()
 
     def run(self) -> None:
-        """Follow until stopped."""
+        """Read the topic until stopped."""
         retry_backoff = backoff.Backoff(RETRY_S, MAX_RETRY_S, JITTER)
         while not self.stopping.is_set():
             try:
@@ -97,9 +97,8 @@
                 self.stopping.wait(retry_backoff.next_s())
                 continue
             except Exception:
-                # A fault of ours must not end the thread: nothing would
-                # be followed any more, and the instance would serve what
-                # was in force then for ever.
+                # An unexpected error must not end the thread: without it,
+                # the instance would keep serving outdated content.
                 log.exception("read_failed", topic=self.topic)
                 self.stopping.wait(MAX_RETRY_S)
                 continue
@@ -108,17 +107,17 @@
             self.stopping.wait(self.next_pause_s())
 
     def next_pause_s(self) -> float:
-        """Return the pause after a read that was answered, in seconds.
+        """Return the pause after a successful read, in seconds.
 
-        Guard: whoever is asked may answer at once that there is nothing,
-        and would then be asked as fast as it answers.
+        Guard: a store or reader that answers an empty read at once would
+        otherwise be polled in a busy loop.
         """
         return max(
             self.pause_s, EMPTY_PAUSE_S if self.last_batch_empty else 0.0
         )
 
     def read_once(self) -> None:
-        """Read what is new, or everything where records have expired."""
+        """Read new records, or all content if no offset is known."""
         if self.next is None:
             batch = self.store.newest(self.topic)
             self.deliver(self.listener.apply_all, batch)
@@ -129,7 +128,7 @@
             )
         except records.StoreRestoredError as error:
             log.warning("topic_restored", topic=self.topic, detail=str(error))
-            # What others wrote since the copy may be missing for a while.
+            # Records written after the backup may be missing for a while.
             self.listener.store_lost()
             self.next = None
             return
@@ -142,9 +141,9 @@
     def next_wait_s(self) -> float:
         """Return the length of the next long poll, in seconds.
 
-        While the store is away each try hangs until its own end.  A long
-        one would still hang when the store is back, and what changed
-        meanwhile would be seen seconds later.
+        While the store is unavailable, a read may hang until its timeout.
+        A long poll could still hang after the store's return and delay
+        changes by seconds.
         """
         return self.wait_s if self.available else 0.0
 
@@ -155,24 +154,24 @@
         ],
         batch: records.KeyedBatch,
     ) -> None:
-        """Hand a batch on and remember where to read next."""
+        """Deliver a batch and store the next offset."""
         try:
             apply(batch.records)
         except Exception:
-            # A record that can't be taken in must not stop all later ones.
+            # A record that can't be applied must not block later ones.
             log.exception("records_not_taken", topic=self.topic)
         self.next = batch.next
         self.last_batch_empty = not batch.records
 
     def record_store_lost(self, detail: str) -> None:
-        """Note that the store does not answer; log it once."""
+        """Record that the store does not answer; log it once."""
         if self.available:
             log.warning("store_lost", topic=self.topic, detail=detail)
         self.available = False
         self.listener.store_lost()
 
     def record_store_regained(self) -> None:
-        """Note that the store answers; log it once."""
+        """Record that the store answers again; log it once."""
         if not self.available:
             log.warning("store_regained", topic=self.topic, next=self.next)
         self.available = True
--- a/src/briarseam/feeds/packing.py
+++ b/src/briarseam/feeds/packing.py
@@ -1,4 +1,4 @@
-"""Records as one instance hands them on to another."""
+"""Encoding of records in messages between instances."""
 
 from __future__ import annotations
 
@@ -8,37 +8,37 @@
 from briarseam.feeds import records
 from briarseam.feeds import shared_messages as messages
 
-# Larger values are compressed: a configuration becomes a fifth.
+# Values from this size on are compressed; a configuration shrinks to a fifth.
 COMPRESS_MIN_BYTES = 2000
 COMPRESSION_LEVEL = 1
-# Of what is handed on at once.  Larger batches are read from the store by
-# each instance: thirty copies would hold up the link of the reader.
+# Each instance reads larger batches from the store: thirty copies would
+# saturate the reader's network link.
 MAX_MESSAGE_BYTES = 20_000
-# Largest value that is unpacked.
+# Limit of a decompressed value.
 MAX_UNPACKED_BYTES = 16 * 1024 * 1024
 COMPRESSED_CACHE_SIZE = 4
 
 
 class UnpackError(Exception):
-    """A value that was handed on can't be unpacked."""
+    """A received value can't be decompressed."""
 
 
 def pack_batch(
     batch: records.KeyedBatch, unpacks: bool
 ) -> messages.RecordsTold | None:
-    """Return the message that hands records on.
+    """Return the message that carries a batch of records.
 
     Parameters
     ----------
     batch
         The records.
     unpacks
-        Whether the other instance can unpack values.
+        Whether the receiving instance can decompress values.
 
     Returns
     -------
     RecordsTold or None
-        ``None`` if they are too large to be handed on.
+        ``None`` if the records are too large for a message.
     """
     packed: list[int] = []
     rows: list[tuple[str, bytes | None]] = []
@@ -61,7 +61,7 @@
     Raises
     ------
     UnpackError
-        If a value can't be unpacked.
+        If a value can't be decompressed.
     """
     packed = frozenset(message.packed)
     found = tuple(
@@ -76,17 +76,23 @@
 
 @functools.lru_cache(maxsize=COMPRESSED_CACHE_SIZE)
 def compress(value: bytes) -> bytes:
-    """Return a value compressed; the same one goes to forty instances."""
+    """Compress a value; cached, since forty instances get the same one."""
     return zlib.compress(value, COMPRESSION_LEVEL)
 
 
 def decompress(value: bytes) -> bytes:
-    """Return a value that was compressed."""
+    """Decompress a value.
+
+    Raises
+    ------
+    UnpackError
+        If the value is damaged, truncated or too large.
+    """
     unpacker = zlib.decompressobj()
     try:
         found = unpacker.decompress(value, MAX_UNPACKED_BYTES)
     except zlib.error as error:
         raise UnpackError(str(error)) from error
     if not unpacker.eof:
-        raise UnpackError("the value is cut off, or too large")
+        raise UnpackError("the value is truncated or too large")
     return found
--- a/src/briarseam/feeds/record_cache.py
+++ b/src/briarseam/feeds/record_cache.py
@@ -1,4 +1,4 @@
-"""The newest records of one topic, for those who ask this instance."""
+"""The newest records of a topic, kept for the other instances of a cell."""
 
 from __future__ import annotations
 
@@ -10,40 +10,40 @@
 from briarseam import changes
 from briarseam.feeds import records
 
-# What was not confirmed by the store for so long is not handed on.  A
-# change must be in force within two seconds, also where the reader's link
-# to the store is silent.
+# Content that the store has not confirmed for so long is not returned: a
+# change must be in force within two seconds, even if the reader's link to
+# the store goes silent.
 MAX_AGE_S = 1.4
-# Records that are kept for those who are behind: a minute and a half of a
-# topic with 55 changes a second.
+# Records kept for instances that are behind: 90 seconds of a topic with 55
+# changes a second.
 MAX_RECORDS = 5000
-# Records that an instance keeps of what it follows: some seconds' worth.
+# Records kept by an instance that is not a reader, a few seconds' worth.
 MAX_TAIL_RECORDS = 500
-# No offset is known yet.
+# Offset of a cache or tail without content.
 NO_OFFSET = -1
 
 
 class MissReason(enum.Enum):
-    """Why there is no answer."""
+    """Why a cache returns no records."""
 
-    # The store does not answer, or has not confirmed the content lately.
+    # The store does not answer, or its last confirmation is too old.
     STORE_UNAVAILABLE = "away"
-    # The records are not here, or can't be handed on.
+    # The records are not in the cache, or too large for a message.
     UNKNOWN = "unknown"
 
 
 class Tail:
     """The last records of a topic that an instance has followed.
 
-    An instance that begins to read for others answers those who are a little
-    behind from here; else each of them would ask the store.
+    An instance that becomes a reader starts from these records, so that
+    instances that are a little behind need not query the store.
 
     Attributes
     ----------
     records
-        The last ones.
+        The last records.
     next
-        Offset behind them.
+        Offset after the last record.
     """
 
     def __init__(self) -> None:
@@ -53,7 +53,7 @@
         self.next = NO_OFFSET
 
     def append(self, start: int, batch: records.KeyedBatch) -> None:
-        """Take in what was read from an offset on."""
+        """Append a batch that was read from an offset."""
         if start != self.next:
             self.records.clear()
         self.records.extend(batch.records)
@@ -66,17 +66,17 @@
     Parameters
     ----------
     clock
-        Seconds, counting while the machine is suspended.
+        Seconds, including time during which the machine is suspended.
 
     Attributes
     ----------
     next
-        Offset behind the content; ``NOWHERE`` while there is none.
-    away
+        Offset after the last record; ``NO_OFFSET`` without content.
+    store_unavailable
         Whether the last read failed.
-    confirmed_s
+    confirmed_at_s
         When the store last confirmed the content; ``None`` if it has not
-        since reading began.
+        done so since reading started.
     """
 
     def __init__(self, clock: typing.Callable[[], float]) -> None:
@@ -91,17 +91,17 @@
 
     @property
     def was_confirmed(self) -> bool:
-        """Whether the store has confirmed the content at all."""
+        """Whether the store has confirmed the content at least once."""
         return self.confirmed_at_s is not None
 
     def resume(self, tail: Tail) -> None:
-        """Go on from what was followed; nothing of it is confirmed yet."""
+        """Start from a tail, whose records still need confirmation."""
         with self.changed:
             self.records.extend(tail.records)
             self.next = tail.next
 
     def reset(self, start: int) -> None:
-        """Begin anew at an offset."""
+        """Drop all records and continue at an offset."""
         with self.changed:
             self.records.clear()
             self.next = start
@@ -109,7 +109,7 @@
             self.changed.notify_all()
 
     def append(self, batch: records.KeyedBatch) -> None:
-        """Take in what the store answered."""
+        """Append records from the store."""
         with self.changed:
             self.records.extend(batch.records)
             self.next = batch.next
@@ -118,39 +118,39 @@
                 self.changed.notify_all()
 
     def mark_confirmed(self) -> None:
-        """Take note that the store answered; call it under the lock."""
+        """Record the store's confirmation; call it under the lock."""
         self.store_unavailable = False
         self.confirmed_at_s = self.clock()
 
     def mark_unavailable(self) -> None:
-        """Hand nothing on until the store has answered again.
+        """Return no records until the store answers again.
 
-        Who asks then asks another reader.
+        The other instances then query the next reader.
         """
         with self.changed:
             self.store_unavailable = True
             self.changed.notify_all()
 
     def remaining_s(self) -> float:
-        """Return for how long the content is still current."""
+        """Return for how many seconds the content is still current."""
         if self.store_unavailable or self.confirmed_at_s is None:
             return 0.0
         return self.confirmed_at_s + MAX_AGE_S - self.clock()
 
     def has_answer(self, start: int) -> bool:
-        """Tell whether there is an answer now; call it under the lock."""
+        """Return whether there is an answer now; call it under the lock."""
         return self.store_unavailable or (
             self.was_confirmed and self.next > start
         )
 
     def limit_wait_s(self, wait_s: float) -> float:
-        """Return how long to wait for news, given how long is wanted."""
+        """Return a requested wait, bounded while content can expire."""
         return (
             min(wait_s, self.remaining_s()) if self.was_confirmed else wait_s
         )
 
     async def await_answer(self, start: int, wait_s: float) -> None:
-        """Wait for an answer, without a thread."""
+        """Wait for an answer without blocking a thread."""
         await self.changed.reached(
             lambda: self.has_answer(start), self.limit_wait_s(wait_s)
         )
--- a/src/briarseam/feeds/records.py
+++ b/src/briarseam/feeds/records.py
@@ -1,20 +1,20 @@
-"""What a store of records returns, and how a call to it can fail."""
+"""Records of a store, and the errors of calls to it."""
 
 from __future__ import annotations
 
 import dataclasses
 import typing
 
-# Numbers of a store's records and generations that fit into one era.
+# Bits of an offset or generation within one era.
 ERA_BITS = 40
 
 
 def in_era(era: int, number: int) -> int:
-    """Return a store's number together with its era.
+    """Return a store's number combined with its era.
 
-    A store that returns from an older copy of itself gives out offsets and
-    generations again, in a later era.  With the era in front no two are
-    alike, and later ones are larger.
+    A store that is restored from a backup assigns the same offsets and
+    generations again, in a later era.  With the era in the high bits they
+    are unique, and later ones are larger.
     """
     return (era << ERA_BITS) + number
 
@@ -25,17 +25,17 @@
 
 
 def number_of(position: int) -> int:
-    """Return the number that a store knows a position by."""
+    """Return a position's number within its era."""
     return position - (era_of(position) << ERA_BITS)
 
 
 class StoreUnavailableError(Exception):
-    """The store did not do what was asked, as far as one can tell.
+    """A call to the store failed, or its outcome is unknown.
 
     Attributes
     ----------
     may_have_run
-        Whether the call may take effect all the same, now or later.
+        Whether the call may still take effect, now or later.
     """
 
     def __init__(self, detail: str, may_have_run: bool = False) -> None:
@@ -44,15 +44,15 @@
 
 
 class RecordsExpiredError(Exception):
-    """The records asked for are no longer kept."""
+    """The requested records are no longer retained."""
 
 
 class StoreRestoredError(RecordsExpiredError):
-    """The store has returned from an older copy since an offset was read."""
+    """The store was restored from a backup after an offset was read."""
 
 
 class SupersededError(Exception):
-    """The condition of a write does not hold: somebody else wrote."""
+    """Another writer's record broke the condition of a write."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -62,30 +62,30 @@
     Attributes
     ----------
     key
-        What it is about.
+        The key.
     value
-        The new value; ``None`` when the key was dropped.
+        The new value; ``None`` if the key was deleted.
     """
 
     key: str
     value: bytes | None
 
 
-# Stands for a record that can't be read, in the place of its offset: those
-# who share reads count records by it.  It drops the key that nothing has.
+# Takes the place of a record that can't be decoded: shared reads derive
+# offsets from the number of records.  It deletes a key that never exists.
 UNREADABLE = KeyedRecord("", None)
 
 
 @dataclasses.dataclass(frozen=True)
 class KeyedBatch:
-    """Changes in order, and where to read on.
+    """Changes and the offset to continue from.
 
     Attributes
     ----------
     records
-        In order of their offsets.
+        Changes in order of their offsets.
     next
-        Offset to read from next, in its era.
+        Offset to read from next, combined with its era.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -94,14 +94,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class GroupShare:
-    """What a member of a group holds.
+    """Partitions assigned to a member of a group.
 
     Attributes
     ----------
     generation
-        Grows with each change in the group, over all eras.
+        Increases with each change in the group, across all eras.
     parts
-        Partitions that the member holds, as topic and number.
+        Topic and number of each partition.
     """
 
     generation: int
@@ -109,7 +109,7 @@
 
 
 class KeyedStore(typing.Protocol):
-    """Whatever keeps keyed topics."""
+    """A store of keyed topics."""
 
     def newest(self, topic: str) -> KeyedBatch:
         """Return the newest record of each key."""
--- a/src/briarseam/feeds/shared_messages.py
+++ b/src/briarseam/feeds/shared_messages.py
@@ -1,4 +1,4 @@
-"""Messages between instances about records of shared topics."""
+"""Messages between instances for records of shared topics."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 @codec.message("records-asked")
 class RecordsAsked(msgspec.Struct, frozen=True):
-    """Ask the cell's reader for records.
+    """Query to a reader of the cell for records.
 
     Attributes
     ----------
     topic
-        A shared topic.
+        Name of the shared topic.
     start
-        First offset wanted.
+        First offset to return.
     wait_s
-        How long to wait for it, in seconds.
+        How long to wait for a record there, in seconds.
     unpacks
-        Whether who asks can unpack values.
+        Whether the querying instance can decompress values.
     """
 
     topic: str
@@ -36,16 +36,15 @@
     Attributes
     ----------
     known
-        Whether the reader knows all records from the offset on, and that
-        there are no others.
+        Whether the reader has all records from the offset on.
     records
-        Key and value of each; no value when the key was dropped.
+        Key and value of each record; no value if the key was deleted.
     next
         Offset to read from next.
     away
-        Whether the store does not answer the reader just now.
+        Whether the reader gets no answers from the store.
     packed
-        Which of the records, by number, have a compressed value.
+        Indexes of the records whose value is compressed.
     """
 
     known: bool
--- a/src/briarseam/feeds/sharing.py
+++ b/src/briarseam/feeds/sharing.py
@@ -1,10 +1,10 @@
-"""Reading topics through a few instances of the cell.
+"""Shared reads of topics through a few instances of the cell.
 
-The store counts each call, and a topic that changes all the time is read by
-each instance about once a second.  In a large deployment one instance of a
-cell reads the topics, and the others ask it for records by the store's own
-offsets.  Where the store does not answer that one, the next in rank is
-asked, which then begins to read.
+The store counts each call, and each instance reads a topic that changes
+constantly about once a second.  In a large deployment one instance of a cell
+reads the topics, and the others query it for records by the store's offsets.
+If the store does not answer that reader, they query the next in rank, which
+then starts to read.
 """
 
 from __future__ import annotations
@@ -25,37 +25,38 @@
 if typing.TYPE_CHECKING:
     import collections.abc
 
-# With fewer instances each reads the store itself, and depends on nobody.
+# With fewer instances each one reads the store directly, without depending
+# on a reader.
 MIN_SHARING_INSTANCES = 11
-# What an answer of the reader may take beyond its wait.  A reader that is
-# gone without a word is noticed in their sum.
+# Time for a reader's answer beyond the requested wait.  A dead reader is
+# detected after the sum of both.
 READER_SLACK_S = 0.5
-# How long a reader that gave no answer, or that the store does not answer,
-# is not asked again.
+# How long a reader is skipped after it did not answer, or reported that the
+# store does not answer it.
 BACKOFF_S = 1.0
-# A reader whom nobody has asked for so long stops, unless it ranks first.
+# A reader without queries for so long stops, unless it ranks first.
 READER_IDLE_S = 5.0
-# While no reader gets answers, each instance asks the store itself so
-# seldom: of forty, ten ask in a second.
+# While the store answers no reader, each instance probes it at this
+# interval: of forty instances, ten probe in a second.
 PROBE_S = 4.0
 PROBE_JITTER = 0.5
-# After an answer to such a try the store is read directly for so long.
+# How long the store is read directly after a successful probe.
 DIRECT_READ_S = 2.0
 log = structlog.get_logger("briarseam.feeds")
 
 
 class ReaderUnavailableError(Exception):
-    """An instance that reads for the cell does not answer."""
+    """A reader of the cell does not answer."""
 
 
 class Readers(typing.Protocol):
-    """Who reads for this cell, and calls to them."""
+    """The instances that may read for this cell, and calls to them."""
 
     def instance_count(self) -> int:
         """Return the number of all instances."""
 
     def topic_readers(self) -> collections.abc.Sequence[str]:
-        """Return who may read for the cell, best first.
+        """Return the names of the cell's readers, highest rank first.
 
         Empty while not known.
         """
@@ -63,30 +64,30 @@
     def read_topic(
         self, reader: str, query: messages.RecordsAsked, timeout_s: float
     ) -> messages.RecordsTold:
-        """Ask a reader.
+        """Query a reader.
 
         Raises
         ------
         ReaderUnavailableError
-            When it does not answer.
+            If it does not answer.
         """
 
 
 class SharedReads:
-    """A store whose topics are read through the cell's readers.
+    """A store of keyed topics that is read through the cell's readers.
 
     Parameters
     ----------
     store
-        The store itself.
+        The store.
     topics
-        The topics that are shared.
+        Names of the shared topics.
     readers
-        Who reads, and calls to them.
-    me
-        Name of this instance.
+        The cell's readers, and calls to them.
+    own_name
+        Name of the local instance.
     clock
-        Seconds, counting while the machine is suspended.
+        Seconds, including time during which the machine is suspended.
     """
 
     def __init__(
@@ -126,9 +127,9 @@
         Raises
         ------
         RecordsExpiredError
-            When records from there on are no longer kept.
+            If records from the offset on are no longer retained.
         StoreUnavailableError
-            When neither a reader nor the store answers properly.
+            If neither a reader nor the store gives a valid answer.
         """
         batch = self.read_shared_or_direct(topic, start, wait_s)
         self.tails[topic].append(start, batch)
@@ -137,7 +138,7 @@
     def read_shared_or_direct(
         self, topic: str, start: int, wait_s: float
     ) -> records.KeyedBatch:
-        """Return changes from a reader, or else from the store."""
+        """Return changes from a reader, or from the store as a fallback."""
         shared_wait_s = min(wait_s, topic_reader.MAX_WAIT_S)
         result = self.read_from_readers(topic, start, shared_wait_s)
         match result:
@@ -152,18 +153,18 @@
     def read_directly(
         self, topic: str, start: int, wait_s: float
     ) -> records.KeyedBatch:
-        """Read from the store itself."""
+        """Read from the store, without a reader."""
         self.direct_reads += 1
         return self.store.read_keyed(topic, start, wait_s)
 
     def probe_store(
         self, topic: str, start: int, wait_s: float
     ) -> records.KeyedBatch:
-        """Ask the store itself, though it answers none of the readers.
+        """Probe the store while it answers none of the readers.
 
-        Tries are rare, since hundreds of instances make them while nobody is
-        answered.  A store that serves some instances only is found by their
-        own try, and read directly by them for a while.
+        Probes are rare, since hundreds of instances make them during an
+        outage.  An instance that the store still answers detects this by its
+        probe, and then reads directly for a while.
         """
         now_s = self.clock()
         if now_s < self.direct_until_s:
@@ -171,7 +172,7 @@
         elif now_s >= self.next_probe_s:
             pause_s = backoff.jittered(PROBE_S, PROBE_JITTER)
             self.next_probe_s = now_s + pause_s
-            # Were the store silent, a long poll would hold up the follower.
+            # If the store is silent, a long poll would block the follower.
             batch = self.read_directly(topic, start, 0.0)
         else:
             raise records.StoreUnavailableError(
@@ -183,7 +184,7 @@
     def read_from_readers(
         self, topic: str, start: int, wait_s: float
     ) -> records.KeyedBatch | record_cache.MissReason:
-        """Return what a reader has, asking them by rank."""
+        """Return records from a reader, querying readers by rank."""
         if self.readers.instance_count() < MIN_SHARING_INSTANCES:
             self.stop()
             return record_cache.MissReason.UNKNOWN
@@ -212,19 +213,19 @@
         return record_cache.MissReason.UNKNOWN
 
     def is_skipped(self, skipped_until_s: dict[str, float], name: str) -> bool:
-        """Tell whether a reader is left alone just now."""
+        """Return whether a reader is skipped at present."""
         return skipped_until_s.get(name, float("-inf")) > self.clock()
 
     def read_from(
         self, name: str, topic: str, start: int, wait_s: float
     ) -> records.KeyedBatch | record_cache.MissReason | None:
-        """Return what one reader has; ``None`` if it does not answer."""
+        """Return one reader's records; ``None`` if it does not answer."""
         if name != self.own_name:
             return self.query_reader(name, topic, start, wait_s)
         self.last_query_s = self.clock()
         self.start_reading()
-        # Another topic's follower may just have seen other readers and
-        # stopped all of this.
+        # The follower of another topic may have stopped all readers at the
+        # same moment, because the ranking changed.
         cache = self.caches.get(topic)
         if cache is None:
             return record_cache.MissReason.UNKNOWN
@@ -233,7 +234,7 @@
     def query_reader(
         self, reader: str, topic: str, start: int, wait_s: float
     ) -> records.KeyedBatch | record_cache.MissReason | None:
-        """Ask another instance."""
+        """Query another instance; ``None`` if it does not answer."""
         query = messages.RecordsAsked(topic, start, wait_s, unpacks=True)
         try:
             reply = self.readers.read_topic(
@@ -251,12 +252,12 @@
             return record_cache.MissReason.UNKNOWN
         return batch
 
-    # For instances that ask this one.
+    # Queries from other instances.
 
     async def await_answer(self, query: messages.RecordsAsked) -> None:
         """Wait until there is an answer for another instance."""
         self.last_query_s = self.clock()
-        # The ranking of the whole cell is not worked out for each call.
+        # Ranking the cell's instances for each call would cost too much.
         if (
             not self.active_readers
             and self.own_name in self.readers.topic_readers()
@@ -268,7 +269,7 @@
             await cache.await_answer(query.start, wait_s)
 
     def answer(self, query: messages.RecordsAsked) -> messages.RecordsTold:
-        """Answer an instance that takes this one for a reader, at once."""
+        """Return the answer to another instance's query without waiting."""
         cache = self.caches.get(query.topic)
         if cache is None:
             return messages.UNKNOWN
@@ -284,13 +285,13 @@
                 return messages.UNKNOWN
 
     def start_reading(self) -> None:
-        """Read all topics for the cell, unless that goes on already."""
+        """Start to read all topics for the cell, unless already started."""
         with self.lock:
             if self.active_readers:
                 return
             log.info("topic_reading_begun", topics=len(self.topics))
-            # New ones each time: a reader of before may still have a read
-            # under way.
+            # New objects each time: a read of a stopped reader may still be
+            # in progress.
             gate = topic_reader.OutageGate()
             caches = {
                 topic: record_cache.RecordCache(self.clock)
@@ -306,7 +307,7 @@
             self.caches, self.active_readers = caches, readers
 
     def stop_unless_needed(self, names: list[str]) -> None:
-        """Read for nobody any more, if others do."""
+        """Stop the topic readers if another instance reads for the cell."""
         if not self.active_readers or names[:1] == [self.own_name]:
             return
         idle_s = self.clock() - self.last_query_s
@@ -314,7 +315,7 @@
             self.stop()
 
     def stop(self) -> None:
-        """Read for nobody any more."""
+        """Stop all topic readers."""
         with self.lock:
             stopped, self.active_readers = self.active_readers, {}
             self.caches = {}
@@ -325,15 +326,15 @@
 def start_all(
     readers: collections.abc.Collection[topic_reader.TopicReader],
 ) -> None:
-    """Start all readers, or none.
+    """Start all readers or none.
 
-    Guard: a thread may not be had.  A topic without its reader would be
-    followed by nobody, since it counts as read.
+    Guard: starting a thread may fail.  A topic without its thread would
+    count as being read, and no instance would follow it.
 
     Raises
     ------
     RuntimeError
-        When a thread can't be had.
+        If a thread can't be started.
     """
     try:
         for reader in readers:
--- a/src/briarseam/feeds/topic_reader.py
+++ b/src/briarseam/feeds/topic_reader.py
@@ -1,4 +1,4 @@
-"""Reading topics from the store for a whole cell."""
+"""Readers of topics from the store, for all instances of a cell."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from briarseam.feeds import record_cache
 from briarseam.feeds import records
 
-# Longest wait for a record, at the store and at the reader.
+# Maximum wait for a record, at the store and at the reader.
 MAX_WAIT_S = 0.8
-# The reader's pause after it got records, so that it gets them in batches.
+# Pause after a read that returned records, so that they come in batches.
 BATCH_PAUSE_S = 0.3
 RETRY_S = 0.4
-# Failed reads of a topic, one after the other, that mean an outage; one by
-# itself is an answer that was lost.
+# Consecutive failed reads of a topic that count as an outage; a single one
+# may be a lost answer.
 OUTAGE_FAILURES = 2
 log = structlog.get_logger("briarseam.feeds")
 
 
 class OutageGate:
-    """Lets one topic ask whether the store is back; thread-safe.
+    """Lets only one topic probe the store during an outage; thread-safe.
 
-    In an outage each try is a call that the store refuses, and it is away
-    for all topics alike.
+    Each probe is a call that the store refuses, and an outage affects all
+    topics alike.
     """
 
     def __init__(self) -> None:
@@ -34,19 +34,19 @@
         self.probing_topic = ""
 
     def may_read(self, topic: str) -> bool:
-        """Tell whether a topic is to be read now."""
+        """Return whether a topic may be read now."""
         with self.lock:
             return self.probing_topic in ("", topic)
 
     def record_failure(self, topic: str) -> None:
-        """Take note of a read that failed."""
+        """Record a failed read."""
         with self.lock:
             count = self.failures[topic] = self.failures.get(topic, 0) + 1
             if not self.probing_topic and count >= OUTAGE_FAILURES:
                 self.probing_topic = topic
 
     def record_success(self, topic: str) -> None:
-        """Take note of a read that was answered."""
+        """Record a successful read."""
         with self.lock:
             self.failures.pop(topic, None)
             if self.probing_topic == topic:
@@ -61,11 +61,11 @@
     store
         The store.
     topic
-        The topic.
+        Name of the topic.
     cache
-        Takes the records.
+        Receives the records.
     gate
-        Shared by the readers of all topics.
+        Outage gate that the readers of all topics share.
     """
 
     def __init__(
@@ -88,22 +88,24 @@
         )
 
     def start(self) -> None:
-        """Begin reading."""
+        """Start the thread."""
         self.poller.start()
 
     def stop(self) -> None:
-        """Stop after the read under way."""
+        """Stop the thread after its current read."""
         self.poller.stop()
 
     def handle_failure(self, error: Exception) -> None:
-        """Hand nothing on while the store does not answer."""
+        """Mark the cache as unavailable after a failed read."""
         del error
         self.cache.mark_unavailable()
 
     def read_once(self) -> float:
-        """Read what is new; return the pause to the next read."""
+        """Read new records; return the pause before the next read."""
         if not self.gate.may_read(self.topic):
-            raise records.StoreUnavailableError("another topic's read asks")
+            raise records.StoreUnavailableError(
+                "another topic's reader probes the store"
+            )
         try:
             pause_s = self.read_store()
         except records.StoreUnavailableError:
@@ -113,7 +115,7 @@
         return pause_s
 
     def read_store(self) -> float:
-        """Ask the store; return the pause to the next time."""
+        """Read from the store; return the pause before the next read."""
         if self.cache.next == record_cache.NO_OFFSET:
             return self.restart()
         wait_s = MAX_WAIT_S if self.cache.was_confirmed else 0.0
@@ -126,6 +128,6 @@
         return BATCH_PAUSE_S if batch.records else 0.0
 
     def restart(self) -> float:
-        """Begin where the topic ends now; return the pause after that."""
+        """Restart at the topic's end; return the pause before a read."""
         self.cache.reset(self.store.newest(self.topic).next)
         return 0.0
