--- a/tests/feeds/fakes.py
+++ b/tests/feeds/fakes.py
@@ -1,4 +1,4 @@
-"""A store with one topic and the instances of a cell, made for tests."""
+"""Fakes of a store with one topic, a cell's readers and a listener."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class FakeStore:
-    """A store with one topic, that counts its calls."""
+    """A store with one topic that counts its calls."""
 
     def __init__(self):
         self.records = [record(number) for number in range(3)]
         self.calls = 0
-        self.away = False
+        self.refusing = False
 
     def newest(self, topic):
         self.check()
@@ -30,17 +30,17 @@
 
     def read_keyed(self, topic, start, wait_s):
         self.check()
-        found = tuple(self.records[start:])
-        return records.KeyedBatch(found, start + len(found))
+        newer = tuple(self.records[start:])
+        return records.KeyedBatch(newer, start + len(newer))
 
     def check(self):
         self.calls += 1
-        if self.away:
+        if self.refusing:
             raise records.StoreUnavailableError("away")
 
 
 class FakeReaders:
-    """The instances of a cell, by name."""
+    """The readers of a cell, which may be made silent."""
 
     def __init__(self):
         self.instances = {}
@@ -66,7 +66,7 @@
 
 
 class FakeListener:
-    """Keeps what a topic tells, and counts reads anew and losses."""
+    """Keeps the content of a topic; counts snapshots and store losses."""
 
     def __init__(self):
         self.known = {}
@@ -81,7 +81,7 @@
     def apply_changes(self, changes):
         for change in changes:
             if change.value == b"poison":
-                raise ValueError("can't be taken in")
+                raise ValueError("can't be applied")
             if change.value is None:
                 self.known.pop(change.key, None)
             else:
--- a/tests/feeds/test_following.py
+++ b/tests/feeds/test_following.py
@@ -33,16 +33,18 @@
     follower.stop()
 
 
-def test_changes_are_handed_on_in_order(store, listener):
+def test_changes_are_delivered_in_order(store, listener):
     store.write_raw(TOPIC, "a", b"1")
     store.write_raw(TOPIC, "a", b"2")
     store.write_raw(TOPIC, "before", b"")
     waiting.until(lambda: listener.known == {"a": b"2"})
 
 
-def test_everything_is_read_anew_where_history_is_lost(store, listener):
-    """The store forgets its history while a follower is behind.  Changes
-    in the gap would never be seen if it read on from where it was.
+def test_all_content_is_read_again_after_history_is_lost(store, listener):
+    """Guard against missed changes when the store drops its history.
+
+    A follower that is behind would never see the dropped changes if it
+    continued from its own offset.
     """
     store.set(outage=True)
     waiting.until(lambda: listener.losses > 0)
@@ -54,7 +56,7 @@
     assert listener.snapshots == 2
 
 
-def test_record_that_cannot_be_taken_in_does_not_stop_later_ones(
+def test_record_that_cannot_be_applied_does_not_block_later_ones(
     store, listener
 ):
     store.write_raw(TOPIC, "bad", b"poison")
@@ -63,10 +65,11 @@
     waiting.until(lambda: "good" in listener.known)
 
 
-def test_change_is_seen_soon_after_a_store_that_hung_is_back(store):
-    """A cut between an instance and the store heals while a long poll still
-    hangs in it.  With polls of full length, what changed in the cut was in
-    force six seconds after its end, and callers got 404 for new routes.
+def test_first_read_after_a_failed_one_does_not_wait(store):
+    """Guard against changes that take effect late after a network partition.
+
+    A full long poll may still hang when the partition ends.  Changes then
+    took effect six seconds later, and callers got 404 for new routes.
     """
     asked = []
 
@@ -89,7 +92,7 @@
     assert asked[2] == 0.3
 
 
-def test_store_client_tells_refusals_from_unknown_outcomes(store):
+def test_store_client_distinguishes_refusals_from_unknown_outcomes(store):
     client = stores.StoreClient(store.address)
     store.set(outage=True)
     with pytest.raises(records.StoreUnavailableError) as refused:
@@ -102,7 +105,7 @@
     assert store.newest_of(TOPIC)["a"] == b"1"
 
 
-def test_conditional_append_is_refused_where_somebody_else_wrote(store):
+def test_conditional_append_is_refused_after_another_write(store):
     client = stores.StoreClient(store.address)
     start = client.newest("own").next
     assert client.append("own", (b"x", b"y"), at=start) == 0
@@ -112,7 +115,7 @@
 
 
 class Faulty:
-    """A store whose client has a fault of its own, once."""
+    """A store whose first call raises an unexpected error."""
 
     def __init__(self, client):
         self.client = client
@@ -128,10 +131,10 @@
         return self.client.read_keyed(topic, start, wait_s)
 
 
-def test_fault_of_ours_does_not_end_the_following(store):
-    """A read fails in a way that nobody thought of.
+def test_unexpected_error_does_not_end_the_thread(store):
+    """Guard against an instance that keeps serving outdated content.
 
-    The thread ended, and the instance served for ever what was in force.
+    An unexpected error of a read would end the follower's thread.
     """
     listening = fakes.FakeListener()
     client = Faulty(stores.StoreClient(store.address))
@@ -143,7 +146,7 @@
 
 
 class Hasty:
-    """A store that answers at once that there is nothing new."""
+    """A store that answers empty reads at once."""
 
     def __init__(self):
         self.reads = 0
@@ -156,8 +159,12 @@
         return records.KeyedBatch((), start)
 
 
-def test_who_answers_at_once_with_nothing_is_not_asked_as_fast():
-    """A store was asked four thousand times a second while it was well."""
+def test_empty_reads_are_followed_by_a_pause():
+    """Guard against a busy loop of reads.
+
+    A healthy store that answered empty reads at once got four thousand
+    calls a second.
+    """
     store = Hasty()
     follower = following.Follower(
         store, TOPIC, fakes.FakeListener(), wait_s=0.3
--- a/tests/feeds/test_outages.py
+++ b/tests/feeds/test_outages.py
@@ -1,4 +1,4 @@
-"""Reading topics for a cell while the store answers some or nobody."""
+"""Shared reads while the store answers only some instances, or none."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 TOPIC = fakes.TOPIC
 OTHER_TOPIC = "keyed.op"
-ASKERS = 30
+FOLLOWERS = 30
 READERS = ("first", "second", "third")
 STEP_S = 0.5
 WAIT_S = 0.01
 
 
-class StoreOf:
-    """A store as one instance sees it."""
+class InstanceStore:
+    """The store as one instance reaches it."""
 
     def __init__(self, topic):
         self.topic = topic
-        self.away = False
+        self.refusing = False
         self.calls = 0
         self.waits = []
 
@@ -39,14 +39,14 @@
 
     def check(self):
         self.calls += 1
-        if self.away:
-            raise records.StoreUnavailableError("turned away")
+        if self.refusing:
+            raise records.StoreUnavailableError("refused")
 
 
 class Cell:
-    """Three instances that may read and many that ask them.
+    """Three readers and many instances that query them.
 
-    Threads are not started: :meth:`pass_time` lets all read in turn.
+    No threads are started: :meth:`pass_time` lets all of them read in turn.
     """
 
     def __init__(self, clock):
@@ -54,8 +54,8 @@
         self.topic = fakes.FakeStore()
         self.readers = fakes.FakeReaders()
         self.readers.named = list(READERS)
-        names = (*READERS, *(f"asker-{n}" for n in range(ASKERS)))
-        self.stores = {name: StoreOf(self.topic) for name in names}
+        names = (*READERS, *(f"follower-{n}" for n in range(FOLLOWERS)))
+        self.stores = {name: InstanceStore(self.topic) for name in names}
         self.nexts = {}
         self.failed = dict.fromkeys(names, 0)
         for name in names:
@@ -63,39 +63,39 @@
                 self.stores[name], [TOPIC], self.readers, name, clock
             )
         for name in names:
-            # As a follower does: everything first, from the store itself.
+            # Like a follower, which first reads all content from the store.
             batch = self.stores[name].newest(TOPIC)
             self.nexts[name] = batch.next
-        self.forget_calls()
+        self.reset_calls()
 
     def pass_time(self, seconds):
-        """Let everybody read twice a second."""
+        """Let all readers and followers read twice a second."""
         for _ in range(int(seconds / STEP_S)):
             self.clock.now_s += STEP_S
-            for one in self.readers.instances.values():
-                for reader in one.active_readers.values():
+            for shared in self.readers.instances.values():
+                for reader in shared.active_readers.values():
                     reader.poller.step()
-            for name, one in self.readers.instances.items():
-                self.follow(name, one)
+            for name, shared in self.readers.instances.items():
+                self.follow(name, shared)
 
-    def follow(self, name, one):
+    def follow(self, name, shared):
         """Let an instance's follower read once."""
         try:
-            batch = one.read_keyed(TOPIC, self.nexts[name], WAIT_S)
+            batch = shared.read_keyed(TOPIC, self.nexts[name], WAIT_S)
         except records.StoreUnavailableError:
             self.failed[name] += 1
             return
         self.nexts[name] = batch.next
 
-    def turn_away(self, *names):
+    def refuse(self, *names):
         for name in names:
-            self.stores[name].away = True
+            self.stores[name].refusing = True
 
-    def take_back(self):
+    def accept_all(self):
         for store in self.stores.values():
-            store.away = False
+            store.refusing = False
 
-    def forget_calls(self):
+    def reset_calls(self):
         for store in self.stores.values():
             store.calls = 0
 
@@ -110,9 +110,9 @@
 def cell(monkeypatch):
     monkeypatch.setattr(topic_reader.TopicReader, "start", lambda self: None)
     cell = Cell(clocks.ManualClock())
-    # At first, before anything is read, all three begin to read.
+    # All three start to read until the first one has content.
     cell.pass_time(sharing.READER_IDLE_S + 3.0)
-    cell.forget_calls()
+    cell.reset_calls()
     return cell
 
 
@@ -123,15 +123,16 @@
     }
 
 
-def test_cell_whose_reader_is_turned_away_is_read_for_by_the_next(cell):
-    """The store turns a third of the instances away, a cell's reader too.
+def test_next_reader_takes_over_when_the_store_refuses_the_first(cell):
+    """Guard against too many calls when the store refuses a reader.
 
-    Forty instances asked the store themselves, several times a second
-    each, until the reader was served again.
+    The store refuses a third of the instances, a cell's reader among them.
+    Forty instances then called the store directly, several times a second
+    each, until it answered the reader again.
     """
-    cell.turn_away("first", "asker-0", "asker-1")
+    cell.refuse("first", "follower-0", "follower-1")
     cell.pass_time(sharing.READER_IDLE_S + 3.0)
-    cell.forget_calls()
+    cell.reset_calls()
     cell.write(3)
     cell.pass_time(3.0)
     assert set(cell.nexts.values()) == {4}
@@ -139,78 +140,82 @@
     assert asked == {"first", "second"}
 
 
-def test_first_reader_reads_alone_again_once_it_is_served(cell):
-    cell.turn_away("first")
+def test_first_reader_reads_alone_once_the_store_answers_it_again(cell):
+    cell.refuse("first")
     cell.pass_time(5.0)
-    cell.take_back()
+    cell.accept_all()
     cell.pass_time(sharing.READER_IDLE_S + 2.0)
-    cell.forget_calls()
+    cell.reset_calls()
     cell.pass_time(5.0)
     assert {name for name, store in cell.stores.items() if store.calls} == {
         "first"
     }
 
 
-def test_store_that_answers_nobody_is_asked_seldom(cell):
-    """All processes are refused for ten seconds; each refusal is a call.
+def test_store_that_refuses_all_instances_gets_few_calls(cell):
+    """Guard against too many calls during an outage of the store.
 
-    Everybody sees the outage within two seconds all the same, and its end.
+    The store refuses all instances for ten seconds, and each refusal is a
+    call.  Still, all instances detect the outage and its end within two
+    seconds.
     """
-    cell.turn_away(*cell.stores)
+    cell.refuse(*cell.stores)
     cell.pass_time(2.0)
     assert all(cell.failed.values())
-    cell.forget_calls()
+    cell.reset_calls()
     cell.pass_time(8.0)
-    own_tries = ASKERS * 8.0 / sharing.PROBE_S
+    probes = FOLLOWERS * 8.0 / sharing.PROBE_S
     by_readers = len(READERS) * 8.0 / STEP_S
-    assert cell.calls() <= 1.5 * own_tries + by_readers
-    cell.take_back()
+    assert cell.calls() <= 1.5 * probes + by_readers
+    cell.accept_all()
     cell.write(3)
     cell.pass_time(2.0)
     assert set(cell.nexts.values()) == {4}
 
 
-def test_instance_that_is_served_alone_reads_by_itself(cell):
-    """The store turns away all readers and serves one other instance."""
-    others = cell.stores.keys() - {"asker-7"}
-    cell.turn_away(*others)
+def test_only_instance_that_the_store_answers_reads_directly(cell):
+    """The store refuses all readers and answers one other instance."""
+    others = cell.stores.keys() - {"follower-7"}
+    cell.refuse(*others)
     cell.pass_time(sharing.PROBE_S * 2)
     cell.failed = dict.fromkeys(cell.failed, 0)
     cell.write(3)
     cell.pass_time(sharing.PROBE_S * 2)
-    assert cell.nexts["asker-7"] == 4
-    assert cell.nexts["asker-8"] == 3
+    assert cell.nexts["follower-7"] == 4
+    assert cell.nexts["follower-8"] == 3
 
 
-def test_who_reads_by_itself_waits_at_the_store(cell):
-    """An instance reads by itself as fast as it can, thousands of times a
-    second: the store answers it at once that there is nothing new.
+def test_direct_reads_wait_at_the_store(cell):
+    """Guard against a busy loop of direct reads.
+
+    Without a wait, the store answers empty reads at once, thousands of times
+    a second.
     """
-    others = cell.stores.keys() - {"asker-7"}
-    cell.turn_away(*others)
+    others = cell.stores.keys() - {"follower-7"}
+    cell.refuse(*others)
     cell.pass_time(sharing.PROBE_S * 2)
-    served = cell.stores["asker-7"]
+    served = cell.stores["follower-7"]
     served.waits.clear()
     cell.pass_time(sharing.DIRECT_READ_S * 3)
     assert served.waits
     assert set(served.waits) == {WAIT_S}
 
 
-def test_who_is_behind_is_answered_by_a_new_reader(cell):
-    """The reader is lost while some have not yet heard its last news.
+def test_new_reader_answers_an_instance_that_is_behind(cell):
+    """The reader is lost before some instances got its last records.
 
-    The new reader has followed that news itself, and hands it on.
+    The new reader has followed these records itself and returns them.
     """
     cell.write(3)
     cell.pass_time(2.0)
-    cell.nexts["asker-0"] = 3
+    cell.nexts["follower-0"] = 3
     cell.readers.named = ["second", "third"]
     cell.pass_time(1.0)
-    cell.forget_calls()
-    cell.nexts["asker-0"] = 3
+    cell.reset_calls()
+    cell.nexts["follower-0"] = 3
     cell.pass_time(1.0)
-    assert cell.nexts["asker-0"] == 4
-    assert cell.stores["asker-0"].calls == 0
+    assert cell.nexts["follower-0"] == 4
+    assert cell.stores["follower-0"].calls == 0
 
 
 def reader_of(store, topic, gate, clock):
@@ -218,13 +223,13 @@
     return topic_reader.TopicReader(store, topic, cache, gate)
 
 
-def test_one_topic_asks_whether_the_store_is_back():
+def test_only_one_topic_probes_the_store_during_an_outage():
     store = fakes.FakeStore()
     clock = clocks.ManualClock()
     gate = topic_reader.OutageGate()
     one = reader_of(store, TOPIC, gate, clock)
     other = reader_of(store, OTHER_TOPIC, gate, clock)
-    store.away = True
+    store.refusing = True
     for _ in range(topic_reader.OUTAGE_FAILURES):
         one.poller.step()
         other.poller.step()
@@ -235,30 +240,30 @@
     assert store.calls == 5
     assert one.cache.store_unavailable
     assert other.cache.store_unavailable
-    store.away = False
+    store.refusing = False
     one.poller.step()
     other.poller.step()
     assert not one.cache.store_unavailable
     assert not other.cache.store_unavailable
 
 
-def test_lost_answer_of_one_topic_does_not_hold_up_the_others():
+def test_lost_answer_of_one_topic_does_not_delay_the_others():
     store = fakes.FakeStore()
     clock = clocks.ManualClock()
     gate = topic_reader.OutageGate()
     one = reader_of(store, TOPIC, gate, clock)
     other = reader_of(store, OTHER_TOPIC, gate, clock)
-    store.away = True
+    store.refusing = True
     one.poller.step()
-    store.away = False
+    store.refusing = False
     other.poller.step()
     assert not other.cache.store_unavailable
 
 
-def test_reading_begins_with_all_topics_or_none(monkeypatch):
-    """The machine has no room for a thread as an instance begins to read.
+def test_reading_starts_for_all_topics_or_none(monkeypatch):
+    """Guard against a topic that no instance reads.
 
-    One topic was read by nobody from then on.
+    The instance fails to start a thread after it started another topic's.
     """
     store = fakes.FakeStore()
     readers = fakes.FakeReaders()
--- a/tests/feeds/test_sharing.py
+++ b/tests/feeds/test_sharing.py
@@ -1,4 +1,4 @@
-"""One instance reads topics for its cell; another asks it."""
+"""One instance reads topics for its cell; another queries it."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
 
 @pytest.fixture
 def cell(topic, readers, clock, monkeypatch):
-    """Return the reader and an instance that asks it, by name.
+    """Return the reader and an instance that queries it, by name.
 
-    The reader's thread is not started: the test lets it read.
+    The reader's thread is not started; the tests call its reads.
     """
     monkeypatch.setattr(topic_reader.TopicReader, "start", lambda self: None)
-    for name in ("reader", "asker"):
+    for name in ("reader", "follower"):
         readers.instances[name] = sharing.SharedReads(
             topic, [fakes.TOPIC], readers, name, clock
         )
@@ -50,10 +50,10 @@
 
 
 def read_on(cell):
-    """Let the reader read what is new."""
-    with_reader = cell["reader"]
-    with_reader.read_keyed(fakes.TOPIC, 0, 0.0)
-    reader = with_reader.active_readers[fakes.TOPIC]
+    """Let the reader read new records."""
+    shared = cell["reader"]
+    shared.read_keyed(fakes.TOPIC, 0, 0.0)
+    reader = shared.active_readers[fakes.TOPIC]
     if not reader.cache.was_confirmed:
         reader.read_once()
     reader.read_once()
@@ -64,63 +64,65 @@
     topic.records.append(fakes.record(3))
     read_on(cell)
     topic.calls = 0
-    batch = cell["asker"].read_keyed(fakes.TOPIC, 3, 0.0)
+    batch = cell["follower"].read_keyed(fakes.TOPIC, 3, 0.0)
     assert batch == records.KeyedBatch((fakes.record(3),), 4)
-    assert cell["asker"].read_keyed(fakes.TOPIC, 4, 0.0).records == ()
+    assert cell["follower"].read_keyed(fakes.TOPIC, 4, 0.0).records == ()
     assert topic.calls == 0
 
 
-def test_who_is_behind_reads_the_store_itself(cell, topic):
+def test_instance_that_is_behind_reads_the_store_directly(cell, topic):
     read_on(cell)
     topic.calls = 0
-    batch = cell["asker"].read_keyed(fakes.TOPIC, 1, 0.0)
+    batch = cell["follower"].read_keyed(fakes.TOPIC, 1, 0.0)
     assert batch == records.KeyedBatch((fakes.record(1), fakes.record(2)), 3)
     assert topic.calls == 1
 
 
-def test_what_the_store_did_not_confirm_is_not_handed_on(cell, topic, clock):
-    """The reader's link to the store goes silent as a route is removed.
+def test_unconfirmed_content_is_not_returned(cell, topic, clock):
+    """Guard against outdated content when the reader's link goes silent.
 
-    The others would serve it until the reader notices.
+    If a route is removed meanwhile, the other instances would serve it until
+    the reader detects the outage.
     """
     read_on(cell)
     topic.records.append(fakes.record(3))
     clock.now_s += record_cache.MAX_AGE_S + 0.1
-    assert cell["asker"].read_keyed(fakes.TOPIC, 3, 0.0).records == (
+    assert cell["follower"].read_keyed(fakes.TOPIC, 3, 0.0).records == (
         fakes.record(3),
     )
 
 
-def test_outage_that_the_reader_sees_is_seen_by_all(cell, topic):
-    """The store is away, and entries of endpoints lapse meanwhile.
+def test_outage_seen_by_the_reader_is_reported_to_all(cell, topic):
+    """Guard against endpoints that are dropped during an outage.
 
-    An instance that did not notice the outage would take them for gone.
+    Their entries lapse while the store is unavailable, and an instance that
+    does not know of the outage would take the endpoints for gone.
     """
     read_on(cell)
-    topic.away = True
+    topic.refusing = True
     cell["reader"].active_readers[fakes.TOPIC].poller.step()
     with pytest.raises(records.StoreUnavailableError):
-        cell["asker"].read_keyed(fakes.TOPIC, 3, 0.0)
+        cell["follower"].read_keyed(fakes.TOPIC, 3, 0.0)
 
 
-def test_silent_reader_is_left_alone_for_a_while(cell, topic, readers, clock):
-    """The reader is suspended; each read would wait for it first."""
+def test_silent_reader_is_skipped_for_a_while(cell, topic, readers, clock):
+    """Each read would otherwise wait for the suspended reader first."""
     read_on(cell)
     readers.silent = True
     topic.records.append(fakes.record(3))
     for _ in range(3):
-        assert cell["asker"].read_keyed(fakes.TOPIC, 3, 0.0).next == 4
+        assert cell["follower"].read_keyed(fakes.TOPIC, 3, 0.0).next == 4
     assert readers.queries == 1
     readers.silent = False
     clock.now_s += sharing.BACKOFF_S + 0.1
     read_on(cell)
-    assert cell["asker"].read_keyed(fakes.TOPIC, 4, 0.0).next == 4
+    assert cell["follower"].read_keyed(fakes.TOPIC, 4, 0.0).next == 4
     assert readers.queries == 2
 
 
-def test_instance_that_is_not_the_reader_tells_nothing(cell, topic, readers):
-    """Two instances each take the other one for the reader."""
-    readers.named = ["asker"]
+def test_instance_that_is_not_a_reader_answers_unknown(cell, topic, readers):
+    """Two instances may each take the other one for the reader."""
+    readers.named = ["follower"]
     assert (
         cell["reader"].answer(messages.RecordsAsked(fakes.TOPIC, 0, 0.0))
         == messages.UNKNOWN
@@ -129,7 +131,7 @@
 
 def test_reader_stops_when_another_one_reads(cell, readers):
     read_on(cell)
-    readers.instances["other"] = cell["asker"]
+    readers.instances["other"] = cell["follower"]
     readers.named = ["other"]
     cell["reader"].read_keyed(fakes.TOPIC, 3, 0.0)
     assert not cell["reader"].active_readers
@@ -137,29 +139,30 @@
     assert cell["reader"].answer(query) == messages.UNKNOWN
 
 
-def test_reader_that_is_stopped_by_another_topics_follower_reads_on(
+def test_follower_reads_on_after_another_one_stopped_the_readers(
     cell, topic, monkeypatch
 ):
-    """Two followers see two readers within a moment, as members come.
+    """Guard against a follower's thread that ends while members join.
 
-    One begins to read for the cell, the other stops that; the first one's
-    thread ended, and its topic was followed no more.
+    Two followers see different rankings at the same moment: one starts the
+    topic readers, the other stops them before the first one reads.
     """
     monkeypatch.setattr(cell["reader"], "start_reading", cell["reader"].stop)
     assert cell["reader"].read_keyed(fakes.TOPIC, 0, 0.0).next == 3
     assert topic.calls == 1
 
 
-def test_small_deployment_reads_the_store_itself(cell, topic, readers):
+def test_small_deployment_reads_the_store_directly(cell, topic, readers):
     readers.total = sharing.MIN_SHARING_INSTANCES - 1
-    assert cell["asker"].read_keyed(fakes.TOPIC, 0, 0.0).next == 3
+    assert cell["follower"].read_keyed(fakes.TOPIC, 0, 0.0).next == 3
     assert (topic.calls, readers.queries) == (1, 0)
 
 
-def test_large_records_are_read_from_the_store_by_each(cell, topic):
-    """A configuration of 300 KB that hardly compresses is told to thirty
-    others at once, over a link of 5 Mbit/s, and all wait for it longer than
-    they may.
+def test_large_records_are_read_from_the_store_directly(cell, topic):
+    """Guard against a saturated link of the reader.
+
+    A configuration of 300 KB that hardly compresses, sent to thirty
+    instances at once over a link of 5 Mbit/s, exceeds their timeouts.
     """
     read_on(cell)
     noise = random.Random(1).randbytes(packing.MAX_MESSAGE_BYTES + 1)
@@ -167,14 +170,17 @@
     read_on(cell)
     topic.calls = 0
     assert (
-        cell["asker"].read_keyed(fakes.TOPIC, 3, 0.0).records[0].value == noise
+        cell["follower"].read_keyed(fakes.TOPIC, 3, 0.0).records[0].value
+        == noise
     )
     assert topic.calls == 1
 
 
-def test_configuration_goes_compressed(cell, topic):
-    """Configurations come several times a second, and each of two hundred
-    instances reads each of them from the store.
+def test_large_values_are_sent_compressed(cell, topic):
+    """Guard against too many calls when configurations change often.
+
+    At several changes a second, each of two hundred instances would read
+    each uncompressed configuration from the store.
     """
     read_on(cell)
     text = b"".join(
@@ -185,13 +191,13 @@
     topic.records.append(fakes.record(3, text))
     read_on(cell)
     topic.calls = 0
-    assert cell["asker"].read_keyed(fakes.TOPIC, 3, 0.0).records == (
+    assert cell["follower"].read_keyed(fakes.TOPIC, 3, 0.0).records == (
         fakes.record(3, text),
     )
     assert topic.calls == 0
 
 
-def test_instance_that_cannot_unpack_is_told_as_before(cell, topic):
+def test_instance_that_cannot_unpack_gets_uncompressed_values(cell, topic):
     read_on(cell)
     text = b"x" * packing.COMPRESS_MIN_BYTES
     topic.records.append(fakes.record(3, text))
@@ -202,17 +208,17 @@
     assert reply.packed == ()
 
 
-def test_answer_that_cannot_be_unpacked_is_none(cell, topic, readers):
-    """A reader's answer is damaged; the records come from the store."""
+def test_damaged_answer_is_ignored(cell, topic, readers):
+    """The records come from the store instead."""
     broken = messages.RecordsTold(True, (("key-3", b"no"),), 4, packed=(0,))
     readers.read_topic = lambda reader, query, timeout_s: broken
     topic.records.append(fakes.record(3))
-    assert cell["asker"].read_keyed(fakes.TOPIC, 3, 0.0).records == (
+    assert cell["follower"].read_keyed(fakes.TOPIC, 3, 0.0).records == (
         fakes.record(3),
     )
 
 
-def test_question_waits_for_a_record(clock):
+def test_query_waits_for_a_record(clock):
     cache = record_cache.RecordCache(clock)
     cache.reset(7)
     reply = []
