--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -91,7 +91,7 @@
         """Leave heartbeats out."""
 
 
-class Releases:
+class Offers:
     """Every engine serves the one version."""
 
     offer = orders.Offer(VERSION, "")
@@ -168,13 +168,13 @@
         example = pathlib.Path("examples/dk-east/instances/cph-hall-a-1.ini")
         self.serving = serving.build_serving(
             settings_module.load(str(example)),
-            serving.ServingSources(
+            serving.ServingDependencies(
                 view=lambda: self.view,
                 members=typing.cast(typing.Any, Members()),
                 kept=self.kept,
                 imports=Imports(self.kept),
                 leaving=frozenset,
-                releases=typing.cast(typing.Any, Releases()),
+                offers=typing.cast(typing.Any, Offers()),
                 key=KEY,
             ),
         )
--- a/src/briarseam/command/daemons.py
+++ b/src/briarseam/command/daemons.py
@@ -28,7 +28,7 @@
     def start(self) -> str:
         """Begin to serve and return the address."""
 
-    def drain(self, hurry: collections.abc.Callable[[], bool]) -> object:
+    def drain(self, interrupted: collections.abc.Callable[[], bool]) -> object:
         """Leave and wait until nothing is in flight."""
 
     def stop(self) -> None:
--- a/src/briarseam/command/serve.py
+++ b/src/briarseam/command/serve.py
@@ -58,7 +58,7 @@
         from briarseam.compose import node as compose
 
     node = compose.Node(settings)
-    stop.on_reload(node.reloading.ask)
+    stop.on_reload(node.reloading.request)
     node.start()
     log.info(
         "started",
--- a/src/briarseam/compose/agent.py
+++ b/src/briarseam/compose/agent.py
@@ -94,12 +94,12 @@
         self.membership.stop()
         self.server.stop()
 
-    def drain(self, hurry: typing.Callable[[], bool]) -> drain.Outcome:
+    def drain(self, interrupted: typing.Callable[[], bool]) -> drain.Outcome:
         """Leave the lookups and wait until nothing is in flight.
 
         Parameters
         ----------
-        hurry
+        interrupted
             Whether to give up waiting now.
         """
         return drain.Drain(
@@ -109,7 +109,7 @@
             settle=lambda: self.in_flight() == 0,
             linger_s=lambda: self.entries.linger_s,
             bound_s=self.stop_bound_s,
-            interrupted=hurry,
+            interrupted=interrupted,
         ).run()
 
     def in_flight(self) -> int:
@@ -227,7 +227,7 @@
     compose_membership.connect(registry, member_service, leaving)
     serving_parts = serving.build_serving(
         settings,
-        serving.ServingSources(
+        serving.ServingDependencies(
             view=reader.view,
             members=member_service,
             kept=kept,
@@ -235,7 +235,7 @@
                 kept, ring, compose_timeline.names(reader)
             ),
             leaving=leaving.leaving_endpoints,
-            releases=compose_orders.Releases(order_service),
+            offers=compose_orders.EngineOffers(order_service),
             key=key,
         ),
     )
--- a/src/briarseam/compose/entry.py
+++ b/src/briarseam/compose/entry.py
@@ -64,12 +64,12 @@
         host, port = self.server.bind_addr[:2]
         return f"{host}:{port}"
 
-    def drain(self, hurry: typing.Callable[[], bool]) -> drain.Outcome:
+    def drain(self, interrupted: typing.Callable[[], bool]) -> drain.Outcome:
         """Leave the lookups and wait until nothing is in flight.
 
         Parameters
         ----------
-        hurry
+        interrupted
             Whether to give up waiting now.
         """
         self.parts.in_flight.move_to(inflight.Stage.LEAVING)
@@ -80,7 +80,7 @@
             settle=self.parts.in_flight.refuse_if_idle,
             linger_s=lambda: self.presence.linger_s,
             bound_s=self.stop_bound_s,
-            interrupted=hurry,
+            interrupted=interrupted,
         ).run()
 
     def stop(self) -> None:
--- a/src/briarseam/compose/node.py
+++ b/src/briarseam/compose/node.py
@@ -147,7 +147,9 @@
         self.supervisor = supervision.Supervisor()
         self.forwarding = forwarding.Forwarding(self.build_forwarding())
         self.servers = self.build_servers()
-        self.reloading = reloading.Reloading(settings, self.apply_settings)
+        self.reloading = reloading.SettingsReloader(
+            settings, self.apply_settings
+        )
         self.cell_loads = cell_loads.CellLoads(self.chooser.loads, self.calls)
         self.cell_weights = cell_weights.CellWeights(
             self.weights.known_weights, self.calls, settings.instance.name
--- a/src/briarseam/compose/orders.py
+++ b/src/briarseam/compose/orders.py
@@ -89,7 +89,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Releases:
+class EngineOffers:
     """What requests may name, as routing asks for it.
 
     Attributes
--- a/src/briarseam/compose/reloading.py
+++ b/src/briarseam/compose/reloading.py
@@ -20,7 +20,7 @@
 log = structlog.get_logger("briarseam.node")
 
 
-class Reloading:
+class SettingsReloader:
     """Reads the settings again after a signal or when the file changed.
 
     A file that can't be used changes nothing: the process goes on with the
@@ -59,7 +59,7 @@
         self.stopping.set()
         self.asked.set()
 
-    def ask(self) -> None:
+    def request(self) -> None:
         """Let the file be read now."""
         self.asked.set()
 
--- a/src/briarseam/compose/serving.py
+++ b/src/briarseam/compose/serving.py
@@ -64,7 +64,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ServingSources:
+class ServingDependencies:
     """What serving needs of the other slices.
 
     Attributes
@@ -79,7 +79,7 @@
         The same as routing sees it, with its imports noted.
     leaving
         Endpoints that are known to leave.
-    releases
+    offers
         What engines report, and what requests may name.
     key
         Shared key.
@@ -90,12 +90,12 @@
     kept: kept_cache.KeptCache
     imports: routing.KeptCache
     leaving: typing.Callable[[], frozenset[str]]
-    releases: compose_orders.Releases
+    offers: compose_orders.EngineOffers
     key: bytes
 
 
 def build_serving(
-    settings: settings_module.Settings, sources: ServingSources
+    settings: settings_module.Settings, sources: ServingDependencies
 ) -> Serving:
     """Return routing and admission, wired to membership's heartbeats."""
     members = sources.members
@@ -111,8 +111,8 @@
         routing.ChooserParts(
             view=view,
             leaving=sources.leaving,
-            offers=sources.releases.offers,
-            serves=sources.releases.serves,
+            offers=sources.offers.offers,
+            serves=sources.offers.serves,
             kept=sources.imports,
             loads=engine_loads,
             own_runs=own_runs,
--- a/tests/command/test_signals.py
+++ b/tests/command/test_signals.py
@@ -69,7 +69,7 @@
     # SIGHUP, then the signal at a line that is run after it, then SIGTERM
     # if it has not come yet.
     stop = signals.watch()
-    stop.on_reload(reloading.Reloading(None, None).ask)
+    stop.on_reload(reloading.SettingsReloader(None, None).request)
     run = 0
 
     def trace(frame, event, argument):
--- a/tests/compose/test_reloading.py
+++ b/tests/compose/test_reloading.py
@@ -15,7 +15,7 @@
         self.path = path
         self.write(0.2)
         self.applied = []
-        self.reloading = reloading.Reloading(
+        self.reloading = reloading.SettingsReloader(
             serving.load(str(path)), self.applied.append
         )
 
@@ -39,7 +39,9 @@
     """
     case = Case(tmp_path / "settings.ini")
     case.write(0.7)
-    late = reloading.Reloading(case.reloading.settings, case.applied.append)
+    late = reloading.SettingsReloader(
+        case.reloading.settings, case.applied.append
+    )
     late.start()
     waiting.until(lambda: case.applied)
     late.stop()
@@ -53,7 +55,7 @@
 
 
 def test_signal_lets_the_file_be_read(case):
-    case.reloading.ask()
+    case.reloading.request()
     waiting.until(lambda: case.applied)
 
 
@@ -62,7 +64,7 @@
     on with the settings it has, and take the mended file later.
     """
     case.write("a lot")
-    case.reloading.ask()
+    case.reloading.request()
     case.write(0.4)
     waiting.until(lambda: case.applied)
     assert {found.bounds.retry_ratio for found in case.applied} == {0.4}
