--- a/src/briarseam/configuration/declarations.py
+++ b/src/briarseam/configuration/declarations.py
@@ -68,17 +68,17 @@
     files = sorted(root.rglob(f"*{SUFFIX}"))
     if not files:
         raise DeclarationError(directory, "", f"no {SUFFIX} file found")
-    found: dict[str, Declaration] = {}
+    by_path: dict[str, Declaration] = {}
     for file in files:
         for declared in read_file(str(file)):
-            first = found.setdefault(declared.path, declared)
-            if first is not declared:
+            previous = by_path.setdefault(declared.path, declared)
+            if previous is not declared:
                 raise DeclarationError(
                     declared.place,
                     declared.path,
-                    f"already declared at {first.place}",
+                    f"already declared at {previous.place}",
                 )
-    return tuple(found.values())
+    return tuple(by_path.values())
 
 
 def read_file(file: str) -> list[Declaration]:
--- a/src/briarseam/configuration/plans.py
+++ b/src/briarseam/configuration/plans.py
@@ -142,18 +142,18 @@
         Offset that the declarations are based on; a path set after it is a
         conflict.
     """
-    own = {path for path in declared if teams.owner(path) == team}
-    held = {path for path in fold.entries if teams.owner(path) == team}
+    declared_own = {path for path in declared if teams.owner(path) == team}
+    existing = {path for path in fold.entries if teams.owner(path) == team}
     steps = [
         plan_step(fold, path, declared.get(path), based_on)
-        for path in sorted(own | held)
+        for path in sorted(declared_own | existing)
     ]
     changed = tuple(step for step in steps if step is not None)
     return Plan(
         team=team,
         base=fold.offset,
         steps=changed,
-        foreign=tuple(sorted(set(declared) - own)),
+        foreign=tuple(sorted(set(declared) - declared_own)),
         unchanged=len(steps) - len(changed),
     )
 
--- a/src/briarseam/configuration/snapshots.py
+++ b/src/briarseam/configuration/snapshots.py
@@ -242,9 +242,9 @@
     window = READ_WINDOW
     while True:
         after = max(end - window, probe.first - 1, 0)
-        found = newest_after(client, key, after, end)
-        if found is not None or after <= max(probe.first - 1, 0):
-            return found, end
+        snapshot = newest_after(client, key, after, end)
+        if snapshot is not None or after <= max(probe.first - 1, 0):
+            return snapshot, end
         window *= 2
 
 
--- a/tests/configuration/test_fold.py
+++ b/tests/configuration/test_fold.py
@@ -52,7 +52,7 @@
     st.data(),
 )
 def test_all_readers_of_the_same_records_hold_the_same_tree(
-    drawn, doubled, cut, data
+    drawn, duplicated, cut, data
 ):
     # Guards against agents that hold different trees, so that an answer
     # depends on the agent.  Changes conflict, records are appended twice,
@@ -67,7 +67,7 @@
     ]
     datas = data.draw(
         st.permutations(
-            encoded + [encoded[i] for i in doubled if i < len(encoded)]
+            encoded + [encoded[i] for i in duplicated if i < len(encoded)]
         )
     )
     fold, verdicts = apply_all(datas)
