--- a/src/briarseam/endpoints/engine.py
+++ b/src/briarseam/endpoints/engine.py
@@ -101,7 +101,7 @@
 
 
 Piece = Started | Token | Done | RunFailed
-KINDS: dict[str, type] = {
+EVENT_TYPES: dict[str, type] = {
     "start": Started,
     "token": Token,
     "done": Done,
@@ -152,11 +152,11 @@
         self,
         response: urllib3.BaseHTTPResponse,
         sock: socket.socket,
-        silence_s: float,
+        max_silence_s: float,
     ) -> None:
         self.response = response
         self.sock = sock
-        self.silence_s = silence_s
+        self.max_silence_s = max_silence_s
         self.events = sse.read(response.stream(READ_BYTES))
 
     def limit_silence(self) -> None:
@@ -166,7 +166,7 @@
         this bound tells it from one that computes.
         """
         with contextlib.suppress(OSError):
-            self.sock.settimeout(self.silence_s)
+            self.sock.settimeout(self.max_silence_s)
 
     def __iter__(self) -> typing.Iterator[Piece]:
         """Yield pieces until the stream ends.
@@ -195,7 +195,7 @@
 
 def parse_piece(event: sse.Event) -> Piece:
     """Return the validated piece of an event."""
-    kind = KINDS.get(event.kind)
+    kind = EVENT_TYPES.get(event.kind)
     if kind is None:
         return RunFailed(f"unknown event {event.kind}")
     return typing.cast("Piece", msgspec.json.decode(event.data, type=kind))
@@ -210,14 +210,14 @@
         Longest wait between two pieces.
     """
 
-    def __init__(self, silence_s: float) -> None:
-        self.silence_s = silence_s
+    def __init__(self, max_silence_s: float) -> None:
+        self.max_silence_s = max_silence_s
         # Library retries stay off: a run whose answer was lost may be
         # running, and only the caller of this class can settle that.
         self.pool = urllib3.PoolManager(maxsize=POOL_SIZE, retries=False)
 
     def start(
-        self, address: str, run: RunRequest, first_s: float = 0.0
+        self, address: str, run: RunRequest, first_token_timeout_s: float = 0.0
     ) -> Stream:
         """Start a run.
 
@@ -238,8 +238,8 @@
         """
         body = msgspec.json.encode(run)
         headers = {"Content-Type": "application/json", "Connection": "close"}
-        bound_s = max(first_s, self.silence_s)
-        return self.open("POST", address, "/runs", body, headers, bound_s)
+        timeout_s = max(first_token_timeout_s, self.max_silence_s)
+        return self.open("POST", address, "/runs", body, headers, timeout_s)
 
     def resume(self, address: str, run_id: str, offset: int) -> Stream:
         """Read a run's stream again from ``offset``.
@@ -264,25 +264,25 @@
         path: str,
         body: bytes | None,
         headers: dict[str, str],
-        bound_s: float,
+        timeout_s: float,
     ) -> Stream:
         """Send a request and return its event stream."""
         host, _, port = address.rpartition(":")
         # A kept-alive connection can be closed by the engine just as the
         # request is written; whether it was read nobody can tell.  A fresh
         # connection has no such race: it either opens or nothing was sent.
-        one = urllib3_connection.HTTPConnection(
+        connection = urllib3_connection.HTTPConnection(
             host, int(port), timeout=CONNECT_TIMEOUT_S
         )
         try:
-            one.connect()
+            connection.connect()
         except (urllib3.exceptions.HTTPError, OSError) as error:
             raise NotSentError(str(error)) from error
-        sock = one.sock
+        sock = connection.sock
         try:
-            sock.settimeout(bound_s)
-            one.timeout = bound_s
-            one.request(
+            sock.settimeout(timeout_s)
+            connection.timeout = timeout_s
+            connection.request(
                 method,
                 path,
                 body=body,
@@ -290,17 +290,17 @@
                 preload_content=False,
                 decode_content=False,
             )
-            response = one.getresponse()
+            response = connection.getresponse()
         except (
             urllib3.exceptions.HTTPError,
             http.client.HTTPException,
             OSError,
         ) as error:
-            one.close()
+            connection.close()
             raise LostError(str(error)) from error
         if response.status != HTTP_OK:
-            raise refusal(response)
-        return Stream(response, sock, self.silence_s)
+            raise response_error(response)
+        return Stream(response, sock, self.max_silence_s)
 
     def cancel(self, address: str, run_id: str) -> bool:
         """Cancel a run; tell whether the engine confirmed it."""
@@ -314,7 +314,7 @@
         return bool(response.status < HTTP_CONFLICT)
 
 
-def refusal(response: urllib3.BaseHTTPResponse) -> EngineError:
+def response_error(response: urllib3.BaseHTTPResponse) -> EngineError:
     """Return the error for an answer that is no stream.
 
     Only statuses that the engine's protocol defines as "starts nothing"
--- a/src/briarseam/endpoints/engine_orders.py
+++ b/src/briarseam/endpoints/engine_orders.py
@@ -180,7 +180,7 @@
         fence
             Fencing number under which it is given.
         """
-        body = {"order_id": order_id, "fence": fence, **described(order)}
+        body = {"order_id": order_id, "fence": fence, **order_fields(order)}
         try:
             response = self.pool.request(
                 "POST",
@@ -196,7 +196,7 @@
         return outcome_of(response)
 
 
-def described(order: Order) -> dict[str, typing.Any]:
+def order_fields(order: Order) -> dict[str, typing.Any]:
     """Return an order's fields as the protocol names them."""
     match order:
         case Load():
--- a/src/briarseam/endpoints/engine_start.py
+++ b/src/briarseam/endpoints/engine_start.py
@@ -9,8 +9,8 @@
 import urllib3
 
 TIMEOUT_S = 0.5
-TRIES = 8
-PAUSE_S = 0.05
+MAX_TRIES = 8
+RETRY_PAUSE_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True)
@@ -40,19 +40,19 @@
     boot_id
         The start that was known; empty when none was.
     """
-    for _ in range(TRIES):
+    for _ in range(MAX_TRIES):
         try:
-            present = ask_boot_id(address)
+            current_boot_id = query_boot_id(address)
         except ConnectionRefusedError:
             return True
         except ClosedError:
-            time.sleep(PAUSE_S)
+            time.sleep(RETRY_PAUSE_S)
             continue
-        return bool(boot_id and present) and present != boot_id
+        return bool(boot_id and current_boot_id) and current_boot_id != boot_id
     return True
 
 
-def ask_boot_id(address: str) -> str:
+def query_boot_id(address: str) -> str:
     """Return the present start of an engine; empty when it is silent.
 
     Raises
--- a/src/briarseam/endpoints/reading.py
+++ b/src/briarseam/endpoints/reading.py
@@ -16,7 +16,7 @@
     pool: urllib3.PoolManager,
     url: str,
     body_type: type[Body],
-    unavailable: type[Exception],
+    error_type: type[Exception],
     timeout: float | urllib3.Timeout,
 ) -> Body:
     """Return the validated body of a GET.
@@ -37,7 +37,7 @@
     try:
         response = pool.request("GET", url, timeout=timeout)
         if response.status != HTTP_OK:
-            raise unavailable(f"answered {response.status}")
+            raise error_type(f"answered {response.status}")
         return msgspec.json.decode(response.data, type=body_type)
     except (urllib3.exceptions.HTTPError, ValueError) as error:
-        raise unavailable(str(error)) from error
+        raise error_type(str(error)) from error
--- a/src/briarseam/endpoints/store.py
+++ b/src/briarseam/endpoints/store.py
@@ -14,9 +14,9 @@
 CONNECT_TIMEOUT_S = 0.5
 CALL_TIMEOUT_S = 2.0
 POOL_SIZE = 8
-LIST_MAX = 500
+MAX_LISTED = 500
 HTTP_OK = 200
-HTTP_ERROR = 300
+HTTP_MIN_ERROR = 300
 
 
 @dataclasses.dataclass(frozen=True)
@@ -121,7 +121,7 @@
             response = self.pool.request(method, url, timeout=timeout)
         except urllib3.exceptions.HTTPError as error:
             raise StoreUnavailableError(str(error)) from error
-        if response.status >= HTTP_ERROR:
+        if response.status >= HTTP_MIN_ERROR:
             raise StoreUnavailableError(f"answered {response.status}")
         return response
 
@@ -129,8 +129,8 @@
         self, url: str, body_type: type[Body], timeout_s: float | None = None
     ) -> Body:
         """Return the validated body of a GET."""
-        bound_s = self.timeout_s if timeout_s is None else timeout_s
-        response = self.request("GET", url, bound_s)
+        call_timeout_s = self.timeout_s if timeout_s is None else timeout_s
+        response = self.request("GET", url, call_timeout_s)
         try:
             return msgspec.json.decode(response.data, type=body_type)
         except msgspec.DecodeError as error:
@@ -150,7 +150,7 @@
         self,
         address: str,
         after: str,
-        limit: int = LIST_MAX,
+        limit: int = MAX_LISTED,
         timeout_s: float | None = None,
     ) -> Page:
         """Return blocks whose names follow on ``after``.
