--- a/src/briarseam/endpoints/__init__.py
+++ b/src/briarseam/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters to the endpoints: model engines, plain services, stores."""
+"""Clients of endpoints: model engines, plain services and stores."""
--- a/src/briarseam/endpoints/engine.py
+++ b/src/briarseam/endpoints/engine.py
@@ -1,7 +1,7 @@
-"""The model engine, seen by an entry: start, resume and cancel runs.
+"""Client of a model engine for an entry: start, resume and cancel runs.
 
-One small adapter, so that another engine's protocol changes this module
-only.  The outcomes say what the engine can have done with the request.
+Only this adapter depends on the protocol of the engine's runs.  Its errors
+say what the engine may have done with the request.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 CONNECT_TIMEOUT_S = 1.0
 CANCEL_TIMEOUT_S = 2.0
-# An engine that has a run answers the status line of its stream at once.
+# An engine that has the run sends the status line of its stream at once.
 RESUME_TIMEOUT_S = 1.0
 POOL_SIZE = 256
 READ_BYTES = 65536
@@ -40,19 +40,19 @@
     Attributes
     ----------
     run_id
-        Fresh for every run; the engine refuses one it has seen.
+        Unique for each run; the engine refuses a known one.
     model, version, adapter
-        What must be loaded; no adapter is ``None``.
+        What the engine must have loaded; ``None`` for no adapter.
     prompt
-        The prompt's text.
+        Text of the prompt.
     prior
-        Tokens of the answer that the caller has already.
+        Tokens of the answer that the caller already has.
     max_tokens
-        Most tokens of the whole answer.
+        Maximum number of tokens of the complete answer.
     priority
-        0 high to 9 low.
+        0 (highest) to 9 (lowest).
     organisation
-        Cache salt.
+        Salt of the prefix cache.
     """
 
     run_id: str
@@ -87,7 +87,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Done:
-    """The answer is whole and has this many tokens."""
+    """The answer is complete and has this number of tokens."""
 
     run_id: str
     tokens: int
@@ -110,15 +110,15 @@
 
 
 class EngineError(Exception):
-    """Base of what can go wrong with an engine."""
+    """Base class of errors of calls to an engine."""
 
 
 class NotSentError(EngineError):
-    """No connection: the engine has certainly not got the request."""
+    """No connection: the engine has not received the request."""
 
 
 class RefusedError(EngineError):
-    """The engine answered that it will not run the request.
+    """The engine refused to run the request.
 
     Attributes
     ----------
@@ -132,7 +132,7 @@
 
 
 class LostError(EngineError):
-    """The connection ended or fell silent; the run may go on."""
+    """The connection was closed or went silent; the run may continue."""
 
 
 class Stream:
@@ -143,9 +143,9 @@
     response
         Open response whose body is the event stream.
     sock
-        Its connection's socket.
-    silence_s
-        Longest wait between two pieces once the answer has begun.
+        Socket of its connection.
+    max_silence_s
+        Maximum time between two pieces after the first token, in seconds.
     """
 
     def __init__(
@@ -160,10 +160,10 @@
         self.events = sse.read(response.stream(READ_BYTES))
 
     def limit_silence(self) -> None:
-        """Bound the silence from now on.
+        """Limit the time between two pieces from now on.
 
         A frozen engine keeps its connections open and sends nothing; only
-        this bound tells it from one that computes.
+        this limit distinguishes it from an engine that computes.
         """
         with contextlib.suppress(OSError):
             self.sock.settimeout(self.max_silence_s)
@@ -174,7 +174,7 @@
         Raises
         ------
         LostError
-            When it is cut, silent too long, or not understood.
+            If it is truncated, silent for too long or malformed.
         """
         try:
             for event in self.events:
@@ -188,13 +188,13 @@
             raise LostError(str(error)) from error
 
     def close(self) -> None:
-        """Drop the connection; the run itself goes on."""
+        """Close the connection; the run itself continues."""
         self.response.close()
         self.sock.close()
 
 
 def parse_piece(event: sse.Event) -> Piece:
-    """Return the validated piece of an event."""
+    """Return the piece of an event, decoded and validated."""
     kind = EVENT_TYPES.get(event.kind)
     if kind is None:
         return RunFailed(f"unknown event {event.kind}")
@@ -206,14 +206,14 @@
 
     Parameters
     ----------
-    silence_s
-        Longest wait between two pieces.
+    max_silence_s
+        Maximum time between two pieces, in seconds.
     """
 
     def __init__(self, max_silence_s: float) -> None:
         self.max_silence_s = max_silence_s
-        # Library retries stay off: a run whose answer was lost may be
-        # running, and only the caller of this class can settle that.
+        # No retries by the library: a run whose answer was lost may be
+        # running, and only the caller of this class can resolve that.
         self.pool = urllib3.PoolManager(maxsize=POOL_SIZE, retries=False)
 
     def start(
@@ -226,15 +226,19 @@
         address
             ``ip:port`` of the engine.
         run
-            What to run.
-        first_s
-            Longest wait for the first token, in seconds; at least the
-            longest silence.
+            The run.
+        first_token_timeout_s
+            Timeout of the first token, in seconds; raised to the maximum
+            silence if shorter.
 
         Raises
         ------
-        NotSentError, RefusedError, LostError
-            See each.
+        NotSentError
+            If the engine has not received the request.
+        RefusedError
+            If the engine refused to run the request.
+        LostError
+            If the run may have started.
         """
         body = msgspec.json.encode(run)
         headers = {"Content-Type": "application/json", "Connection": "close"}
@@ -242,12 +246,16 @@
         return self.open("POST", address, "/runs", body, headers, timeout_s)
 
     def resume(self, address: str, run_id: str, offset: int) -> Stream:
-        """Read a run's stream again from ``offset``.
+        """Reopen a run's stream at ``offset``.
 
         Raises
         ------
-        NotSentError, RefusedError, LostError
-            See each.
+        NotSentError
+            If there is no connection to the engine.
+        RefusedError
+            If the engine refused to send the stream.
+        LostError
+            If the engine did not answer; the run may continue.
         """
         path = f"/runs/{run_id}?from={offset}"
         headers = {"Connection": "close"}
@@ -268,8 +276,8 @@
     ) -> Stream:
         """Send a request and return its event stream."""
         host, _, port = address.rpartition(":")
-        # A kept-alive connection can be closed by the engine just as the
-        # request is written; whether it was read nobody can tell.  A fresh
+        # The engine may close a kept-alive connection while a request is
+        # being written, and whether it read the request is unknown.  A new
         # connection has no such race: it either opens or nothing was sent.
         connection = urllib3_connection.HTTPConnection(
             host, int(port), timeout=CONNECT_TIMEOUT_S
@@ -303,7 +311,7 @@
         return Stream(response, sock, self.max_silence_s)
 
     def cancel(self, address: str, run_id: str) -> bool:
-        """Cancel a run; tell whether the engine confirmed it."""
+        """Cancel a run; return whether the engine confirmed it."""
         url = f"http://{address}/runs/{run_id}"
         try:
             response = self.pool.request(
@@ -315,10 +323,10 @@
 
 
 def response_error(response: urllib3.BaseHTTPResponse) -> EngineError:
-    """Return the error for an answer that is no stream.
+    """Return the error for a response without a stream.
 
-    Only statuses that the engine's protocol defines as "starts nothing"
-    count as refused; any other leaves it open whether the run started.
+    Only statuses for which the engine's protocol rules out that the run
+    started count as refusals; after any other one it may have started.
     """
     try:
         detail = response.read(READ_BYTES, decode_content=True).decode()
@@ -327,14 +335,14 @@
     response.close()
     status = response.status
     if status == HTTP_CONFLICT and is_duplicate(detail):
-        return LostError("the engine has seen this run id")
+        return LostError("the engine already knows this run id")
     if status < 500 or status == HTTP_UNAVAILABLE:
         return RefusedError(status, detail)
     return LostError(f"the engine answered {status}: {detail}")
 
 
 def is_duplicate(detail: str) -> bool:
-    """Tell whether a 409 says that the run id was seen before."""
+    """Return whether a 409 response reports a known run id."""
     try:
         return bool(json.loads(detail).get("duplicate"))
     except (ValueError, AttributeError):
--- a/src/briarseam/endpoints/engine_events.py
+++ b/src/briarseam/endpoints/engine_events.py
@@ -1,4 +1,4 @@
-"""The model engine's cache events, as an agent reads them."""
+"""Client of a model engine's prefix cache events, for an agent."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Event:
-    """One prefix that the engine took in or dropped.
+    """A prefix that the engine added to its cache or removed from it.
 
     Attributes
     ----------
     seq
-        Place in the engine's sequence, dense from 1.
+        Number in the engine's sequence, which starts at 1 without gaps.
     added
-        Taken in, else dropped.
+        Whether the prefix was added; otherwise it was removed.
     model, version
-        What it was computed with.
+        Model and weight version that computed it.
     digest
-        The engine's name of the prefix.
+        Chain digest by which the engine identifies the prefix.
     """
 
     seq: int
@@ -39,16 +39,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class EventPage:
-    """Events after a number; some may be missing.
+    """Events after a sequence number; some may be missing.
 
     Attributes
     ----------
     boot_id
-        The engine's boot.
+        Identifies the engine's start.
     next
-        Number of the first event that is not in it.
+        Sequence number of the first event after the page.
     events
-        In order.
+        Events in order.
     """
 
     boot_id: str
@@ -72,9 +72,9 @@
     Attributes
     ----------
     boot_id
-        The engine's boot.
+        Identifies the engine's start.
     seq
-        Number of the last event in it.
+        Sequence number of the last event that the listing includes.
     prefixes
         The prefixes.
     """
@@ -103,7 +103,7 @@
 
 
 class EventsUnavailableError(Exception):
-    """The engine did not answer, or not as its protocol says."""
+    """The engine gave no answer, or an invalid one."""
 
 
 class EventClient:
@@ -121,12 +121,12 @@
         )
 
     def events(self, address: str, after: int) -> EventPage:
-        """Return events after a number.
+        """Return events after a sequence number.
 
         Raises
         ------
         EventsUnavailableError
-            When the engine does not answer properly.
+            If the engine gives no valid answer.
         """
         url = f"http://{address}/cache/events?after={after}"
         raw = self.get(url, RawPage)
@@ -145,7 +145,7 @@
         Raises
         ------
         EventsUnavailableError
-            When the engine does not answer properly.
+            If the engine gives no valid answer.
         """
         raw = self.get(f"http://{address}/cache", RawListing)
         try:
--- a/src/briarseam/endpoints/engine_kv.py
+++ b/src/briarseam/endpoints/engine_kv.py
@@ -1,7 +1,7 @@
-"""The model engine's KV transfers, ordered by an agent.
+"""Client of a model engine's KV cache transfers, for an agent.
 
-The engine reads blocks from a store or writes them there; the bytes never
-pass through here.
+The engine itself reads blocks from a store or writes them there; the agent
+does not handle their bytes.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Fault(enum.StrEnum):
-    """Why a block did not come."""
+    """Why a block was not imported."""
 
     MISSING = "missing"
     CORRUPT = "corrupt"
@@ -35,13 +35,13 @@
     Attributes
     ----------
     digest
-        Chain digest by which the engine names the prefix, hex.
+        Chain digest by which the engine identifies the prefix, in hex.
     store
         ``ip:port`` of the store.
     block
-        Name there.
+        Name of the block at the store.
     checksum
-        blake2b-16 in hex of its bytes.
+        blake2b-16 of its bytes, in hex.
     """
 
     digest: str
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ImportFailure:
-    """The block at which an import ended, and the engine's reason."""
+    """The block at which an import stopped, and the engine's reason."""
 
     index: int
     reason: str
@@ -69,16 +69,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class ImportAnswer:
-    """What an import did.
+    """Result of an import.
 
     Attributes
     ----------
     imported
-        Blocks that came, from the first on.
+        Number of imported blocks, counted from the first one.
     bytes
-        Their bytes.
+        Size of these blocks.
     failed
-        The block at which it ended, if any.
+        The block at which the import stopped, if any.
     """
 
     imported: int
@@ -88,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Exported:
-    """The engine says that it wrote the block."""
+    """The engine reported that it wrote the block."""
 
     bytes: int
     checksum: str
@@ -101,7 +101,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ExportFailed:
-    """Nobody knows how much of the block was written."""
+    """The export failed; the store may have any part of the block."""
 
     detail: str
 
@@ -110,14 +110,15 @@
 
 
 class KvUnavailableError(Exception):
-    """The engine did not answer, or not as its protocol says."""
+    """The engine gave no answer, or an invalid one."""
 
 
 def fault_of(failure: ImportFailure) -> Fault:
-    """Return the kind of fault that an engine's reason names.
+    """Return the kind of fault for an engine's reason.
 
-    Only what is surely the block's or the store's fault counts as theirs;
-    an engine that has loaded other weights meanwhile says so too.
+    Only reasons that clearly lie with the block or the store count as their
+    faults.  All others count as the engine's, such as a change of its
+    weights during the import.
     """
     match failure.reason:
         case "missing":
@@ -132,11 +133,11 @@
 
 
 class KvClient:
-    """Orders transfers between engines and stores."""
+    """Requests transfers between engines and stores."""
 
     def __init__(self) -> None:
-        # Library retries stay off: an import sent twice would move its
-        # bytes twice over a budgeted link.
+        # No retries by the library: an import sent twice would transfer its
+        # bytes twice over a link with a budget.
         self.pool = urllib3.PoolManager(
             maxsize=POOL_SIZE, num_pools=256, retries=False
         )
@@ -159,7 +160,7 @@
     def import_blocks(
         self, address: str, request: ImportRequest, timeout_s: float
     ) -> ImportAnswer:
-        """Let the engine fetch blocks, in order.
+        """Let the engine import blocks, in order.
 
         Parameters
         ----------
@@ -168,13 +169,13 @@
         request
             The blocks.
         timeout_s
-            Bound on the whole import.
+            Timeout of the complete import, in seconds.
 
         Raises
         ------
         KvUnavailableError
-            When the engine does not answer properly in time; it may have
-            taken any of the blocks.
+            If the engine gives no valid answer in time; it may have
+            imported any of the blocks.
         """
         url = f"http://{address}/kv/import"
         response = self.post(url, msgspec.json.encode(request), timeout_s)
@@ -202,11 +203,11 @@
         address
             ``ip:port`` of the engine.
         model, version, digest
-            The piece, as the engine names it.
+            Identify the piece at the engine.
         store, block
-            Where it goes.
+            Address of the store, and name of the block there.
         timeout_s
-            Bound on the transfer.
+            Timeout of the export, in seconds.
         """
         fields = {
             "model": model,
--- a/src/briarseam/endpoints/engine_load.py
+++ b/src/briarseam/endpoints/engine_load.py
@@ -1,4 +1,4 @@
-"""The model engine's load report, seen by an agent."""
+"""Client of a model engine's load reports, for an agent."""
 
 from __future__ import annotations
 
@@ -17,22 +17,23 @@
 
 @dataclasses.dataclass(frozen=True)
 class LoadReport:
-    """What an engine says of itself, as of a while ago.
+    """Load of an engine at a time in the recent past.
 
     Attributes
     ----------
     time_ms
-        The engine's clock when this was true, in ms since the epoch.
+        When the engine measured its load, by its own clock, in ms since the
+        Unix epoch.
     boot_id
-        Differs after each start of the engine.
+        Identifies the engine's start.
     running, queued
-        Runs in a slot and waiting for one.
+        Number of runs in a slot and of those waiting for one.
     slots
-        Runs at a time.
+        Maximum number of concurrent runs.
     prefill_tokens_queued
-        Prompt tokens that are still to be computed.
+        Prompt tokens that are not yet computed.
     cached_tokens, cache_capacity_tokens
-        Fill and size of the prefix cache.
+        Used size and capacity of the prefix cache.
     """
 
     time_ms: float
@@ -46,7 +47,7 @@
 
 
 class LoadClient:
-    """Reads load reports; library retries off, the next poll is the retry."""
+    """Reads load reports, without retries: the next poll is the retry."""
 
     def __init__(self) -> None:
         self.pool = urllib3.PoolManager(maxsize=1, retries=False)
@@ -57,7 +58,7 @@
         Raises
         ------
         LoadUnavailableError
-            When it does not answer properly.
+            If it gives no valid answer.
         """
         return reading.read(
             self.pool,
--- a/src/briarseam/endpoints/engine_orders.py
+++ b/src/briarseam/endpoints/engine_orders.py
@@ -1,7 +1,6 @@
-"""The model engine, seen by an agent: its reported state, and orders.
+"""Client of a model engine for an agent: its state, and orders to it.
 
-One small adapter, so that another engine's protocol changes this module
-only.
+Only this adapter depends on the protocol of the engine's orders.
 """
 
 from __future__ import annotations
@@ -24,18 +23,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class ModelState:
-    """What an engine reports of one model.
+    """State of one model at an engine.
 
     Attributes
     ----------
     version
-        Weight version loaded; ``None`` for none.
+        Loaded weight version, if any.
     loading
-        Version being loaded; ``None`` for none.
+        Weight version that is being loaded, if any.
     progress
-        How far that load is, 0 to 1.
+        Progress of that load, 0 to 1.
     adapters
-        Adapters loaded.
+        Loaded adapters.
     """
 
     version: str | None = None
@@ -46,20 +45,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineState:
-    """What an engine reports of itself.
+    """State that an engine reports.
 
     Attributes
     ----------
     boot_id
-        Another one after each restart.
+        Identifies the engine's start.
     models
-        By name.
+        States of its models, by name.
     fence
-        Highest fencing number it has taken.
+        Highest fencing number of the orders that it accepted.
     fencing
-        Whether it refuses lower ones.
+        Whether it refuses orders with lower fencing numbers.
     role
-        Its present role.
+        Its current role.
     """
 
     boot_id: str
@@ -71,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """Serve this weight version of the model."""
+    """Order to load and serve a weight version of a model."""
 
     model: str
     version: str
@@ -80,7 +79,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LoadAdapter:
-    """Have this adapter besides the model's weights."""
+    """Order to load an adapter in addition to the model's weights."""
 
     model: str
     adapter: str
@@ -88,7 +87,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class TakeRole:
-    """Take this role."""
+    """Order to take a role."""
 
     role: str
 
@@ -98,28 +97,28 @@
 
 @dataclasses.dataclass(frozen=True)
 class Taken:
-    """The engine has taken the order."""
+    """The engine accepted the order."""
 
     loading: bool
 
 
 @dataclasses.dataclass(frozen=True)
 class Superseded:
-    """The engine has taken orders under a higher fencing number."""
+    """The engine accepted an order with a higher fencing number before."""
 
     fence: int
 
 
 @dataclasses.dataclass(frozen=True)
 class Refused:
-    """The engine has certainly not taken the order."""
+    """The engine did not accept the order."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True)
 class Lost:
-    """The order may have been taken, now or later."""
+    """The engine may have accepted the order, or may still do so."""
 
     detail: str
 
@@ -132,29 +131,29 @@
 
 
 class OrderClient:
-    """Reads engines' states and gives them orders.
+    """Reads engines' states and sends orders to them.
 
     Parameters
     ----------
     timeout_s
-        Bound on one call, in seconds.
+        Timeout of a call, in seconds.
     """
 
     def __init__(self, timeout_s: float = DEFAULT_TIMEOUT_S) -> None:
         self.timeout_s = timeout_s
-        # Library retries stay off: a repeated order may arrive after a
-        # newer one of the same holder.
+        # No retries by the library: a repeated order may arrive after a
+        # newer one of the same lease holder.
         self.pool = urllib3.PoolManager(
             num_pools=POOL_SIZE, maxsize=2, retries=False
         )
 
     def state(self, address: str) -> EngineState:
-        """Return what the engine reports of itself right now.
+        """Return the current state of an engine.
 
         Raises
         ------
         StateUnavailableError
-            When it does not answer properly in time.
+            If it gives no valid answer in time.
         """
         return reading.read(
             self.pool,
@@ -167,18 +166,18 @@
     def give(
         self, address: str, order: Order, order_id: str, fence: int
     ) -> Outcome:
-        """Give an engine one order; it is not repeated here.
+        """Send an order to an engine, without retries.
 
         Parameters
         ----------
         address
             ``ip:port`` of the engine.
         order
-            What should be so.
+            The order.
         order_id
-            Names the order in logs.
+            Identifies the order in logs.
         fence
-            Fencing number under which it is given.
+            Fencing number of the lease under which it is given.
         """
         body = {"order_id": order_id, "fence": fence, **order_fields(order)}
         try:
@@ -197,7 +196,7 @@
 
 
 def order_fields(order: Order) -> dict[str, typing.Any]:
-    """Return an order's fields as the protocol names them."""
+    """Return the fields of an order for the engine's protocol."""
     match order:
         case Load():
             kind = "load"
@@ -209,7 +208,7 @@
 
 
 def outcome_of(response: urllib3.BaseHTTPResponse) -> Outcome:
-    """Return what an engine's answer to an order says."""
+    """Return the outcome of an order from the engine's response."""
     if response.status in (HTTP_OK, HTTP_ACCEPTED):
         return Taken(loading=response.status == HTTP_ACCEPTED)
     detail = f"answered {response.status}"
--- a/src/briarseam/endpoints/engine_start.py
+++ b/src/briarseam/endpoints/engine_start.py
@@ -1,4 +1,4 @@
-"""Whether a model engine is still the start of it that was known."""
+"""Detection of a model engine's exit or restart."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 
 @dataclasses.dataclass(frozen=True)
 class Start:
-    """What an engine says of its start."""
+    """The field of an engine's state that identifies its start."""
 
     boot_id: str
 
 
 class ClosedError(Exception):
-    """The connection ended without an answer."""
+    """The engine closed the connection without an answer."""
 
 
 def has_died(address: str, boot_id: str) -> bool:
-    """Tell whether an engine's process is gone.
+    """Return whether an engine's process has exited.
 
-    Only what shows it counts: nobody listens, or another start answers.
-    A silent engine may be frozen or behind a cut link.  A process that
-    ends closes its connections before its listener, or after it, so one
-    that takes connections and ends them is asked again; one that does so
-    to the last is ending.
+    Only proof counts: the port refuses connections, or another start
+    answers.  A silent engine may be frozen or unreachable.  An exiting
+    process may close its connections before its listener, so a connection
+    closed without an answer is retried; if all tries end so, the process
+    counts as exited.
 
     Parameters
     ----------
     address
         ``ip:port`` of the engine.
     boot_id
-        The start that was known; empty when none was.
+        Identifies the known start; empty if none is known.
     """
     for _ in range(MAX_TRIES):
         try:
@@ -53,14 +53,14 @@
 
 
 def query_boot_id(address: str) -> str:
-    """Return the present start of an engine; empty when it is silent.
+    """Return the boot id of an engine; empty without a valid answer.
 
     Raises
     ------
     ConnectionRefusedError
-        When nobody listens.
+        If no process listens on the port.
     ClosedError
-        When it takes the connection and ends it.
+        If the engine closes the connection without an answer.
     """
     host, _, port = address.rpartition(":")
     pool = urllib3.HTTPConnectionPool(
--- a/src/briarseam/endpoints/reading.py
+++ b/src/briarseam/endpoints/reading.py
@@ -1,4 +1,4 @@
-"""Reading JSON from endpoints."""
+"""Reads of JSON documents from endpoints."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
     error_type: type[Exception],
     timeout: float | urllib3.Timeout,
 ) -> Body:
-    """Return the validated body of a GET.
+    """Return the decoded and validated body of a GET request.
 
     Parameters
     ----------
     pool
-        Connections, without the library's retries.
+        Connection pool without retries.
     url
-        What to read.
+        URL of the document.
     body_type
         Data class of the body.
-    unavailable
-        Raised when the endpoint does not answer properly.
+    error_type
+        Raised if the endpoint gives no valid answer.
     timeout
-        Bound on the call, in seconds.
+        Timeout of the call: seconds, or a timeout of the library.
     """
     try:
         response = pool.request("GET", url, timeout=timeout)
--- a/src/briarseam/endpoints/service.py
+++ b/src/briarseam/endpoints/service.py
@@ -1,4 +1,4 @@
-"""The plain service, seen by an entry: one call, its answer or its loss."""
+"""Client of plain services, for an entry."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class ServiceAnswer:
-    """What the service answered.
+    """Answer of a service to a call.
 
     Attributes
     ----------
     status
         HTTP status.
     body
-        Its bytes.
+        Body of the answer.
     content_type
-        Its media type.
+        Media type of the body.
     replayed
-        Whether it is the answer that the call's key was given before.
+        Whether it repeats an earlier answer to the same idempotency key.
     """
 
     status: int
@@ -36,7 +36,7 @@
 
 
 class ServiceClient:
-    """Calls plain services, each call over a connection of its own."""
+    """Calls plain services, with a new connection for each call."""
 
     def call(
         self,
@@ -55,23 +55,24 @@
         call
             Name of the call.
         run_id
-            Name of this run, for the service's own records.
+            Identifies the run in the service's own records.
         body
-            JSON bytes.
+            JSON body.
         timeout_s
-            Longest wait for the answer.
+            Timeout of the answer, in seconds.
 
         Raises
         ------
-        endpoints.engine.NotSentError, endpoints.engine.LostError
-            As for engines.
+        endpoints.engine.NotSentError
+            If the service has not received the call.
+        endpoints.engine.LostError
+            If the call may have been executed.
         """
         host, _, port = address.rpartition(":")
         timeout = urllib3.Timeout(connect=CONNECT_TIMEOUT_S, read=timeout_s)
-        # A fresh connection for each call, no retries and no redirects: a
-        # reused connection that the service closes while the request is
-        # written, or a redirect followed by the library, could send one
-        # booking twice.
+        # No reused connections, retries or redirects: if the service closes
+        # a reused connection while the request is being written, or the
+        # library follows a redirect, one booking could be made twice.
         pool = urllib3.HTTPConnectionPool(
             host, int(port), maxsize=1, retries=False, timeout=timeout
         )
--- a/src/briarseam/endpoints/sse.py
+++ b/src/briarseam/endpoints/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events read from and written to byte streams."""
+"""Parser and serializer of server-sent events."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     Attributes
     ----------
     kind
-        The ``event`` field, ``"message"`` when absent.
+        The ``event`` field, ``"message"`` if absent.
     data
         The ``data`` field.
     id
-        The ``id`` field, empty when absent.
+        The ``id`` field, empty if absent.
     """
 
     kind: str
@@ -32,13 +32,13 @@
 
 
 def render(event: Event) -> bytes:
-    """Return the bytes of an event whose data is one line."""
+    """Serialize an event; its data must be a single line."""
     head = f"id: {event.id}\n" if event.id else ""
     return f"{head}event: {event.kind}\ndata: {event.data}\n\n".encode()
 
 
 def parse(block: bytes) -> Event:
-    """Return the event of one block of lines."""
+    """Parse the lines of one event."""
     fields = {"event": "message", "data": "", "id": ""}
     for line in block.decode().split("\n"):
         name, _, value = line.partition(":")
@@ -53,7 +53,7 @@
     Raises
     ------
     TruncatedError
-        When the stream ends within an event.
+        If the stream ends within an event.
     """
     buffer = b""
     for chunk in chunks:
--- a/src/briarseam/endpoints/store.py
+++ b/src/briarseam/endpoints/store.py
@@ -1,6 +1,6 @@
-"""The store instance, seen by an agent: list, look at and delete blocks.
+"""Client of a store, for an agent: list and delete blocks, read its state.
 
-The bytes of blocks never come here; engines read and write them.
+Engines read and write the bytes of blocks; the agent does not handle them.
 """
 
 from __future__ import annotations
@@ -21,18 +21,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class StoredBlock:
-    """One block as the store holds it.
+    """A block at a store.
 
     Attributes
     ----------
     name
-        Its name.
+        Name of the block.
     bytes
-        Bytes that are there.
+        Number of stored bytes.
     checksum
-        blake2b-16 in hex of the bytes that are there.
+        blake2b-16 of the stored bytes, in hex.
     time_ms
-        When it was written, by the store's clock, ms since the epoch.
+        When it was written, by the store's clock, in ms since the Unix
+        epoch.
     """
 
     name: str
@@ -43,16 +44,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Page:
-    """Part of a listing, in order of name.
+    """Part of a listing, ordered by name.
 
     Attributes
     ----------
     boot_id
-        The store's boot.
+        Identifies the store's start.
     blocks
         The blocks.
     more
-        Whether others follow.
+        Whether more blocks follow.
     """
 
     boot_id: str
@@ -62,14 +63,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class StoreState:
-    """How full a store is.
+    """Fill level of a store.
 
     Attributes
     ----------
     boot_id
-        The store's boot.
+        Identifies the store's start.
     used, capacity
-        Bytes.
+        Used and total space, in bytes.
     """
 
     boot_id: str
@@ -87,25 +88,25 @@
 
 
 class StoreUnavailableError(Exception):
-    """The store did not answer, or not as its protocol says."""
+    """The store gave no answer, or an invalid one."""
 
 
 Body = typing.TypeVar("Body")
 
 
 class StoreClient:
-    """Calls to store instances.
+    """Client of stores.
 
     Parameters
     ----------
     timeout_s
-        Bound on one call.
+        Timeout of a call, in seconds.
     """
 
     def __init__(self, timeout_s: float = CALL_TIMEOUT_S) -> None:
         self.timeout_s = timeout_s
-        # Library retries stay off: the caller decides what a lost answer
-        # means, and a store that is away must be noticed at once.
+        # No retries by the library: the caller decides what a lost answer
+        # means, and an unavailable store must be detected at once.
         self.pool = urllib3.PoolManager(
             maxsize=POOL_SIZE, num_pools=64, retries=False
         )
@@ -128,7 +129,7 @@
     def get(
         self, url: str, body_type: type[Body], timeout_s: float | None = None
     ) -> Body:
-        """Return the validated body of a GET."""
+        """Return the decoded and validated body of a GET request."""
         call_timeout_s = self.timeout_s if timeout_s is None else timeout_s
         response = self.request("GET", url, call_timeout_s)
         try:
@@ -137,12 +138,12 @@
             raise StoreUnavailableError(str(error)) from error
 
     def state(self, address: str) -> StoreState:
-        """Return how full the store is.
+        """Return the fill level of a store.
 
         Raises
         ------
         StoreUnavailableError
-            When it does not answer properly.
+            If it gives no valid answer.
         """
         return self.get(f"http://{address}/state", StoreState)
 
@@ -153,12 +154,12 @@
         limit: int = MAX_LISTED,
         timeout_s: float | None = None,
     ) -> Page:
-        """Return blocks whose names follow on ``after``.
+        """Return the blocks whose names sort after ``after``.
 
         Raises
         ------
         StoreUnavailableError
-            When the store does not answer properly.
+            If the store gives no valid answer.
         """
         url = f"http://{address}/blocks?after={after}&max={limit}"
         raw = self.get(url, RawPage, timeout_s)
@@ -166,12 +167,12 @@
         return Page(raw.boot_id, blocks, raw.more)
 
     def delete(self, address: str, block: str) -> None:
-        """Delete a block; it is gone afterwards, also if it was before.
+        """Delete a block; succeeds if it does not exist.
 
         Raises
         ------
         StoreUnavailableError
-            When the store did not confirm it.
+            If the store did not confirm the deletion.
         """
         url = f"http://{address}/blocks/{block}"
         self.request("DELETE", url, self.timeout_s)
