--- a/tests/endpoints/test_reading.py
+++ b/tests/endpoints/test_reading.py
@@ -40,13 +40,13 @@
     [
         pytest.param({"status": 503}, id="refused"),
         pytest.param({"data": b'{"count": "many"}'}, id="another type"),
-        pytest.param({"data": b'{"count": 3'}, id="cut short"),
-        pytest.param({"data": b"\xff\xfe"}, id="no text"),
+        pytest.param({"data": b'{"count": 3'}, id="truncated"),
+        pytest.param({"data": b"\xff\xfe"}, id="not UTF-8"),
         pytest.param(
             {"error": urllib3.exceptions.HTTPError("cut")}, id="no answer"
         ),
     ],
 )
-def test_whatever_is_no_proper_answer_counts_as_unavailable(answer):
+def test_invalid_answer_raises_the_given_error(answer):
     with pytest.raises(UnavailableError):
         read(**answer)
--- a/tests/endpoints/test_sent_once.py
+++ b/tests/endpoints/test_sent_once.py
@@ -1,4 +1,4 @@
-"""No library sends a request twice: retries, reused connections, redirects."""
+"""No request is sent twice, by a retry, a reused connection or a redirect."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 )
 
 
-class Peer:
+class FakeEndpoint:
     """An endpoint that counts the requests it reads.
 
     Parameters
     ----------
     answer
-        Sent for each request; nothing closes the connection instead.
+        Sent for each request; if empty, the connection is closed instead.
     """
 
     def __init__(self, answer: bytes) -> None:
@@ -45,7 +45,7 @@
                 self.serve(sock)
 
     def serve(self, sock: socket.socket) -> None:
-        """Answer one request, then close though it was kept alive."""
+        """Answer one request, then close the kept-alive connection."""
         data = b""
         while b"\r\n\r\n" not in data:
             data += sock.recv(65536)
@@ -63,41 +63,40 @@
     return engine.EngineClient(5.0).start(address, run)
 
 
-MAKE = pytest.mark.parametrize(
-    "make", [make_call, make_run], ids=["service", "engine"]
+EACH_CLIENT = pytest.mark.parametrize(
+    "send", [make_call, make_run], ids=["service", "engine"]
 )
 
 
-@MAKE
-def test_connection_closed_without_answer_is_lost_not_sent_again(make):
-    """A booking is made twice by a library's own retry."""
-    peer = Peer(b"")
+@EACH_CLIENT
+def test_request_without_answer_is_lost_and_not_sent_again(send):
+    """Guard against a booking made twice by a retry of the library."""
+    endpoint = FakeEndpoint(b"")
     with pytest.raises(engine.LostError):
-        make(peer.address)
-    assert peer.requests == 1
+        send(endpoint.address)
+    assert endpoint.requests == 1
 
 
-@MAKE
-def test_redirect_is_not_followed(make):
-    """A booking is made twice: by its service and where that points to."""
-    peer = Peer(MOVED)
+@EACH_CLIENT
+def test_redirect_is_not_followed(send):
+    """Guard against a booking made twice, by a service and its redirect."""
+    endpoint = FakeEndpoint(MOVED)
     try:
-        answer = make(peer.address)
+        answer = send(endpoint.address)
     except engine.RefusedError as error:
         assert error.status == 307
     else:
         assert answer.status == 307
-    assert peer.requests == 1
+    assert endpoint.requests == 1
 
 
-def test_closed_kept_alive_connection_is_not_used_again():
-    """A booking's outcome is unknown for no reason.
+def test_kept_alive_connection_is_not_reused():
+    """Guard against a booking whose outcome is unknown without need.
 
-    The service closes a kept-alive connection just as the next request is
-    written to it; nobody can tell whether it was read.  Each call has a
-    connection of its own.
+    The service may close a kept-alive connection while the next request is
+    being written, and whether it read the request would be unknown.
     """
-    peer = Peer(ANSWER)
+    endpoint = FakeEndpoint(ANSWER)
     for number in range(20):
-        assert make_call(peer.address).status == 200
-        assert peer.requests == number + 1
+        assert make_call(endpoint.address).status == 200
+        assert endpoint.requests == number + 1
