--- a/src/briarseam/feeds/packing.py
+++ b/src/briarseam/feeds/packing.py
@@ -64,14 +64,14 @@
         If a value can't be decompressed.
     """
     packed = frozenset(message.packed)
-    found = tuple(
+    unpacked = tuple(
         records.KeyedRecord(
             key,
             decompress(value) if value and number in packed else value,
         )
         for number, (key, value) in enumerate(message.records)
     )
-    return records.KeyedBatch(found, message.next)
+    return records.KeyedBatch(unpacked, message.next)
 
 
 @functools.lru_cache(maxsize=COMPRESSED_CACHE_SIZE)
@@ -90,9 +90,9 @@
     """
     unpacker = zlib.decompressobj()
     try:
-        found = unpacker.decompress(value, MAX_UNPACKED_BYTES)
+        result = unpacker.decompress(value, MAX_UNPACKED_BYTES)
     except zlib.error as error:
         raise UnpackError(str(error)) from error
     if not unpacker.eof:
         raise UnpackError("the value is truncated or too large")
-    return found
+    return result
--- a/src/briarseam/feeds/record_cache.py
+++ b/src/briarseam/feeds/record_cache.py
@@ -168,5 +168,5 @@
             first = self.next - len(self.records)
             if not first <= start <= self.next:
                 return MissReason.UNKNOWN
-            found = tuple(itertools.islice(self.records, start - first, None))
-            return records.KeyedBatch(found, self.next)
+            newer = tuple(itertools.islice(self.records, start - first, None))
+            return records.KeyedBatch(newer, self.next)
--- a/tests/feeds/fakes.py
+++ b/tests/feeds/fakes.py
@@ -36,7 +36,7 @@
     def check(self):
         self.calls += 1
         if self.refusing:
-            raise records.StoreUnavailableError("away")
+            raise records.StoreUnavailableError("refused")
 
 
 class FakeReaders:
--- a/tests/feeds/test_following.py
+++ b/tests/feeds/test_following.py
@@ -71,12 +71,12 @@
     A full long poll may still hang when the partition ends.  Changes then
     took effect six seconds later, and callers got 404 for new routes.
     """
-    asked = []
+    waits = []
 
     class HangingStore(stores.StoreClient):
         def read_keyed(self, topic, start, wait_s):
-            asked.append(wait_s)
-            if len(asked) == 1:
+            waits.append(wait_s)
+            if len(waits) == 1:
                 raise records.StoreUnavailableError("timed out")
             return super().read_keyed(topic, start, wait_s)
 
@@ -85,11 +85,11 @@
         HangingStore(store.address), TOPIC, listening, wait_s=0.3
     )
     follower.start()
-    waiting.until(lambda: len(asked) > 3)
+    waiting.until(lambda: len(waits) > 3)
     follower.stop()
-    assert asked[0] == 0.3
-    assert asked[1] == 0.0
-    assert asked[2] == 0.3
+    assert waits[0] == 0.3
+    assert waits[1] == 0.0
+    assert waits[2] == 0.3
 
 
 def test_store_client_distinguishes_refusals_from_unknown_outcomes(store):
--- a/tests/feeds/test_outages.py
+++ b/tests/feeds/test_outages.py
@@ -136,8 +136,8 @@
     cell.write(3)
     cell.pass_time(3.0)
     assert set(cell.nexts.values()) == {4}
-    asked = {name for name, store in cell.stores.items() if store.calls}
-    assert asked == {"first", "second"}
+    called = {name for name, store in cell.stores.items() if store.calls}
+    assert called == {"first", "second"}
 
 
 def test_first_reader_reads_alone_once_the_store_answers_it_again(cell):
@@ -194,11 +194,11 @@
     others = cell.stores.keys() - {"follower-7"}
     cell.refuse(*others)
     cell.pass_time(sharing.PROBE_S * 2)
-    served = cell.stores["follower-7"]
-    served.waits.clear()
+    store = cell.stores["follower-7"]
+    store.waits.clear()
     cell.pass_time(sharing.DIRECT_READ_S * 3)
-    assert served.waits
-    assert set(served.waits) == {WAIT_S}
+    assert store.waits
+    assert set(store.waits) == {WAIT_S}
 
 
 def test_new_reader_answers_an_instance_that_is_behind(cell):
