--- a/src/briarseam/compose/agent.py
+++ b/src/briarseam/compose/agent.py
@@ -17,8 +17,8 @@
 from briarseam.compose import crashes
 from briarseam.compose import kept as compose_kept
 from briarseam.compose import membership as compose_membership
-from briarseam.compose import noting
 from briarseam.compose import orders as compose_orders
+from briarseam.compose import recording
 from briarseam.compose import serving
 from briarseam.compose import timeline as compose_timeline
 from briarseam.configuration import reader as configuration
@@ -54,8 +54,8 @@
     admission: admission.Admission
     claims: claims_module.Claims
     idempotency: idempotency.Idempotency
-    crashes: crashes.Crashes
-    serving: serving.Serving
+    crashes: crashes.CrashGuardParts
+    serving: serving.ServingParts
     registry: metrics.Registry
     ring: rings.Ring
     timeline: timelines.Timeline
@@ -137,7 +137,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class CurrencyGate:
+class StalenessGate:
     """Refuses new work while this agent cannot show it is current.
 
     An agent that was cut off or frozen would go on under settings that
@@ -172,14 +172,14 @@
 def build_agent(settings: settings_module.Settings) -> AgentDaemon:
     """Return an agent, its socket bound and nothing started."""
     key = shared_key(settings)
-    me = connection.Identity("agent", settings.instance.name)
+    identity = connection.Identity("agent", settings.instance.name)
     registry = metrics.Registry(settings.limits.max_metric_label_values)
-    ring = compose_timeline.build_ring(settings, me)
+    ring = compose_timeline.build_ring(settings, identity)
     log = platform_log.LogClient(
         str(settings.platform.log), settings.platform.log_timeout_ms / MS
     )
     router = wire.Router()
-    compose_timeline.watch_agent(router, ring, registry)
+    compose_timeline.observe_requests(router, ring, registry)
     reader: configuration.ConfigurationReader
     server: wire.Server
 
@@ -188,13 +188,13 @@
         return cell.parts if cell else 1
 
     reader = compose_configuration.build_reader(
-        settings, log, me, key, lambda: member_service
+        settings, log, identity, key, lambda: member_service
     )
     member_service = compose_membership.build_membership(
         settings, shared_key(settings), parts_of, ring.clock
     )
-    compose_configuration.connect(reader, member_service, registry, ring)
-    clients = compose_claims.PeerClients(me, key, ring.clock)
+    compose_configuration.attach(reader, member_service, registry, ring)
+    clients = compose_claims.PeerClients(identity, key, ring.clock)
     claim_service = compose_claims.build_claims(
         settings,
         log,
@@ -202,8 +202,9 @@
         clients,
         registry,
     )
-    once = idempotency.Idempotency(
-        noting.NotedClaims(claim_service, ring), lambda: server.connected()
+    idempotency_service = idempotency.Idempotency(
+        recording.RecordingClaims(claim_service, ring),
+        lambda: server.connected(),
     )
     lookups = lookup.Lookup(
         member_service.all_members,
@@ -224,15 +225,15 @@
         settings, reader, member_service, lease_service, registry, ring
     )
     leaving = endpoints.LeavingEndpoints(member_service, reader.view)
-    compose_membership.connect(registry, member_service, leaving)
+    compose_membership.register_metrics(registry, member_service, leaving)
     serving_parts = serving.build_serving(
         settings,
         serving.ServingDependencies(
             view=reader.view,
             members=member_service,
             kept=kept,
-            imports=noting.NotedKept(
-                kept, ring, compose_timeline.names(reader)
+            imports=recording.RecordingKeptCache(
+                kept, ring, compose_timeline.endpoint_names(reader)
             ),
             leaving=leaving.leaving_endpoints,
             offers=compose_orders.EngineOffers(order_service),
@@ -247,14 +248,14 @@
         clients,
         crashes.Engines(reader.view, serving_parts),
     )
-    gate = CurrencyGate(reader, settings.agent.stale_after_ms / MS)
+    gate = StalenessGate(reader, settings.agent.stale_after_ms / MS)
     admission_service = admission.Admission(
         admission.AdmissionParts(
             view=reader.view,
             gate=gate,
             placer=serving_parts.placer,
             key=key,
-            idempotency=once,
+            idempotency=idempotency_service,
             homes=locating.Homes(
                 str(settings.instance.agent_address), clients
             ),
@@ -280,7 +281,9 @@
             region=settings.instance.region,
         ),
     )
-    events = compose_timeline.build_agent_part(me, key, ring, member_service)
+    events = compose_timeline.build_timeline(
+        identity, key, ring, member_service
+    )
     for part in (
         reader,
         member_service,
@@ -297,7 +300,7 @@
     ):
         part.register(router)
     server = wire.Server(
-        str(settings.agent.listen), me, key, router, ring.clock
+        str(settings.agent.listen), identity, key, router, ring.clock
     )
     return AgentDaemon(
         server=server,
@@ -305,7 +308,7 @@
         configuration=reader,
         admission=admission_service,
         claims=claim_service,
-        idempotency=once,
+        idempotency=idempotency_service,
         crashes=crash_parts,
         serving=serving_parts,
         registry=registry,
--- a/src/briarseam/compose/claims.py
+++ b/src/briarseam/compose/claims.py
@@ -36,11 +36,11 @@
 
     def __init__(
         self,
-        me: connection.Identity,
+        identity: connection.Identity,
         key: bytes,
         clock: connection.Clock | None = None,
     ) -> None:
-        self.me = me
+        self.identity = identity
         self.key = key
         self.clock = clock
         self.lock = threading.Lock()
@@ -52,7 +52,7 @@
             client = self.clients.get(address)
             if client is None:
                 client = wire.Client(
-                    address, self.me, self.key, clock=self.clock
+                    address, self.identity, self.key, clock=self.clock
                 )
                 self.clients[address] = client
             return client
@@ -67,9 +67,9 @@
 ) -> claims.Claims:
     """Return the claims part of an agent."""
 
-    def owner_of(number: int) -> str | None:
+    def owner_of(shard: int) -> str | None:
         ranked = rank.ranked(
-            RANK_KEY.format(number),
+            RANK_KEY.format(shard),
             member_service.live(),
             lambda member: member.name,
         )
--- a/src/briarseam/compose/configuration.py
+++ b/src/briarseam/compose/configuration.py
@@ -25,7 +25,7 @@
 OFFSET = struct.Struct("!Q")
 AGENT_ROLE = "agent"
 # A first apply sets hundreds of paths; the ring is for more than that.
-PATHS_NOTED = 16
+MAX_PATHS_RECORDED = 16
 
 MembershipOf = typing.Callable[[], "membership.Membership"]
 
@@ -33,7 +33,7 @@
 def build_reader(
     settings: settings_module.Settings,
     log: platform_log.LogClient,
-    me: connection.Identity,
+    identity: connection.Identity,
     key: bytes,
     membership_of: MembershipOf,
 ) -> readers.ConfigurationReader:
@@ -63,7 +63,7 @@
     return readers.ConfigurationReader(
         log,
         teams.from_settings(settings.teams),
-        me,
+        identity,
         key,
         members,
         other_cell_members,
@@ -73,7 +73,7 @@
     )
 
 
-def connect(
+def attach(
     reader: readers.ConfigurationReader,
     member_service: membership.Membership,
     registry: metrics.Registry,
@@ -103,10 +103,14 @@
         "Age of the last proof that this is the log's end",
         reader.log_age_s,
     )
-    reader.tree.on_verdict = lambda verdict, data: note(ring, verdict, data)
+    reader.tree.on_verdict = lambda verdict, data: record_verdict(
+        ring, verdict, data
+    )
 
 
-def note(ring: timeline.Ring, verdict: folds.FoldVerdict, data: bytes) -> None:
+def record_verdict(
+    ring: timeline.Ring, verdict: folds.FoldVerdict, data: bytes
+) -> None:
     """Note a record's verdict on the time line."""
     kind = f"configuration-{type(verdict).__name__.lower()}"
     change = records.decode_unverified(data)
@@ -116,7 +120,7 @@
         case folds.Rejected(offset, reason, path):
             ring.note(kind, path=path, offset=offset, reason=reason.value)
         case folds.Accepted(offset) if change is not None:
-            for path in list(change.sets)[:PATHS_NOTED]:
+            for path in list(change.sets)[:MAX_PATHS_RECORDED]:
                 ring.note(
                     kind, path=path, offset=offset, paths=len(change.sets)
                 )
--- a/src/briarseam/compose/crashes.py
+++ b/src/briarseam/compose/crashes.py
@@ -43,7 +43,7 @@
     """
 
     view: typing.Callable[[], schema.View]
-    parts: serving.Serving
+    parts: serving.ServingParts
 
     def boot_id(self, endpoint: str) -> str:
         """Return the start that an endpoint last told; empty if none."""
@@ -52,10 +52,10 @@
 
     def has_died(self, endpoint: str, boot_id: str) -> bool:
         """Ask an endpoint whether it is still the same start."""
-        found = self.view().endpoints.get(endpoint)
-        if found is None:
+        engine = self.view().endpoints.get(endpoint)
+        if engine is None:
             return False
-        return engine_start.has_died(found.address, boot_id)
+        return engine_start.has_died(engine.address, boot_id)
 
     def least_loaded(
         self, request: admission.Admit, version: str
@@ -75,7 +75,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Crashes:
+class CrashGuardParts:
     """The crash guard and its parts with threads."""
 
     guard: crash_guard.CrashGuard
@@ -104,26 +104,32 @@
     members: membership.Membership,
     clients: compose_claims.PeerClients,
     engines: Engines,
-) -> Crashes:
+) -> CrashGuardParts:
     """Return the crash guard, wired to log and heartbeats."""
     clock = condemnation_log.LogClock()
     evidence_set = condemnation.EvidenceSet(clock.now_ms)
-    noted = condemnation_log.CondemnationLog(
+    evidence_log = condemnation_log.CondemnationLog(
         log, key, teams.from_settings(settings.teams), evidence_set, clock
     )
-    members.add_section(SECTION, noted.provide, noted.consume)
-    me = owners.Agent(
+    members.add_section(SECTION, evidence_log.provide, evidence_log.consume)
+    local_agent = owners.Agent(
         settings.instance.name, str(settings.instance.agent_address)
     )
     calls = crash_calls.CrashCalls(
-        agents.Agents(me, members),
+        agents.Agents(local_agent, members),
         clients,
         prompt_holds.PromptHolds(),
-        trial_coordinator.TrialCoordinator(evidence_set, noted, engines),
+        trial_coordinator.TrialCoordinator(
+            evidence_set, evidence_log, engines
+        ),
     )
     guard = crash_guard.CrashGuard(
         crash_guard.GuardParts(
-            evidence_set, noted.record, noted.wait_ready, calls, engines
+            evidence_set,
+            evidence_log.record,
+            evidence_log.wait_ready,
+            calls,
+            engines,
         )
     )
-    return Crashes(guard, noted, calls)
+    return CrashGuardParts(guard, evidence_log, calls)
--- a/src/briarseam/compose/entry.py
+++ b/src/briarseam/compose/entry.py
@@ -32,10 +32,10 @@
     from briarseam.timeline import feed
     from briarseam.timeline import ring as rings
 
-AGENT_CONNECTIONS = 64
+MAX_AGENT_CONNECTIONS = 64
 MS = 1000.0
-REPORTS_FLUSH_S = 2.0
-START_BYTES = 4
+REPORTS_FLUSH_TIMEOUT_S = 2.0
+START_ID_BYTES = 4
 
 
 @dataclasses.dataclass(frozen=True)
@@ -86,7 +86,7 @@
     def stop(self) -> None:
         """Stop serving; tell the agent once its reports are all given."""
         self.server.stop()
-        self.reports.stop(REPORTS_FLUSH_S)
+        self.reports.stop(REPORTS_FLUSH_TIMEOUT_S)
         self.presence.close()
         self.events.stop()
         self.agent_client.close()
@@ -109,20 +109,22 @@
     """Return an entry, nothing bound or started."""
     # The agent tells its entry processes apart, and each start of one: what
     # an entry holds is lost when all connections under its name have ended.
-    start = secrets.token_hex(START_BYTES)
-    me = connection.Identity("entry", f"{settings.instance.name}/{start}")
+    start_id = secrets.token_hex(START_ID_BYTES)
+    identity = connection.Identity(
+        "entry", f"{settings.instance.name}/{start_id}"
+    )
     key = compose_agent.shared_key(settings)
-    ring = compose_timeline.build_ring(settings, me)
+    ring = compose_timeline.build_ring(settings, identity)
     client = wire.Client(
         str(settings.entry.agent),
-        me,
+        identity,
         key,
-        AGENT_CONNECTIONS,
+        MAX_AGENT_CONNECTIONS,
         ring.clock,
         requests.EntryObserver(ring),
     )
     registry = metrics.Registry(settings.limits.max_metric_label_values)
-    compose_timeline.count_events(ring, registry)
+    compose_timeline.register_metrics(ring, registry)
     teams = {team.name: team.key.value for team in settings.teams}
     reports = report_queue.Reports(client, settings.claims.max_response_bytes)
     link = agent_link.AgentLink(client, reports)
@@ -144,8 +146,8 @@
         app.build_application(parts),
         settings.entry.threads,
     )
-    events = compose_timeline.build_entry_part(
-        str(settings.entry.agent), me, key, ring
+    events = compose_timeline.build_ring_feed(
+        str(settings.entry.agent), identity, key, ring
     )
     return EntryDaemon(
         server=server,
--- a/src/briarseam/compose/membership.py
+++ b/src/briarseam/compose/membership.py
@@ -22,7 +22,7 @@
     settings: settings_module.Settings,
     key: bytes,
     parts_of: typing.Callable[[str], int],
-    stamps: connection.Clock,
+    clock: connection.Clock,
 ) -> membership.Membership:
     """Return the membership part of an agent.
 
@@ -44,11 +44,11 @@
         heartbeat_interval_s=settings.agent.heartbeat_interval_ms / MS,
         suspect_after_s=settings.agent.suspect_after_ms / MS,
         list_interval_s=settings.platform.instances_poll_ms / MS,
-        stamps=stamps,
+        stamps=clock,
     )
 
 
-def connect(
+def register_metrics(
     registry: metrics.Registry,
     service: membership.Membership,
     leaving: endpoints.LeavingEndpoints,
--- a/src/briarseam/compose/orders.py
+++ b/src/briarseam/compose/orders.py
@@ -45,27 +45,27 @@
     ring: rings.Ring,
 ) -> orders.Orders:
     """Return the orders part of an agent, wired to the heartbeats."""
-    me = settings.instance.name
+    own_name = settings.instance.name
 
-    def cell() -> set[str]:
-        return {member.name for member in member_service.live()} | {me}
+    def cell_names() -> set[str]:
+        return {member.name for member in member_service.live()} | {own_name}
 
-    def reporting() -> set[str]:
+    def reporting_names() -> set[str]:
         staying = member_service.live(include_leaving=True)
         return {member.name for member in staying}
 
-    def everyone() -> set[str]:
+    def all_names() -> set[str]:
         return {
             member.name
             for member in member_service.all_members()
             if member.state is members.MemberState.ALIVE
-        } | {me}
+        } | {own_name}
 
-    def place(key: str, names: set[str]) -> int:
-        return rank.ranked(key, names, str).index(me)
+    def own_rank(key: str, names: set[str]) -> int:
+        return rank.ranked(key, names, str).index(own_name)
 
-    found = orders.Orders(
-        me,
+    order_service = orders.Orders(
+        own_name,
         reader.view,
         lease_service,
         # An order must not outlive the lease under which it is given.
@@ -75,17 +75,17 @@
         registry,
         ring.note,
         peers.Peers(
-            precedence=lambda lease: place(lease, everyone()),
-            owns=lambda engine: place(engine, cell()) == 0,
-            live=cell,
-            reporting=reporting,
-            known=everyone,
+            precedence=lambda lease: own_rank(lease, all_names()),
+            owns=lambda engine: own_rank(engine, cell_names()) == 0,
+            live=cell_names,
+            reporting=reporting_names,
+            known=all_names,
         ),
     )
     member_service.add_section(
-        SECTION, found.sharing.provide, found.sharing.consume
+        SECTION, order_service.sharing.provide, order_service.sharing.consume
     )
-    return found
+    return order_service
 
 
 @dataclasses.dataclass(frozen=True)
@@ -107,14 +107,16 @@
         proportion to the engines that have it, and stay there.
         """
         counts = self.orders.offer_counts(model)
-        return rank.ranked(session, counts, named, lambda one: counts[one])
+        return rank.ranked(
+            session, counts, ranking_name, lambda offer: counts[offer]
+        )
 
     def serves(self, endpoint: str, model: str, offer: state.Offer) -> bool:
         """Tell whether an engine reports what a request has to name."""
         return self.orders.serves(endpoint, model, offer)
 
 
-def named(offer: state.Offer) -> str:
+def ranking_name(offer: state.Offer) -> str:
     """Return the name by which an offer is ranked."""
     return f"{offer.version}\0{offer.adapter}"
 
@@ -128,13 +130,13 @@
             serving=len(model.serving),
             wanted=model.endpoints,
             loading=len(model.loading),
-            detail=detail_of(model),
+            detail=rollout_detail(model),
         )
         for model in order_service.reporting.led_rollouts()
     )
 
 
-def detail_of(model: messages.ModelRollout) -> str:
+def rollout_detail(model: messages.ModelRollout) -> str:
     """Return what a rollout waits for and since when."""
     if not model.stuck:
         return str(model.why)
--- a/src/briarseam/compose/noting.py
+++ b/src/briarseam/compose/recording.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class NotedClaims:
+class RecordingClaims:
     """Claims that note each key asked for and each end recorded.
 
     Attributes
@@ -45,7 +45,7 @@
             organisation=organisation,
             key=key,
             attempt=attempt,
-            result=word_of(result),
+            result=outcome_name(result),
         )
         return result
 
@@ -63,13 +63,13 @@
             organisation=organisation,
             key=key,
             attempt=attempt,
-            end=word_of(end),
+            end=outcome_name(end),
         )
         self.inner.settle(organisation, key, attempt, end, answer_id)
 
 
 @dataclasses.dataclass(frozen=True)
-class NotedKept:
+class RecordingKeptCache:
     """The kept cache as routing uses it; notes each import.
 
     Attributes
@@ -128,6 +128,6 @@
         return imported
 
 
-def word_of(value: object) -> str:
+def outcome_name(value: object) -> str:
     """Return the name of a tagged outcome as a word."""
     return type(value).__name__.lower()
--- a/src/briarseam/compose/reloading.py
+++ b/src/briarseam/compose/reloading.py
@@ -16,7 +16,7 @@
 
 # The file may change without a signal; looking at it this often costs
 # nothing that shows.
-REVIEW_S = 2.0
+POLL_INTERVAL_S = 2.0
 log = structlog.get_logger("briarseam.node")
 
 
@@ -43,8 +43,8 @@
         self.apply = apply
         # Read at the first review, whatever it says: it may have changed
         # since the settings were read.
-        self.text = ""
-        self.asked = threading.Event()
+        self.last_text = ""
+        self.requested = threading.Event()
         self.stopping = threading.Event()
         self.thread = threading.Thread(
             target=self.run, name="reloading", daemon=True
@@ -57,33 +57,33 @@
     def stop(self) -> None:
         """Stop watching."""
         self.stopping.set()
-        self.asked.set()
+        self.requested.set()
 
     def request(self) -> None:
         """Let the file be read now."""
-        self.asked.set()
+        self.requested.set()
 
     def run(self) -> None:
         """Watch until stopped."""
         while not self.stopping.is_set():
-            asked = self.asked.wait(REVIEW_S)
-            self.asked.clear()
+            requested = self.requested.wait(POLL_INTERVAL_S)
+            self.requested.clear()
             text = read_text(self.settings.path)
-            if asked or text != self.text:
-                self.text = text
-                self.reload(asked)
+            if requested or text != self.last_text:
+                self.last_text = text
+                self.reload(requested)
 
-    def reload(self, asked: bool) -> None:
+    def reload(self, requested: bool) -> None:
         """Read the file; put it in force if it is good and asked or new."""
         try:
-            found = serving.load(self.settings.path)
+            loaded = serving.load(self.settings.path)
         except errors.SettingsError as error:
             log.error("settings_not_reloaded", detail=str(error))
             return
-        changed = changed_keys(self.settings, found)
-        if asked or found != self.settings:
-            self.settings = found
-            self.apply(found)
+        changed = changed_keys(self.settings, loaded)
+        if requested or loaded != self.settings:
+            self.settings = loaded
+            self.apply(loaded)
         log.info("settings_reloaded", changed=changed)
 
 
@@ -103,7 +103,7 @@
     before = {(row.section, row.key): row.value for row in old.explain()}
     after = {(row.section, row.key): row.value for row in new.explain()}
     return sorted(
-        ".".join(place)
-        for place in before.keys() | after.keys()
-        if before.get(place) != after.get(place)
+        ".".join(names)
+        for names in before.keys() | after.keys()
+        if before.get(names) != after.get(names)
     )
--- a/src/briarseam/compose/serving.py
+++ b/src/briarseam/compose/serving.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Serving:
+class ServingParts:
     """What decides about requests, without claims.
 
     Attributes
@@ -96,7 +96,7 @@
 
 def build_serving(
     settings: settings_module.Settings, sources: ServingDependencies
-) -> Serving:
+) -> ServingParts:
     """Return routing and admission, wired to membership's heartbeats."""
     members = sources.members
     view = sources.view
@@ -158,6 +158,6 @@
             home=str(settings.instance.agent_address),
         )
     )
-    return Serving(
+    return ServingParts(
         placer, chooser, dispatcher, engine_loads, sources.kept, cache_events
     )
--- a/src/briarseam/compose/timeline.py
+++ b/src/briarseam/compose/timeline.py
@@ -23,23 +23,23 @@
 
 AGENT = "agent"
 FEED_SUFFIX = "/timeline"
-MAX_BYTES_PER_EVENT = 512
+MAX_MEAN_EVENT_BYTES = 512
 
 
 def build_ring(
-    settings: settings_module.Settings, me: connection.Identity
+    settings: settings_module.Settings, identity: connection.Identity
 ) -> rings.Ring:
     """Return a process's ring."""
     capacity = settings.agent.max_timeline_events
     return rings.Ring(
-        f"{me.role}/{me.name}",
+        f"{identity.role}/{identity.name}",
         capacity,
-        max_bytes=capacity * MAX_BYTES_PER_EVENT,
+        max_bytes=capacity * MAX_MEAN_EVENT_BYTES,
     )
 
 
-def build_agent_part(
-    me: connection.Identity,
+def build_timeline(
+    identity: connection.Identity,
     key: bytes,
     ring: rings.Ring,
     member_service: membership.Membership,
@@ -48,25 +48,27 @@
 
     def addresses() -> dict[str, str]:
         """Return the other agents, of this cell and of all others."""
-        found = member_service.list_reader.agents()
+        by_name = member_service.list_reader.agents()
         for member in member_service.members():
-            found[member.name] = member.agent_address
-        found.pop(me.name, None)
-        return found
+            by_name[member.name] = member.agent_address
+        by_name.pop(identity.name, None)
+        return by_name
 
-    asked = peers.Peers(me, key, addresses, ring.clock)
+    timeline_peers = peers.Peers(identity, key, addresses, ring.clock)
 
-    def run_of(name: str) -> str:
+    def run_id_of(name: str) -> str:
         """Return the run that an answer id names, else nothing."""
         try:
             return answer_id.unseal(name, key).run_id
         except answer_id.AnswerIdError:
             return ""
 
-    return service.Timeline(ring, feed.EntryFeeds(), asked.others(), run_of)
+    return service.Timeline(
+        ring, feed.EntryFeeds(), timeline_peers.others(), run_id_of
+    )
 
 
-def names(
+def endpoint_names(
     reader: configuration.ConfigurationReader,
 ) -> typing.Callable[[str], str]:
     """Return what gives the name of the endpoint at an address."""
@@ -80,7 +82,7 @@
     return endpoint_at
 
 
-def watch_agent(
+def observe_requests(
     router: server.Router, ring: rings.Ring, registry: metrics.Registry
 ) -> None:
     """Note and count what an agent decides about requests."""
@@ -90,10 +92,10 @@
             request_metrics.RequestMetrics(registry),
         )
     )
-    count_events(ring, registry)
+    register_metrics(ring, registry)
 
 
-def count_events(ring: rings.Ring, registry: metrics.Registry) -> None:
+def register_metrics(ring: rings.Ring, registry: metrics.Registry) -> None:
     """Let the metrics tell of a process's time line."""
     role = ring.process.partition("/")[0]
     registry.reading(
@@ -118,15 +120,22 @@
     )
 
 
-def build_entry_part(
-    agent_address: str, me: connection.Identity, key: bytes, ring: rings.Ring
+def build_ring_feed(
+    agent_address: str,
+    identity: connection.Identity,
+    key: bytes,
+    ring: rings.Ring,
 ) -> feed.RingFeed:
     """Return an entry's part."""
     # Another name than that of the entry's calls: the agent takes an entry
     # for gone when the last connection of its name has ended.
-    name = connection.Identity(me.role, me.name + FEED_SUFFIX)
+    feed_identity = connection.Identity(
+        identity.role, identity.name + FEED_SUFFIX
+    )
 
     def dial() -> connection.Connection:
-        return wire.connect(agent_address, name, key, clock=ring.clock)
+        return wire.connect(
+            agent_address, feed_identity, key, clock=ring.clock
+        )
 
     return feed.RingFeed(dial, ring)
--- a/tests/compose/test_reloading.py
+++ b/tests/compose/test_reloading.py
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def case(tmp_path, monkeypatch):
-    monkeypatch.setattr(reloading, "REVIEW_S", 0.02)
+    monkeypatch.setattr(reloading, "POLL_INTERVAL_S", 0.02)
     made = Case(tmp_path / "settings.ini")
     made.reloading.start()
     yield made
