--- a/src/briarseam/compose/__init__.py
+++ b/src/briarseam/compose/__init__.py
@@ -1,5 +1,5 @@
-"""The composition root: what each daemon is made of, one module each.
+"""Composition root: builds each daemon from its parts.
 
-Two modules and not one, since an agent must not pay for importing the
+Agent and entry have a module each, so that an agent does not import the
 entry's HTTP server.
 """
--- a/src/briarseam/compose/agent.py
+++ b/src/briarseam/compose/agent.py
@@ -1,4 +1,4 @@
-"""Composing the agent daemon."""
+"""Wiring of the agent daemon."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class AgentDaemon:
-    """The parts of an agent, in the order in which they start."""
+    """The parts of an agent."""
 
     server: wire.Server
     membership: membership_module.Membership
@@ -66,7 +66,7 @@
     stop_bound_s: float
 
     def start(self) -> str:
-        """Start all parts and return the address."""
+        """Start all parts and return the server's address."""
         self.server.start()
         self.membership.start()
         self.entries.start()
@@ -81,7 +81,7 @@
         return self.server.address
 
     def stop(self) -> None:
-        """Stop all parts, the last started first."""
+        """Stop all parts, mostly in reverse order of their start."""
         self.admission.stop()
         self.serving.stop()
         self.orders.stop()
@@ -95,12 +95,12 @@
         self.server.stop()
 
     def drain(self, interrupted: typing.Callable[[], bool]) -> drain.Outcome:
-        """Leave the lookups and wait until nothing is in flight.
+        """Withdraw from the lookups and wait until nothing is in flight.
 
         Parameters
         ----------
         interrupted
-            Whether to give up waiting now.
+            Whether to stop waiting now.
         """
         return drain.Drain(
             announce=self.membership.announce_leaving,
@@ -113,12 +113,12 @@
         ).run()
 
     def in_flight(self) -> int:
-        """Return what would suffer if this agent stopped now.
+        """Return how much work would be lost if this agent stopped now.
 
-        These are requests that wait for an endpoint, runs that its entries
-        relay, entries that are shutting down themselves, and outcomes that
-        are not yet in the log: without them a repeated call would be told
-        "unknown" for good.
+        This counts queued requests, runs that its entries relay, entries
+        that are shutting down, and outcomes that are not yet in the log.  If
+        such an outcome is lost, each later call with its key is answered
+        with "unknown".
         """
         return (
             self.serving.dispatcher.queued_count()
@@ -129,35 +129,35 @@
 
 
 def shared_key(settings: settings_module.Settings) -> bytes:
-    """Return the key that the system's processes share."""
+    """Return the key that all processes of the system share."""
     secret = settings.agent.shared_key
     if secret is None:
-        raise ValueError("settings without a shared key")
+        raise ValueError("the settings have no shared key")
     return secret.value
 
 
 @dataclasses.dataclass(frozen=True)
 class StalenessGate:
-    """Refuses new work while this agent cannot show it is current.
+    """Refuses new work while this agent's configuration may be stale.
 
-    An agent that was cut off or frozen would go on under settings that
-    everybody else has left behind: it would send work to endpoints that
-    are leaving, or for organisations that were removed.  Refusing as not
-    run sends callers to an instance that knows better.
+    An agent that was partitioned or frozen would otherwise send work to
+    endpoints that are leaving, or for organisations that were removed.
+    Callers that are refused as not run retry at another instance.
 
     Attributes
     ----------
     reader
-        Configuration of this agent.
+        Configuration reader of this agent.
     stale_after_s
-        Longest time without proof of being current.
+        Longest time without proof that the configuration is current, in
+        seconds.
     """
 
     reader: configuration.ConfigurationReader
     stale_after_s: float
 
     def __call__(self) -> verdict.NotRun | None:
-        """Return the refusal, or ``None`` while all is well."""
+        """Return the refusal, or ``None`` if the configuration is current."""
         stale_s = self.reader.staleness_s()
         if stale_s <= self.stale_after_s:
             return None
@@ -170,7 +170,7 @@
 
 
 def build_agent(settings: settings_module.Settings) -> AgentDaemon:
-    """Return an agent, its socket bound and nothing started."""
+    """Return an agent whose socket is bound and whose parts are stopped."""
     key = shared_key(settings)
     identity = connection.Identity("agent", settings.instance.name)
     registry = metrics.Registry(settings.limits.max_metric_label_values)
--- a/src/briarseam/compose/claims.py
+++ b/src/briarseam/compose/claims.py
@@ -1,4 +1,4 @@
-"""Composing an agent's claims."""
+"""Wiring of an agent's claims."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 
 class PeerClients:
-    """Clients of other agents by address.
+    """Cache of the clients of other agents, by address.
 
     Parameters
     ----------
-    me
-        This agent.
+    identity
+        Identity of this agent.
     key
-        The shared key.
+        Shared key.
     clock
-        Stamps the frames.
+        Clock that stamps the frames.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self.clients: dict[str, wire.Client] = {}
 
     def __call__(self, address: str) -> wire.Client:
-        """Return the client of the agent at an address."""
+        """Return the client of the agent at an address, created on demand."""
         with self.lock:
             client = self.clients.get(address)
             if client is None:
@@ -65,7 +65,7 @@
     clients: PeerClients,
     registry: metrics.Registry,
 ) -> claims.Claims:
-    """Return the claims part of an agent."""
+    """Return the claims service of an agent."""
 
     def owner_of(shard: int) -> str | None:
         ranked = rank.ranked(
--- a/src/briarseam/compose/configuration.py
+++ b/src/briarseam/compose/configuration.py
@@ -1,4 +1,4 @@
-"""Composing an agent's configuration."""
+"""Wiring of an agent's configuration reader."""
 
 from __future__ import annotations
 
@@ -24,7 +24,8 @@
 SECTION = "configuration"
 OFFSET = struct.Struct("!Q")
 AGENT_ROLE = "agent"
-# A first apply sets hundreds of paths; the ring is for more than that.
+# A first apply sets hundreds of paths, which must not crowd other events out
+# of the ring.
 MAX_PATHS_RECORDED = 16
 
 MembershipOf = typing.Callable[[], "membership.Membership"]
@@ -37,20 +38,21 @@
     key: bytes,
     membership_of: MembershipOf,
 ) -> readers.ConfigurationReader:
-    """Return the configuration part of an agent.
+    """Return the configuration reader of an agent.
 
     Parameters
     ----------
     settings
-        Of this instance.
+        Settings of this instance.
     log
-        The log.
-    me
-        This process.
+        Client of the log.
+    identity
+        Identity of this process.
     key
-        The shared key.
+        Shared key.
     membership_of
-        Gives the membership part, which itself needs the configuration.
+        Returns the membership, which itself depends on the configuration
+        and is built later.
     """
 
     def members() -> dict[str, str]:
@@ -79,7 +81,7 @@
     registry: metrics.Registry,
     ring: timeline.Ring,
 ) -> None:
-    """Let heartbeats, metrics and time line tell of the configuration."""
+    """Publish the reader's state in heartbeats, metrics and time line."""
     member_service.add_section(
         SECTION,
         lambda: OFFSET.pack(reader.offset()),
@@ -111,7 +113,7 @@
 def record_verdict(
     ring: timeline.Ring, verdict: folds.FoldVerdict, data: bytes
 ) -> None:
-    """Note a record's verdict on the time line."""
+    """Record the verdict on a configuration record in the time line."""
     kind = f"configuration-{type(verdict).__name__.lower()}"
     change = records.decode_unverified(data)
     match verdict:
--- a/src/briarseam/compose/crashes.py
+++ b/src/briarseam/compose/crashes.py
@@ -1,4 +1,4 @@
-"""Composing the crash guard of an agent."""
+"""Wiring of an agent's crash guard."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Engines:
-    """What the guard asks of engines.
+    """The engines, as the crash guard queries them.
 
     Attributes
     ----------
     view
-        Present configuration.
+        Returns the current configuration.
     parts
         Routing and admission.
     """
@@ -46,12 +46,12 @@
     parts: serving.ServingParts
 
     def boot_id(self, endpoint: str) -> str:
-        """Return the start that an endpoint last told; empty if none."""
+        """Return the boot id last reported by an endpoint, or ``""``."""
         load = self.parts.loads.get(endpoint)
         return load.boot_id if load else ""
 
     def has_died(self, endpoint: str, boot_id: str) -> bool:
-        """Ask an endpoint whether it is still the same start."""
+        """Query whether an endpoint has died since it had a boot id."""
         engine = self.view().endpoints.get(endpoint)
         if engine is None:
             return False
@@ -60,7 +60,7 @@
     def least_loaded(
         self, request: admission.Admit, version: str
     ) -> list[str]:
-        """Return the engines that may run a prompt, the idlest first."""
+        """Return the engines that may run a prompt, least loaded first."""
         return self.parts.chooser.least_loaded(
             routing.PromptQuery(
                 organisation="",
@@ -76,23 +76,33 @@
 
 @dataclasses.dataclass(frozen=True)
 class CrashGuardParts:
-    """The crash guard and its parts with threads."""
+    """The crash guard and the parts that it uses.
+
+    Attributes
+    ----------
+    guard
+        The crash guard.
+    log
+        Exchanges evidence through the log.
+    calls
+        Calls the other agents.
+    """
 
     guard: crash_guard.CrashGuard
     log: condemnation_log.CondemnationLog
     calls: crash_calls.CrashCalls
 
     def register(self, router: server.Router) -> None:
-        """Answer the other agents."""
+        """Register the handlers of messages from other agents."""
         self.calls.register(router)
 
     def start(self) -> None:
-        """Start the parts with threads."""
+        """Start the parts that run threads."""
         self.log.start()
         self.calls.start()
 
     def stop(self) -> None:
-        """Stop them."""
+        """Stop the parts that run threads."""
         self.calls.stop()
         self.log.stop()
 
@@ -105,7 +115,7 @@
     clients: compose_claims.PeerClients,
     engines: Engines,
 ) -> CrashGuardParts:
-    """Return the crash guard, wired to log and heartbeats."""
+    """Return the crash guard, connected to log and heartbeats."""
     clock = condemnation_log.LogClock()
     evidence_set = condemnation.EvidenceSet(clock.now_ms)
     evidence_log = condemnation_log.CondemnationLog(
--- a/src/briarseam/compose/entry.py
+++ b/src/briarseam/compose/entry.py
@@ -1,4 +1,4 @@
-"""Composing the entry daemon."""
+"""Wiring of the entry daemon."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     stop_bound_s: float
 
     def start(self) -> str:
-        """Bind, begin to serve, and return the address."""
+        """Bind the socket, start serving, and return the address."""
         self.reports.start()
         self.events.start()
         self.server.prepare()
@@ -65,12 +65,12 @@
         return f"{host}:{port}"
 
     def drain(self, interrupted: typing.Callable[[], bool]) -> drain.Outcome:
-        """Leave the lookups and wait until nothing is in flight.
+        """Withdraw from the lookups and wait until nothing is in flight.
 
         Parameters
         ----------
         interrupted
-            Whether to give up waiting now.
+            Whether to stop waiting now.
         """
         self.parts.in_flight.move_to(inflight.Stage.LEAVING)
         return drain.Drain(
@@ -84,7 +84,7 @@
         ).run()
 
     def stop(self) -> None:
-        """Stop serving; tell the agent once its reports are all given."""
+        """Stop serving; report the entry as gone after its last reports."""
         self.server.stop()
         self.reports.stop(REPORTS_FLUSH_TIMEOUT_S)
         self.presence.close()
@@ -93,10 +93,10 @@
 
 
 def public_address(settings: settings_module.Settings) -> str:
-    """Return the address by which callers reach this entry process.
+    """Return the address at which callers reach this entry process.
 
-    Several entry processes share one settings file but for where they
-    listen; the port tells which of the instance's addresses is whose.
+    The entry processes of an instance share all settings except the address
+    to listen on; its port selects this process's public address.
     """
     listen = settings.entry.listen
     for address in settings.instance.entry_addresses:
@@ -106,9 +106,10 @@
 
 
 def build_entry(settings: settings_module.Settings) -> EntryDaemon:
-    """Return an entry, nothing bound or started."""
-    # The agent tells its entry processes apart, and each start of one: what
-    # an entry holds is lost when all connections under its name have ended.
+    """Return an entry whose socket is not bound yet."""
+    # The name is unique for each start of an entry process: when all
+    # connections under a name have ended, the agent counts the runs of that
+    # process as lost.
     start_id = secrets.token_hex(START_ID_BYTES)
     identity = connection.Identity(
         "entry", f"{settings.instance.name}/{start_id}"
--- a/src/briarseam/compose/kept.py
+++ b/src/briarseam/compose/kept.py
@@ -1,4 +1,4 @@
-"""Composing an agent's kept cache."""
+"""Wiring of an agent's kept cache."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def session_hash(organisation: str, session: str) -> bytes:
-    """Return the hash by which lookups rank a session."""
+    """Return the hash by which lookups rank agents for a session."""
     return bytes.fromhex(rank.session_key(organisation, session))
 
 
@@ -32,7 +32,25 @@
     registry: metrics.Registry,
     max_blocks: int,
 ) -> kept_cache.KeptCache:
-    """Return the kept cache of an agent, not started."""
+    """Return the kept cache of an agent, not started.
+
+    Parameters
+    ----------
+    view
+        Returns the current configuration.
+    key
+        Shared key.
+    member_service
+        Membership of this agent.
+    lookups
+        Ranks the agents that hold an index group.
+    clients
+        Clients of other agents by address.
+    registry
+        Registers the metrics.
+    max_blocks
+        Maximum number of blocks in the index.
+    """
 
     def call(
         address: str, request: codec.Message, timeout_s: float
@@ -44,10 +62,10 @@
             member_service.local_member.name, lookups.layout
         ),
         call=call,
-        # Every agent takes an equal part of each link, so that together
-        # they never go over its budget without a word between them.
-        # Suspects count: while one may be alive on the other side of a
-        # cut, its part is not given away.
+        # Each agent uses an equal part of each link, so that together they
+        # stay within its budget without coordination.  Suspects count: an
+        # agent may be alive on the other side of a network partition and
+        # still use its part.
         link_share=lambda: 1.0 / max(len(member_service.all_members()), 1),
         session_hash=session_hash,
     )
--- a/src/briarseam/compose/membership.py
+++ b/src/briarseam/compose/membership.py
@@ -1,4 +1,4 @@
-"""Composing an agent's membership."""
+"""Wiring of an agent's membership."""
 
 from __future__ import annotations
 
@@ -24,9 +24,21 @@
     parts_of: typing.Callable[[str], int],
     clock: connection.Clock,
 ) -> membership.Membership:
-    """Return the membership part of an agent.
+    """Return the membership of an agent.
 
-    Its entries are named once they report themselves.
+    The agent starts without entry addresses; an entry is added once it
+    reports to the agent.
+
+    Parameters
+    ----------
+    settings
+        Settings of this instance.
+    key
+        Shared key.
+    parts_of
+        Returns the number of cells in a zone.
+    clock
+        Clock that stamps the frames.
     """
     return membership.Membership(
         members.LocalAgent(
@@ -53,7 +65,7 @@
     service: membership.Membership,
     leaving: endpoints.LeavingEndpoints,
 ) -> None:
-    """Let metrics tell of the members."""
+    """Register the metrics of the membership."""
 
     def count(state: members.MemberState) -> typing.Callable[[], int]:
         return lambda: sum(
--- a/src/briarseam/compose/orders.py
+++ b/src/briarseam/compose/orders.py
@@ -1,4 +1,4 @@
-"""Composing an agent's leases and orders."""
+"""Wiring of an agent's leases and orders."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     registry: metrics.Registry,
     ring: rings.Ring,
 ) -> orders.Orders:
-    """Return the orders part of an agent, wired to the heartbeats."""
+    """Return the orders service of an agent, connected to the heartbeats."""
     own_name = settings.instance.name
 
     def cell_names() -> set[str]:
@@ -68,7 +68,7 @@
         own_name,
         reader.view,
         lease_service,
-        # An order must not outlive the lease under which it is given.
+        # An order must not outlive the lease under which it is issued.
         engine_orders.OrderClient(
             min(engine_orders.DEFAULT_TIMEOUT_S, lease_service.margin_s)
         ),
@@ -90,21 +90,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineOffers:
-    """What requests may name, as routing asks for it.
+    """The versions and adapters that engines offer, for routing.
 
     Attributes
     ----------
     orders
-        Knows what engines report.
+        Orders service, which has the engines' reports.
     """
 
     orders: orders.Orders
 
     def offers(self, model: str, session: str) -> typing.Sequence[state.Offer]:
-        """Return what a new request may name, best first.
+        """Return the versions that a new request may use, best first.
 
-        While a rollout is under way sessions move to the new version in
-        proportion to the engines that have it, and stay there.
+        During a rollout sessions move to the new version in proportion to
+        the engines that have it, and stay there.
         """
         counts = self.orders.offer_counts(model)
         return rank.ranked(
@@ -112,17 +112,17 @@
         )
 
     def serves(self, endpoint: str, model: str, offer: state.Offer) -> bool:
-        """Tell whether an engine reports what a request has to name."""
+        """Return whether an engine reports a version and adapter."""
         return self.orders.serves(endpoint, model, offer)
 
 
 def ranking_name(offer: state.Offer) -> str:
-    """Return the name by which an offer is ranked."""
+    """Return the key by which an offer is ranked."""
     return f"{offer.version}\0{offer.adapter}"
 
 
 def rollouts(order_service: orders.Orders) -> tuple[status.Rollout, ...]:
-    """Return the rows of the models whose rollout this agent leads."""
+    """Return the state of the rollouts that this agent leads."""
     return tuple(
         status.Rollout(
             model=model.model,
@@ -137,7 +137,7 @@
 
 
 def rollout_detail(model: messages.ModelRollout) -> str:
-    """Return what a rollout waits for and since when."""
+    """Return what a rollout waits for, and for how long it is stuck."""
     if not model.stuck:
         return str(model.why)
     return f"stuck for {model.unchanged_s:.0f} s: {model.why}"
--- a/src/briarseam/compose/recording.py
+++ b/src/briarseam/compose/recording.py
@@ -1,6 +1,7 @@
-"""Parts that note on the time line what passes through them.
+"""Wrappers that record calls in the time line.
 
-They stand between two slices, so that neither has to know of the time line.
+Each wraps a service that one package uses from another, so that neither
+package depends on the time line.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class RecordingClaims:
-    """Claims that note each key asked for and each end recorded.
+    """Claims that record each claimed key and each attempt's end.
 
     Attributes
     ----------
     inner
-        The claims.
+        The wrapped claims.
     ring
         This agent's events.
     """
@@ -38,7 +39,7 @@
     def claim(
         self, organisation: str, key: str, body_digest: bytes, attempt: str
     ) -> claims.Result:
-        """Ask for the right to run a key's request."""
+        """Claim a key for an attempt."""
         result = self.inner.claim(organisation, key, body_digest, attempt)
         self.ring.note(
             kinds.Kind.CLAIMED,
@@ -57,7 +58,7 @@
         end: records.Outcome | verdict.NotRun | verdict.MayHaveRun,
         answer_id: str = "",
     ) -> None:
-        """Record how an attempt ended."""
+        """Settle a claim with the end of its attempt."""
         self.ring.note(
             kinds.Kind.CLAIM_ENDED,
             organisation=organisation,
@@ -70,16 +71,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class RecordingKeptCache:
-    """The kept cache as routing uses it; notes each import.
+    """Kept cache, as routing uses it, that records each import.
 
     Attributes
     ----------
     inner
-        The kept cache.
+        The wrapped kept cache.
     ring
         This agent's events.
     endpoint_at
-        Returns the endpoint at an address, empty when none is.
+        Returns the name of the endpoint at an address, or ``""``.
     """
 
     inner: routing.KeptCache
@@ -96,7 +97,7 @@
         cached_pieces: int,
         session: str = "",
     ) -> cache.Plan:
-        """Return what could be imported for a prompt."""
+        """Return the plan of the blocks that a prompt could import."""
         return self.inner.plan(
             organisation,
             model,
@@ -114,7 +115,17 @@
     def import_to(
         self, address: str, plan: cache.Plan, max_s: float
     ) -> cache.Imported:
-        """Let an endpoint import a plan's blocks; wait for it."""
+        """Have an endpoint import a plan's blocks, and wait for the result.
+
+        Parameters
+        ----------
+        address
+            Address of the endpoint.
+        plan
+            The blocks.
+        max_s
+            Longest wait, in seconds.
+        """
         imported = self.inner.import_to(address, plan, max_s)
         self.ring.note(
             kinds.Kind.IMPORTED,
@@ -129,5 +140,5 @@
 
 
 def outcome_name(value: object) -> str:
-    """Return the name of a tagged outcome as a word."""
+    """Return the lower-case class name of an outcome."""
     return type(value).__name__.lower()
--- a/src/briarseam/compose/reloading.py
+++ b/src/briarseam/compose/reloading.py
@@ -1,4 +1,4 @@
-"""Taking in a settings file that changed while the process runs."""
+"""Reloading of the settings file while the process runs."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 if typing.TYPE_CHECKING:
     import collections.abc
 
-# The file may change without a signal; looking at it this often costs
-# nothing that shows.
+# The file may change without a signal, so it is polled; at this interval the
+# cost is negligible.
 POLL_INTERVAL_S = 2.0
 log = structlog.get_logger("briarseam.node")
 
 
 class SettingsReloader:
-    """Reads the settings again after a signal or when the file changed.
+    """Reloads the settings on request, or when the file has changed.
 
-    A file that can't be used changes nothing: the process goes on with the
-    settings it has, and says so.
+    If the file is unusable, the error is logged and the current settings
+    stay in force.
 
     Parameters
     ----------
     settings
         The settings in force.
     apply
-        Puts newer ones in force.
+        Puts new settings in force.
     """
 
     def __init__(
@@ -41,8 +41,8 @@
     ) -> None:
         self.settings = settings
         self.apply = apply
-        # Read at the first review, whatever it says: it may have changed
-        # since the settings were read.
+        # Empty, so that the first poll always loads the file: it may have
+        # changed since ``settings`` were loaded.
         self.last_text = ""
         self.requested = threading.Event()
         self.stopping = threading.Event()
@@ -51,20 +51,20 @@
         )
 
     def start(self) -> None:
-        """Begin to watch the file."""
+        """Start polling the file."""
         self.thread.start()
 
     def stop(self) -> None:
-        """Stop watching."""
+        """Stop polling."""
         self.stopping.set()
         self.requested.set()
 
     def request(self) -> None:
-        """Let the file be read now."""
+        """Request a reload now."""
         self.requested.set()
 
     def run(self) -> None:
-        """Watch until stopped."""
+        """Poll the file until stopped."""
         while not self.stopping.is_set():
             requested = self.requested.wait(POLL_INTERVAL_S)
             self.requested.clear()
@@ -74,7 +74,13 @@
                 self.reload(requested)
 
     def reload(self, requested: bool) -> None:
-        """Read the file; put it in force if it is good and asked or new."""
+        """Load the file; apply valid settings if requested or changed.
+
+        Parameters
+        ----------
+        requested
+            Whether to apply the settings even if they are unchanged.
+        """
         try:
             loaded = serving.load(self.settings.path)
         except errors.SettingsError as error:
@@ -88,7 +94,7 @@
 
 
 def read_text(path: str) -> str:
-    """Return a file's text, empty if it can't be read just now."""
+    """Return a file's text; empty if it cannot be read."""
     try:
         return pathlib.Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -99,7 +105,7 @@
 def changed_keys(
     old: serving.ServeSettings, new: serving.ServeSettings
 ) -> list[str]:
-    """Return which keys differ, as ``section.key``."""
+    """Return the keys whose values differ, as ``section.key``."""
     before = {(row.section, row.key): row.value for row in old.explain()}
     after = {(row.section, row.key): row.value for row in new.explain()}
     return sorted(
--- a/src/briarseam/compose/serving.py
+++ b/src/briarseam/compose/serving.py
@@ -1,4 +1,4 @@
-"""Composing routing and admission of an agent."""
+"""Wiring of an agent's routing and admission."""
 
 from __future__ import annotations
 
@@ -29,16 +29,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class ServingParts:
-    """What decides about requests, without claims.
+    """The parts that place requests on endpoints.
 
     Attributes
     ----------
     placer
         Grants endpoints.
     chooser
-        Routing.
+        Chooses endpoints.
     dispatcher, loads, kept, cache_events
-        Its parts with threads.
+        The parts that run threads.
     """
 
     placer: placing.Placer
@@ -49,14 +49,14 @@
     cache_events: residents.EngineCacheFollowers
 
     def start(self) -> None:
-        """Start the parts with threads."""
+        """Start the parts that run threads."""
         self.kept.start()
         self.loads.start()
         self.cache_events.start()
         self.dispatcher.start()
 
     def stop(self) -> None:
-        """Stop them; what waits is refused."""
+        """Stop the parts that run threads; queued requests are refused."""
         self.dispatcher.stop()
         self.cache_events.stop()
         self.loads.stop()
@@ -65,22 +65,22 @@
 
 @dataclasses.dataclass(frozen=True)
 class ServingDependencies:
-    """What serving needs of the other slices.
+    """Dependencies of routing and admission on other packages.
 
     Attributes
     ----------
     view
-        Present configuration.
+        Returns the current configuration.
     members
         Membership of this agent.
     kept
         The kept cache.
     imports
-        The same as routing sees it, with its imports noted.
+        The kept cache for routing, which records imports in the time line.
     leaving
-        Endpoints that are known to leave.
+        Returns the endpoints that are leaving.
     offers
-        What engines report, and what requests may name.
+        The versions and adapters that engines report.
     key
         Shared key.
     """
@@ -97,7 +97,7 @@
 def build_serving(
     settings: settings_module.Settings, sources: ServingDependencies
 ) -> ServingParts:
-    """Return routing and admission, wired to membership's heartbeats."""
+    """Return routing and admission, connected to the heartbeats."""
     members = sources.members
     view = sources.view
     own_runs = active_runs.ActiveRuns()
@@ -133,8 +133,8 @@
             settings.limits.max_queued_per_organisation,
         ),
     )
-    # Suspects count too: while an agent may be alive on the other side of
-    # a cut, its part of the limits is not given away.
+    # Suspects count, too: an agent may be alive on the other side of a
+    # network partition and still use its part of the limits.
     demand = limits.Limits(
         view, lambda: len(members.members()), time.monotonic
     )
--- a/src/briarseam/compose/timeline.py
+++ b/src/briarseam/compose/timeline.py
@@ -1,4 +1,4 @@
-"""Composing the time line's part of each daemon."""
+"""Wiring of the time line in each daemon."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 def build_ring(
     settings: settings_module.Settings, identity: connection.Identity
 ) -> rings.Ring:
-    """Return a process's ring."""
+    """Return the ring that holds a process's events."""
     capacity = settings.agent.max_timeline_events
     return rings.Ring(
         f"{identity.role}/{identity.name}",
@@ -44,10 +44,10 @@
     ring: rings.Ring,
     member_service: membership.Membership,
 ) -> service.Timeline:
-    """Return an agent's part."""
+    """Return the time line service of an agent."""
 
     def addresses() -> dict[str, str]:
-        """Return the other agents, of this cell and of all others."""
+        """Return the other agents' addresses by name, of all cells."""
         by_name = member_service.list_reader.agents()
         for member in member_service.members():
             by_name[member.name] = member.agent_address
@@ -57,7 +57,7 @@
     timeline_peers = peers.Peers(identity, key, addresses, ring.clock)
 
     def run_id_of(name: str) -> str:
-        """Return the run that an answer id names, else nothing."""
+        """Return the run that an answer id names, or ``""``."""
         try:
             return answer_id.unseal(name, key).run_id
         except answer_id.AnswerIdError:
@@ -71,7 +71,7 @@
 def endpoint_names(
     reader: configuration.ConfigurationReader,
 ) -> typing.Callable[[str], str]:
-    """Return what gives the name of the endpoint at an address."""
+    """Return a function that maps an address to its endpoint's name."""
 
     def endpoint_at(address: str) -> str:
         for name, endpoint in reader.view().endpoints.items():
@@ -85,7 +85,7 @@
 def observe_requests(
     router: server.Router, ring: rings.Ring, registry: metrics.Registry
 ) -> None:
-    """Note and count what an agent decides about requests."""
+    """Record and count an agent's decisions about requests."""
     router.observer = connection.Observers(
         (
             requests.AgentObserver(ring),
@@ -96,7 +96,7 @@
 
 
 def register_metrics(ring: rings.Ring, registry: metrics.Registry) -> None:
-    """Let the metrics tell of a process's time line."""
+    """Register the metrics of a process's time line."""
     role = ring.process.partition("/")[0]
     registry.reading(
         f"{role}_timeline_events",
@@ -126,9 +126,9 @@
     key: bytes,
     ring: rings.Ring,
 ) -> feed.RingFeed:
-    """Return an entry's part."""
-    # Another name than that of the entry's calls: the agent takes an entry
-    # for gone when the last connection of its name has ended.
+    """Return the feed of an entry's events to its agent."""
+    # The name differs from that of the entry's calls: the agent counts an
+    # entry as gone when the last connection under its name has ended.
     feed_identity = connection.Identity(
         identity.role, identity.name + FEED_SUFFIX
     )
