--- a/tests/compose/test_deploy.py
+++ b/tests/compose/test_deploy.py
@@ -1,4 +1,4 @@
-"""The files by which the users' platform deploys the system."""
+"""Files with which the platform deploys the system."""
 
 from __future__ import annotations
 
@@ -30,30 +30,31 @@
     return keys
 
 
-def test_template_sets_only_keys_that_exist():
-    """A key is renamed in the settings and not in the template, and no
-    process starts on the platform.
+def test_template_sets_only_known_keys():
+    """Guards against a key renamed in the settings but not in the template.
+
+    No process would start on the platform.
     """
     for section, keys in template_keys().items():
-        kind = serving.SECTION_TYPES[section]
-        known = {field.name for field in dataclasses.fields(kind)}
+        section_type = serving.SECTION_TYPES[section]
+        known = {field.name for field in dataclasses.fields(section_type)}
         assert keys <= known, section
 
 
-def test_template_sets_all_keys_that_have_no_default():
-    found = template_keys()
-    for section, kind in serving.SECTION_TYPES.items():
-        needed = {
+def test_template_sets_all_keys_without_a_default():
+    keys = template_keys()
+    for section, section_type in serving.SECTION_TYPES.items():
+        required = {
             field.name
-            for field in dataclasses.fields(kind)
+            for field in dataclasses.fields(section_type)
             if field.default is dataclasses.MISSING
         }
-        assert needed <= found.get(section, set()), section
+        assert required <= keys.get(section, set()), section
 
 
-def test_command_of_the_role_is_understood():
-    words = DEPLOY["roles"]["briarseam"]["run"].split()
-    arguments = words[words.index("briarseam") + 1 :]
+def test_command_of_the_role_can_be_parsed():
+    command = DEPLOY["roles"]["briarseam"]["run"].split()
+    arguments = command[command.index("briarseam") + 1 :]
     parsed = build_parser(find(arguments)).parse_args(arguments)
     assert parsed.settings_from
 
--- a/tests/compose/test_reloading.py
+++ b/tests/compose/test_reloading.py
@@ -15,7 +15,7 @@
         self.path = path
         self.write(0.2)
         self.applied = []
-        self.reloading = reloading.SettingsReloader(
+        self.reloader = reloading.SettingsReloader(
             serving.load(str(path)), self.applied.append
         )
 
@@ -26,51 +26,54 @@
 @pytest.fixture
 def case(tmp_path, monkeypatch):
     monkeypatch.setattr(reloading, "POLL_INTERVAL_S", 0.02)
-    made = Case(tmp_path / "settings.ini")
-    made.reloading.start()
-    yield made
-    made.reloading.stop()
+    new_case = Case(tmp_path / "settings.ini")
+    new_case.reloader.start()
+    yield new_case
+    new_case.reloader.stop()
 
 
-def test_change_during_the_start_is_in_force(tmp_path):
-    """Settings change between their reading and the start of the watch.
+def test_change_between_load_and_start_is_applied(tmp_path):
+    """Guards against a change that is missed during the start.
 
-    The file looks as it did at the start of the watch for ever after.
+    The file changes after it was loaded and before polling starts, and not
+    again, so that no poll sees a difference.
     """
     case = Case(tmp_path / "settings.ini")
     case.write(0.7)
-    late = reloading.SettingsReloader(
-        case.reloading.settings, case.applied.append
+    reloader = reloading.SettingsReloader(
+        case.reloader.settings, case.applied.append
     )
-    late.start()
+    reloader.start()
     waiting.until(lambda: case.applied)
-    late.stop()
+    reloader.stop()
     assert case.applied[0].bounds.retry_ratio == 0.7
 
 
-def test_changed_file_is_in_force_without_a_signal(case):
+def test_changed_file_is_applied_without_a_signal(case):
     case.write(0.5)
     waiting.until(lambda: case.applied)
     assert case.applied[-1].bounds.retry_ratio == 0.5
 
 
-def test_signal_lets_the_file_be_read(case):
-    case.reloading.request()
+def test_request_applies_an_unchanged_file(case):
+    case.reloader.request()
     waiting.until(lambda: case.applied)
 
 
-def test_bad_file_changes_nothing(case):
-    """An operator saves a settings file with a slip.  The process must go
-    on with the settings it has, and take the mended file later.
+def test_invalid_file_is_ignored_until_it_is_corrected(case):
+    """Guards against an invalid file that stops reloading for good.
+
+    An operator saves an invalid value and corrects it later: the settings
+    in force stay until then.
     """
     case.write("a lot")
-    case.reloading.request()
+    case.reloader.request()
     case.write(0.4)
     waiting.until(lambda: case.applied)
-    assert {found.bounds.retry_ratio for found in case.applied} == {0.4}
+    assert {settings.bounds.retry_ratio for settings in case.applied} == {0.4}
 
 
-def test_keys_that_changed_are_named(case):
+def test_changed_keys_are_listed_with_their_section(case):
     old = serving.load(str(case.path))
     case.write(0.7)
     new = serving.load(str(case.path))
