--- a/src/briarseam/claims/service.py
+++ b/src/briarseam/claims/service.py
@@ -72,18 +72,18 @@
         self.claim_latency = metrics.latency(
             "claim_us", "Time that a claim took."
         )
-        metrics.reading(
+        metrics.callback_gauge(
             "claim_keys", "Keys in memory.", self.followed.count_keys
         )
-        metrics.reading(
+        metrics.callback_gauge(
             "claim_appends", "Records appended.", self.followed.count_appends
         )
-        metrics.reading(
+        metrics.callback_gauge(
             "claim_settlements_pending",
             "Ends of attempts not yet in the log.",
             self.count_pending,
         )
-        metrics.reading(
+        metrics.callback_gauge(
             "claim_streams_halted",
             "Streams that cannot be trusted.",
             self.followed.count_halted,
--- a/src/briarseam/compose/configuration.py
+++ b/src/briarseam/compose/configuration.py
@@ -90,17 +90,17 @@
         ),
     )
     for field in dataclasses.fields(states.Counters):
-        registry.reading(
+        registry.callback_gauge(
             f"configuration_{field.name}",
             f"Configuration: {field.name.replace('_', ' ')} since start",
             functools.partial(getattr, reader.counters, field.name),
         )
-    registry.reading(
+    registry.callback_gauge(
         "configuration_offset",
         "Offset of the last configuration record in force here",
         reader.offset,
     )
-    registry.reading(
+    registry.callback_gauge(
         "configuration_log_age_seconds",
         "Age of the last proof that this is the log's end",
         reader.log_age_s,
--- a/src/briarseam/compose/kept.py
+++ b/src/briarseam/compose/kept.py
@@ -72,7 +72,7 @@
     kept = kept_cache.KeptCache(
         view, key, counters.RegistryCounters(registry), ports, max_blocks
     )
-    registry.reading(
+    registry.callback_gauge(
         "kept_cache_blocks",
         "Blocks in this agent's index.",
         lambda: float(len(kept.index)),
--- a/src/briarseam/compose/membership.py
+++ b/src/briarseam/compose/membership.py
@@ -77,43 +77,43 @@
         (members.MemberState.SUSPECT, "silent"),
         (members.MemberState.LEAVING, "shutting down"),
     ):
-        registry.reading(
+        registry.callback_gauge(
             f"membership_{state}",
             f"Agents of this cell that are {meaning}",
             count(state),
         )
     directory = service.gossip.directory
-    registry.reading(
+    registry.callback_gauge(
         "membership_cells",
         "Cells known, this one included",
         lambda: len(directory.stamps()),
     )
-    registry.reading(
+    registry.callback_gauge(
         "membership_cells_lost",
         "Cells that seem dead or cut off",
         lambda: len(directory.lost()),
     )
-    registry.reading(
+    registry.callback_gauge(
         "membership_fresh",
         "1 while a peer has answered within the limit, else 0",
         lambda: int(service.is_fresh()),
     )
-    registry.reading(
+    registry.callback_gauge(
         "membership_heartbeats_answered",
         "Heartbeats that were answered, since start",
         lambda: service.replies.heartbeats_answered,
     )
-    registry.reading(
+    registry.callback_gauge(
         "membership_heartbeats_failed",
         "Heartbeats that were not, since start",
         lambda: service.replies.heartbeats_failed,
     )
-    registry.reading(
+    registry.callback_gauge(
         "instance_list_bytes",
         "Bytes of the instance list read since start",
         lambda: service.list_reader.bytes_read,
     )
-    registry.reading(
+    registry.callback_gauge(
         "endpoints_leaving",
         "Configured endpoints that get no new work",
         lambda: len(leaving.leaving_endpoints()),
--- a/src/briarseam/compose/node.py
+++ b/src/briarseam/compose/node.py
@@ -258,7 +258,7 @@
         self.keep_only_endpoints(self.feeds.registry.ids())
         self.pool.close_expired()
         self.guard.forget_expired()
-        self.threads.renew()
+        self.threads.update()
         names = frozenset(self.instances.all_names())
         self.chooser.loads.keep_only(names)
         self.peer_configuration.keep_only(names)
--- a/src/briarseam/compose/node_metrics.py
+++ b/src/briarseam/compose/node_metrics.py
@@ -79,7 +79,7 @@
             readings.endpoints_known,
         ),
     ):
-        registry.reading(name, text, reading)
+        registry.callback_gauge(name, text, reading)
 
 
 def malformed_counter(
--- a/src/briarseam/compose/timeline.py
+++ b/src/briarseam/compose/timeline.py
@@ -98,22 +98,22 @@
 def register_metrics(ring: rings.Ring, registry: metrics.Registry) -> None:
     """Register the metrics of a process's time line."""
     role = ring.process.partition("/")[0]
-    registry.reading(
+    registry.callback_gauge(
         f"{role}_timeline_events",
         "Events held for the time line",
         lambda: len(ring),
     )
-    registry.reading(
+    registry.callback_gauge(
         f"{role}_timeline_bytes",
         "Bytes that these take",
         lambda: ring.size_bytes,
     )
-    registry.reading(
+    registry.callback_gauge(
         f"{role}_timeline_events_dropped",
         "Events that made room for newer ones since start",
         lambda: ring.dropped,
     )
-    registry.reading(
+    registry.callback_gauge(
         f"{role}_clock_stamps_refused",
         "Clock stamps from other processes that were too far ahead",
         lambda: ring.clock.refused,
--- a/src/briarseam/metrics/instruments.py
+++ b/src/briarseam/metrics/instruments.py
@@ -159,7 +159,7 @@
         self.latency.record_s(time.perf_counter() - self.started_s)
 
 
-class Reading:
+class CallbackGauge:
     """A gauge whose value is read when it is scraped."""
 
     def __init__(self, read: collections.abc.Callable[[], float]) -> None:
@@ -176,4 +176,4 @@
             return float("nan")
 
 
-Instrument = Counter | Gauge | Latency | Reading
+Instrument = Counter | Gauge | Latency | CallbackGauge
--- a/src/briarseam/metrics/registry.py
+++ b/src/briarseam/metrics/registry.py
@@ -27,7 +27,7 @@
     labels.Family[instruments.Counter]
     | labels.Family[instruments.Gauge]
     | labels.Family[instruments.Latency]
-    | labels.Family[instruments.Reading]
+    | labels.Family[instruments.CallbackGauge]
 )
 
 
@@ -98,14 +98,14 @@
         self.add(Metric(name, help, "gauge", family))
         return family
 
-    def reading(
+    def callback_gauge(
         self,
         name: str,
         help: str,
         read: collections.abc.Callable[[], float],
     ) -> None:
         """Register a gauge whose value is read at each scrape."""
-        family = labels.Family(lambda: instruments.Reading(read), (), 1)
+        family = labels.Family(lambda: instruments.CallbackGauge(read), (), 1)
         family.labelled()
         self.add(Metric(name, help, "gauge", family))
 
--- a/src/briarseam/metrics/threads.py
+++ b/src/briarseam/metrics/threads.py
@@ -30,7 +30,7 @@
         )
         self.purposes: set[str] = set()
 
-    def renew(self) -> None:
+    def update(self) -> None:
         """Count the threads that run now."""
         counts = by_purpose()
         self.purposes |= counts.keys()
--- a/src/briarseam/orders/service.py
+++ b/src/briarseam/orders/service.py
@@ -94,12 +94,12 @@
                 ("kind", "outcome"),
             ),
         )
-        metrics.reading(
+        metrics.callback_gauge(
             "rollouts_stuck",
             "Models whose rollout has not moved for long.",
             self.reporting.count_stuck,
         )
-        metrics.reading(
+        metrics.callback_gauge(
             "leases_held",
             "Leases held by this process.",
             lambda: len(leases.held()),
--- a/tests/metrics/test_registry.py
+++ b/tests/metrics/test_registry.py
@@ -15,7 +15,7 @@
 def test_scrape_shows_every_kind_with_units(registry):
     registry.counter("refused_total", "Requests\nrefused").add(2)
     registry.gauge("queued", "Requests waiting").set(1.5)
-    registry.reading("rss_bytes", "Resident memory", lambda: 7)
+    registry.callback_gauge("rss_bytes", "Resident memory", lambda: 7)
     latency = registry.latencies("ttft_us", "First token", ("model",))
     for duration_us in range(1, 101):
         latency.labelled('a"b').record_us(duration_us)
@@ -91,7 +91,7 @@
     def fail() -> float:
         raise OSError("store is down")
 
-    registry.reading("store_bytes", "Size", fail)
+    registry.callback_gauge("store_bytes", "Size", fail)
     registry.counter("asked_total", "Asked").add()
     scrape = registry.render()
     assert "store_bytes NaN\n" in scrape
--- a/tests/metrics/test_threads.py
+++ b/tests/metrics/test_threads.py
@@ -34,7 +34,7 @@
     registry = registries.Registry()
     gauge = threads.ThreadGauge(registry)
     with running("reader-1"):
-        gauge.renew()
+        gauge.update()
         assert 'threads{purpose="reader"} 1' in registry.render()
-    gauge.renew()
+    gauge.update()
     assert 'threads{purpose="reader"} 0' in registry.render()
