--- a/src/briarseam/compose/local_handlers.py
+++ b/src/briarseam/compose/local_handlers.py
@@ -19,7 +19,7 @@
 LOOKUP_TTL_S = 2.0
 
 
-class SmallAnswers:
+class LocalHandlers:
     """Answers questions about this instance.
 
     Parameters
@@ -41,13 +41,13 @@
         is_ready: typing.Callable[[], bool],
         lookup: zonal.ZonalLookup,
         own_address: str,
-        most_ttl_s: typing.Callable[[], float],
+        max_ttl_s: typing.Callable[[], float],
         registry: registries.Registry,
     ) -> None:
         self.is_ready = is_ready
         self.lookup = lookup
         self.own_address = own_address
-        self.most_ttl_s = most_ttl_s
+        self.max_ttl_s = max_ttl_s
         self.registry = registry
 
     def readiness(self, exchange: http.Exchange) -> None:
@@ -59,18 +59,18 @@
 
     def addresses(self, exchange: http.Exchange) -> None:
         """Tell a caller which addresses to use."""
-        question = answers.decode_lookup(exchange.target)
-        if question is None:
+        query = answers.decode_lookup(exchange.target)
+        if query is None:
             exchange.answer(NOT_FOUND, (), b"")
             return
-        found = self.lookup.addresses(question.zone, exchange.caller_ip)
-        if not found and self.is_ready():
-            found = [self.own_address]
-        if not found:
+        addresses = self.lookup.addresses(query.zone, exchange.caller_ip)
+        if not addresses and self.is_ready():
+            addresses = [self.own_address]
+        if not addresses:
             exchange.answer(NOT_READY, (), b"")
             return
-        ttl_s = min(LOOKUP_TTL_S, self.most_ttl_s())
-        body = answers.encode_addresses(found, ttl_s)
+        ttl_s = min(LOOKUP_TTL_S, self.max_ttl_s())
+        body = answers.encode_addresses(addresses, ttl_s)
         exchange.answer(OK, (("Content-Type", answers.JSON),), body)
 
     def scrape(self, exchange: http.Exchange) -> None:
--- a/src/briarseam/compose/node.py
+++ b/src/briarseam/compose/node.py
@@ -58,7 +58,7 @@
     from briarseam.routes import model as routes
     from briarseam.settings import serving
 
-HOUSEKEEPING_S = 1.0
+HOUSEKEEPING_INTERVAL_S = 1.0
 # Left of the time to shut down, for the end of the process itself.
 EXIT_MARGIN_S = 1.0
 STOP_WAIT_S = 5.0
@@ -81,15 +81,15 @@
         self.stopping = threading.Event()
         self.loop = event_loop.EventLoop("peers")
         self.metrics = metrics.Registry()
-        self.tally = malformed.Tally(
+        self.malformed_counter = malformed.Tally(
             node_metrics.malformed_counter(self.metrics)
         )
         self.store = stores.StoreClient(
-            str(settings.store.address), self.tally
+            str(settings.store.address), self.malformed_counter
         )
         self.pool = connections.Pool()
         self.instances = node_instances.Instances(settings.instance.name)
-        self.calls = node_calls.Calls(self.instances)
+        self.calls = node_calls.PeerCalls(self.instances)
         self.topic_reads = feeds_sharing.SharedReads(
             self.store,
             node_feeds.TOPICS,
@@ -101,18 +101,18 @@
             self.store,
             self.topic_reads,
             self.configuration_changed,
-            self.endpoints_gone,
-            self.tally,
+            self.forget_endpoints,
+            self.malformed_counter,
         )
-        self.instances.rows = self.feeds.registrations
+        self.instances.registrations = self.feeds.registrations
         self.restarts = restarts.Restarts(self.feeds.registry)
         self.weights = node_weights.Weights(
             settings,
             self.store,
             self.feeds,
             self.instances,
-            engines.EngineClient(self.tally, self.restarts.record),
-            self.tally,
+            engines.EngineClient(self.malformed_counter, self.restarts.record),
+            self.malformed_counter,
         )
         self.chooser = choosers.Chooser(
             self.feeds.registry.serving,
@@ -121,14 +121,14 @@
             self.feeds.registry.age_s,
             loads.Loads(self.calls.size, lambda: len(self.instances.all())),
         )
-        cache_stores = cache.CacheStoreClient(self.tally)
+        cache_stores = cache.CacheStoreClient(self.malformed_counter)
         self.store_watches = store_watches.StoreWatches(
             cache_stores,
             self.calls,
             self.chooser.kept_index,
             settings.instance.name,
-            self.instances.cell,
-            self.instances.sharers,
+            self.instances.names_in_cell,
+            self.instances.known_count,
             self.instances.weight_of,
         )
         self.store_sharing = store_sharing.StoreSharing(
@@ -137,7 +137,7 @@
         self.sweeper = sweeping.Sweeper(
             cache_stores,
             self.chooser.kept_index,
-            self.weights.oldest,
+            self.weights.oldest_version,
             settings.instance.name,
             self.instances.all_names,
         )
@@ -145,7 +145,7 @@
         self.loss_sharing = loss_sharing.LossSharing(self.guard, self.calls)
         self.guard.on_lost = self.loss_sharing.add
         self.supervisor = supervision.Supervisor()
-        self.forwarding = forwarding.Forwarding(self.build_forwarding())
+        self.forwarding = forwarding.Forwarding(self.forwarding_dependencies())
         self.servers = self.build_servers()
         self.reloading = reloading.SettingsReloader(
             settings, self.apply_settings
@@ -157,29 +157,29 @@
         self.peer_configuration = peer_configuration.PeerConfiguration(
             self.feeds.operators, self.calls
         )
-        self.meeting = node_membership.Meeting(
+        self.peer_connector = node_membership.PeerConnector(
             settings,
             self.store,
             self.feeds.registrations,
-            self.told(),
+            self.peer_parts(),
             self.calls,
             self.instances,
             self.stopping,
-            self.tally,
+            self.malformed_counter,
             self.loop,
         )
         self.expiry = expiry.Expiry(
-            self.feeds.registrations, self.instances.heard
+            self.feeds.registrations, self.instances.fresh_names
         )
         node_metrics.register(self.metrics, self.readings())
         self.threads = threads.ThreadGauge(self.metrics)
         self.housekeeping = repeating.Repeater(
-            "housekeeping", self.keep_house, HOUSEKEEPING_S
+            "housekeeping", self.run_housekeeping, HOUSEKEEPING_INTERVAL_S
         )
 
-    def told(self) -> node_membership.Told:
+    def peer_parts(self) -> node_membership.PeerParts:
         """Return the parts that tell peers something."""
-        return node_membership.Told(
+        return node_membership.PeerParts(
             loads=self.chooser.loads,
             cell_loads=self.cell_loads,
             restarts=self.restarts,
@@ -192,7 +192,7 @@
             topics=self.topic_reads,
         )
 
-    def build_forwarding(self) -> request_context.Dependencies:
+    def forwarding_dependencies(self) -> request_context.Dependencies:
         """Return what forwarding needs."""
         bounds = self.settings.bounds
         registry = self.metrics
@@ -208,7 +208,7 @@
                 bounds.retry_ratio,
                 bounds.retry_slack,
                 bounds.retry_window_s,
-                self.instances.sharers,
+                self.instances.known_count,
             ),
             in_flight=self.in_flight,
             shutdown=self.shutdown,
@@ -218,7 +218,7 @@
     def build_servers(self) -> dict[str, http.Server]:
         """Return the servers by what they are for, nothing bound."""
         listen = self.settings.listen
-        small = local_handlers.SmallAnswers(
+        handlers = local_handlers.LocalHandlers(
             self.is_ready,
             zonal.ZonalLookup(
                 self.instances.all,
@@ -230,7 +230,7 @@
             self.metrics,
         )
         return node_servers.build(
-            listen, self.forwarding.handle, self.in_flight, small
+            listen, self.forwarding.handle, self.in_flight, handlers
         )
 
     # Life of the process.
@@ -249,10 +249,10 @@
         self.expiry.start()
         self.cell_loads.start()
         self.cell_weights.start()
-        self.meeting.start()
+        self.peer_connector.start()
         self.housekeeping.start()
 
-    def keep_house(self) -> None:
+    def run_housekeeping(self) -> None:
         """Forget what is old, and fetch what peers have newer."""
         self.feeds.registry.forget_lapsed()
         self.keep_only_endpoints(self.feeds.registry.ids())
@@ -265,7 +265,9 @@
         self.peer_configuration.review()
 
     def drain(
-        self, hurry: typing.Callable[[], bool], asked_s: float | None = None
+        self,
+        interrupted: typing.Callable[[], bool],
+        stop_requested_s: float | None = None,
     ) -> drains.Outcome:
         """Leave the lookups and serve what is under way.
 
@@ -282,14 +284,14 @@
             self.in_flight,
             self.forwarding.active_requests,
             self.instances,
-            self.sign_off,
-        ).run(hurry, asked_s)
+            self.deregister,
+        ).run(interrupted, stop_requested_s)
 
     def serving_bound_s(self) -> float:
         """Return the longest time from SIGTERM to the end of serving."""
         return self.settings.bounds.shutdown_s - EXIT_MARGIN_S
 
-    def sign_off(self) -> None:
+    def deregister(self) -> None:
         """Give up this instance's duty and registration."""
         self.weights.stop()
         self.feeds.registrations.stop()
@@ -311,9 +313,9 @@
         self.expiry.stop()
         self.cell_loads.stop()
         self.cell_weights.stop()
-        self.meeting.stop()
+        self.peer_connector.stop()
         if not self.shutdown.begun:
-            self.sign_off()
+            self.deregister()
         node_servers.stop_all(self.servers.values(), wait_s)
         self.in_flight.close(wait_s)
         self.feeds.stop()
@@ -358,13 +360,13 @@
         server.set_idle_timeout(limits.idle_timeout_s)
         server.max_request_header_size = limits.header_bytes
         server.max_request_body_size = limits.body_bytes
-        keeping = [
+        freeing_stores = [
             store for store in configuration.stores() if store.frees_on_request
         ]
-        self.chooser.kept_index.set_stores(keeping)
-        self.store_watches.follow([store.address for store in keeping])
+        self.chooser.kept_index.set_stores(freeing_stores)
+        self.store_watches.follow([store.address for store in freeing_stores])
 
-    def endpoints_gone(self, ids: frozenset[str]) -> None:
+    def forget_endpoints(self, ids: frozenset[str]) -> None:
         """Forget starts of endpoints that are over."""
         self.pool.forget(ids)
         for endpoint_id in ids:
--- a/src/briarseam/compose/node_calls.py
+++ b/src/briarseam/compose/node_calls.py
@@ -25,7 +25,7 @@
     from briarseam.wire import codec
 
 # Bound on telling another cell something; an answer takes some ms.
-TELL_S = 1.0
+CALL_TIMEOUT_S = 1.0
 # Who reads topics for a cell, and speaks for it to others.
 SPEAKER_KEY = "speaker"
 # One reads topics; others do when the store does not answer that one.  A
@@ -36,7 +36,7 @@
 Reply = typing.TypeVar("Reply")
 
 
-class Calls:
+class PeerCalls:
     """Calls to instances of this cell and of others.
 
     Parameters
@@ -47,7 +47,7 @@
 
     def __init__(self, instances: node_instances.Instances) -> None:
         self.instances = instances
-        self.far: dict[str, clients.Client] = {}
+        self.remote_clients: dict[str, clients.Client] = {}
         self.lock = threading.Lock()
 
     def require_membership(self) -> membership.Membership:
@@ -56,7 +56,7 @@
             raise replies.NoReplyError("no peer is met yet")
         return self.instances.membership
 
-    def near(
+    def call_in_cell(
         self,
         name: str,
         message: codec.Message,
@@ -76,7 +76,7 @@
         except wire_connection.WireError as error:
             raise replies.NoReplyError(str(error)) from error
 
-    def tell(
+    def call_cell(
         self, address: str, message: codec.Message, kind: type[Reply]
     ) -> Reply:
         """Tell an instance of another cell.
@@ -88,22 +88,22 @@
         """
         try:
             return replies.checked(
-                self.client(address).call(message, TELL_S), kind
+                self.remote_client(address).call(message, CALL_TIMEOUT_S), kind
             )
         except wire_connection.WireError as error:
             raise replies.NoReplyError(str(error)) from error
 
-    def client(self, address: str) -> clients.Client:
+    def remote_client(self, address: str) -> clients.Client:
         """Return the client of an instance of another cell."""
         membership = self.require_membership()
         with self.lock:
-            found = self.far.get(address)
-            if found is None:
-                found = clients.Client(
+            client = self.remote_clients.get(address)
+            if client is None:
+                client = clients.Client(
                     address, membership.identity, membership.key, max_idle=1
                 )
-                self.far[address] = found
-        return found
+                self.remote_clients[address] = client
+        return client
 
     # This cell and the others.
 
@@ -125,23 +125,25 @@
         return [
             member.agent_address
             for member in membership.live()
-            if member.name != self.instances.me
+            if member.name != self.instances.own_name
         ]
 
     def topic_readers(self) -> list[str]:
         """Return who may read topics for this cell, the speaker first."""
         return rank.strongest(
-            SPEAKER_KEY, self.instances.cell(), self.instances.weight_of
+            SPEAKER_KEY,
+            self.instances.names_in_cell(),
+            self.instances.weight_of,
         )[:TOPIC_READERS]
 
     def speaker(self) -> str:
         """Return who speaks for this cell; empty while not known."""
-        found = self.topic_readers()
-        return found[0] if found else ""
+        readers = self.topic_readers()
+        return readers[0] if readers else ""
 
     def is_speaker(self) -> bool:
         """Tell whether this instance speaks for its cell."""
-        return self.speaker() == self.instances.me
+        return self.speaker() == self.instances.own_name
 
     def addresses(self) -> list[str]:
         """Return where to reach the speaker of each other cell."""
@@ -152,14 +154,14 @@
                 cell[member.name] = member.agent_address
         cells.pop(self.name(), None)
         weight_of = self.instances.weight_of
-        found = [
+        addresses = [
             cell[rank.strongest(SPEAKER_KEY, cell, weight_of)[0]]
             for cell in cells.values()
         ]
         with self.lock:
-            for address in self.far.keys() - set(found):
-                self.far.pop(address).close()
-        return found
+            for address in self.remote_clients.keys() - set(addresses):
+                self.remote_clients.pop(address).close()
+        return addresses
 
     def publish_load(self, address: str, message: cell_loads.CellLoad) -> None:
         """Tell the work of this cell.
@@ -169,7 +171,7 @@
         NoReplyError
             When it may not have been taken in.
         """
-        self.tell(address, message, cell_loads.CellLoadNoted)
+        self.call_cell(address, message, cell_loads.CellLoadNoted)
 
     def send_losses(
         self, address: str, message: loss_sharing.RequestsLost
@@ -181,7 +183,7 @@
         NoReplyError
             When they may not have been taken in.
         """
-        self.tell(address, message, loss_sharing.RequestsLostNoted)
+        self.call_cell(address, message, loss_sharing.RequestsLostNoted)
 
     def publish_weights(
         self, address: str, message: cell_weights.WeightsTold
@@ -193,7 +195,7 @@
         NoReplyError
             When it may not have been taken in.
         """
-        self.tell(address, message, cell_weights.WeightsNoted)
+        self.call_cell(address, message, cell_weights.WeightsNoted)
 
     def query_configuration(
         self, name: str
@@ -205,9 +207,9 @@
         NoReplyError
             When it does not answer.
         """
-        asked = peer_configuration.ConfigurationAsked()
+        query = peer_configuration.ConfigurationAsked()
         kind = peer_configuration.ConfigurationTold
-        return self.near(name, asked, kind, TELL_S)
+        return self.call_in_cell(name, query, kind, CALL_TIMEOUT_S)
 
     # Instances of this cell that read for it.
 
@@ -230,14 +232,14 @@
         """
         kind = shared_messages.RecordsTold
         try:
-            return self.near(reader, query, kind, timeout_s)
+            return self.call_in_cell(reader, query, kind, timeout_s)
         except replies.NoReplyError as error:
             raise feeds_sharing.ReaderUnavailableError(str(error)) from error
 
     def read_stores(
         self,
         reader: str,
-        asked: store_messages.StoresAsked,
+        query: store_messages.StoresAsked,
         timeout_s: float,
     ) -> store_messages.StoresTold:
         """Ask what stores of KV cache keep.
@@ -249,6 +251,6 @@
         """
         kind = store_messages.StoresTold
         try:
-            return self.near(reader, asked, kind, timeout_s)
+            return self.call_in_cell(reader, query, kind, timeout_s)
         except replies.NoReplyError as error:
             raise shared_watch.ReaderUnavailableError(str(error)) from error
--- a/src/briarseam/compose/node_draining.py
+++ b/src/briarseam/compose/node_draining.py
@@ -12,7 +12,7 @@
 
 if typing.TYPE_CHECKING:
     from briarseam.compose import node_instances
-    from briarseam.forwarding import active_requests as forwarded
+    from briarseam.forwarding import active_requests as active
     from briarseam.forwarding import shutdown as shutdowns
 
 # For the last answers to requests that are cut off: their threads may wait
@@ -44,12 +44,14 @@
 
     shutdown: shutdowns.Shutdown
     in_flight: inflight.InFlight
-    active_requests: forwarded.ActiveRequests
+    active_requests: active.ActiveRequests
     instances: node_instances.Instances
-    sign_off: typing.Callable[[], None]
+    deregister: typing.Callable[[], None]
 
     def run(
-        self, hurry: typing.Callable[[], bool], asked_s: float | None
+        self,
+        interrupted: typing.Callable[[], bool],
+        stop_requested_s: float | None,
     ) -> drain.Outcome:
         """Drain; return how it ended.
 
@@ -61,18 +63,18 @@
             When this process was asked to stop, by the boot clock; now
             unless given.
         """
-        self.shutdown.begin(asked_s)
+        self.shutdown.begin(stop_requested_s)
         self.in_flight.move_to(inflight.Stage.LEAVING)
         bound_s = self.shutdown.bound_s()
         outcome = drain.Drain(
             announce=self.announce_leaving,
-            published=self.instances.told,
+            published=self.instances.is_published,
             in_flight=lambda: self.in_flight.count,
             settle=self.in_flight.refuse_if_idle,
             linger_s=lambda: min(LINGER_S, bound_s / 2),
             bound_s=bound_s,
             stop_requested_s=self.shutdown.begun_s,
-            interrupted=hurry,
+            interrupted=interrupted,
             clock=clocks.boot_clock,
         ).run()
         if isinstance(outcome, drain.CutOff):
@@ -87,5 +89,5 @@
             self.instances.membership.announce_leaving()
         # The store may be away; what serves must not wait for it.
         threading.Thread(
-            target=self.sign_off, name="sign-off", daemon=True
+            target=self.deregister, name="sign-off", daemon=True
         ).start()
--- a/src/briarseam/compose/node_feeds.py
+++ b/src/briarseam/compose/node_feeds.py
@@ -30,7 +30,7 @@
 # call for each write.  Of the time within which a leaving endpoint must get
 # no new work, so much may pass between two reads: the rest is for a read
 # that fails and the one after it.
-ENDPOINT_PAUSE_PART = 0.3
+ENDPOINT_PAUSE_SHARE = 0.3
 REGISTRATION_POLL_S = 10.0
 # When all instances start, each registration ends the poll of each other
 # one: 85 of them would make some 7,000 calls.
@@ -87,7 +87,7 @@
         table = self.operators.current()
         if table is None:
             return []
-        serving_it = {
+        service_names = {
             service.name
             for service in table.configuration.services.values()
             if service.engine is not None and model in service.engine.models
@@ -95,7 +95,7 @@
         return [
             endpoint
             for endpoint in self.registry.all()
-            if endpoint.service in serving_it
+            if endpoint.service in service_names
         ]
 
     def configuration_version(self) -> int:
@@ -109,7 +109,7 @@
     reads: sharing.SharedReads,
     on_configuration: typing.Callable[[routes.Configuration], None],
     on_gone: typing.Callable[[frozenset[str]], None],
-    tally: malformed.Tally,
+    malformed_counter: malformed.Tally,
 ) -> Feeds:
     """Return what is followed, nothing started.
 
@@ -129,12 +129,12 @@
         Notes records that can't be read.
     """
     feed = operators.OperatorFeed(
-        documents.OperatorDocuments(), on_configuration, tally
+        documents.OperatorDocuments(), on_configuration, malformed_counter
     )
     registry = registries.EndpointRegistry(
-        endpoints.decode_endpoint, on_gone, malformed_counter=tally
+        endpoints.decode_endpoint, on_gone, malformed_counter=malformed_counter
     )
-    rows = registrations.Registrations(
+    instances = registrations.Registrations(
         store,
         names.MEMBERS_TOPIC,
         registrations.Registration(
@@ -144,7 +144,7 @@
             zone=settings.instance.zone,
             weight=settings.capacity.weight(),
         ),
-        tally,
+        malformed_counter,
     )
     followers = (
         following.Follower(reads, names.OPERATOR_TOPIC, feed, OPERATOR_POLL_S),
@@ -153,14 +153,14 @@
             names.ENDPOINTS_TOPIC,
             registry,
             ENDPOINT_POLL_S,
-            ENDPOINT_PAUSE_PART * settings.bounds.endpoint_drain_ms / MS,
+            ENDPOINT_PAUSE_SHARE * settings.bounds.endpoint_drain_ms / MS,
         ),
         following.Follower(
             reads,
             names.MEMBERS_TOPIC,
-            rows,
+            instances,
             REGISTRATION_POLL_S,
             REGISTRATION_PAUSE_S,
         ),
     )
-    return Feeds(feed, registry, rows, followers)
+    return Feeds(feed, registry, instances, followers)
--- a/src/briarseam/compose/node_instances.py
+++ b/src/briarseam/compose/node_instances.py
@@ -19,7 +19,7 @@
 LEADER_KEY = "orders"
 # With so many times more instances registered than heard, most are not
 # lost: they have not been met yet.
-UNHEARD_FACTOR = 2
+UNMET_FACTOR = 2
 
 
 class Instances:
@@ -38,9 +38,9 @@
         Membership; ``None`` before peers are met.
     """
 
-    def __init__(self, me: str) -> None:
-        self.me = me
-        self.rows: registrations.Registrations | None = None
+    def __init__(self, own_name: str) -> None:
+        self.own_name = own_name
+        self.registrations: registrations.Registrations | None = None
         self.membership: membership.Membership | None = None
 
     def all(self) -> collections.abc.Sequence[members.Member]:
@@ -51,7 +51,7 @@
         """Return the names of all known instances."""
         return [member.name for member in self.all()]
 
-    def cell(self) -> list[str]:
+    def names_in_cell(self) -> list[str]:
         """Return the instances of this cell that stay, this one included."""
         if self.membership is None:
             return []
@@ -59,28 +59,36 @@
 
     def weight_of(self, name: str) -> float:
         """Return the work an instance can take, relative to others."""
-        return 1.0 if self.rows is None else self.rows.weight_of(name)
+        return (
+            1.0
+            if self.registrations is None
+            else self.registrations.weight_of(name)
+        )
 
-    def sharers(self) -> int:
+    def known_count(self) -> int:
         """Return how many instances share the budget for retries.
 
         Registrations are known before peers are met; taken for alone, an
         instance that has just started would use the whole slack.
         """
-        registered = 0 if self.rows is None else len(self.rows.by_name)
+        registered = (
+            0
+            if self.registrations is None
+            else len(self.registrations.by_name)
+        )
         return max(registered, len(self.all()))
 
-    def heard(self) -> list[str]:
+    def fresh_names(self) -> list[str]:
         """Return who is heard, by any cell; empty with no fresh view."""
         if self.membership is None or not self.membership.is_fresh():
             return []
         return self.all_names()
 
-    def told(self) -> bool:
+    def is_published(self) -> bool:
         """Tell whether all peers know what this instance says of itself."""
         return self.membership is None or self.membership.is_published()
 
-    def tell_at_once(self) -> None:
+    def publish_now(self) -> None:
         """Send the next heartbeats now."""
         if self.membership is not None:
             self.membership.publish_now()
@@ -89,13 +97,13 @@
         """Tell whether this instance should take part in giving orders."""
         if self.membership is None:
             return False
-        names = self.candidates()
+        names = self.eligible_names()
         if len(names) <= LEADER_CANDIDATES:
             return True
         ranked = rank.ranked(LEADER_KEY, names, str, self.weight_of)
-        return self.me in ranked[:LEADER_CANDIDATES]
+        return self.own_name in ranked[:LEADER_CANDIDATES]
 
-    def candidates(self) -> list[str]:
+    def eligible_names(self) -> list[str]:
         """Return the instances that may stand for giving orders.
 
         When all instances start at once, each hears only itself at first;
@@ -107,8 +115,12 @@
             for member in self.all()
             if member.state is members.MemberState.ALIVE
         ]
-        registered = [] if self.rows is None else list(self.rows.by_name)
-        if len(registered) <= UNHEARD_FACTOR * len(alive):
+        registered = (
+            []
+            if self.registrations is None
+            else list(self.registrations.by_name)
+        )
+        if len(registered) <= UNMET_FACTOR * len(alive):
             return alive
         return list({*alive, *registered})
 
@@ -117,12 +129,19 @@
 
         Instances of other cells are not heard directly.
         """
-        if self.rows is None or not self.rows.loaded.is_set():
+        if (
+            self.registrations is None
+            or not self.registrations.loaded.is_set()
+        ):
             return None
         cells = {
-            self.rows.cell_of(row.name, row.group)
-            for row in self.rows.by_name.values()
+            self.registrations.cell_of(row.name, row.group)
+            for row in self.registrations.by_name.values()
         }
         if len(cells) > 1:
             return None
-        return [name for name in self.rows.by_name if name != self.me]
+        return [
+            name
+            for name in self.registrations.by_name
+            if name != self.own_name
+        ]
--- a/src/briarseam/compose/node_membership.py
+++ b/src/briarseam/compose/node_membership.py
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Told:
+class PeerParts:
     """The parts that tell peers something.
 
     Attributes
@@ -72,7 +72,7 @@
 
     def sections(self) -> tuple[sections.Section, ...]:
         """Return what heartbeats carry."""
-        named: dict[str, typing.Any] = {
+        providers: dict[str, typing.Any] = {
             "endpoint-loads": self.loads,
             "endpoint-starts": self.restarts,
             "cell-loads": self.cell_loads,
@@ -83,32 +83,38 @@
         return (
             *(
                 sections.Section(name, part.provide, part.consume)
-                for name, part in named.items()
+                for name, part in providers.items()
             ),
-            *self.weights.told(),
+            *self.weights.heartbeat_sections(),
         )
 
-    def answers(self) -> collections.abc.Mapping[type, node_peers.Answer]:
+    def handlers(
+        self,
+    ) -> collections.abc.Mapping[type, node_peers.MessageHandler]:
         """Return what answers peers' messages, by their kind."""
         return {
-            store_messages.StoresAsked: node_peers.Answer(
+            store_messages.StoresAsked: node_peers.MessageHandler(
                 self.stores.answer, self.stores.await_changes
             ),
-            shared_messages.RecordsAsked: node_peers.Answer(
+            shared_messages.RecordsAsked: node_peers.MessageHandler(
                 self.topics.answer, self.topics.await_answer
             ),
-            loss_sharing.RequestsLost: node_peers.Answer(self.losses.handle),
-            cell_loads.CellLoad: node_peers.Answer(self.cell_loads.answer),
-            cell_weights.WeightsTold: node_peers.Answer(
+            loss_sharing.RequestsLost: node_peers.MessageHandler(
+                self.losses.handle
+            ),
+            cell_loads.CellLoad: node_peers.MessageHandler(
+                self.cell_loads.answer
+            ),
+            cell_weights.WeightsTold: node_peers.MessageHandler(
                 self.cell_weights.answer
             ),
-            peer_configuration.ConfigurationAsked: node_peers.Answer(
+            peer_configuration.ConfigurationAsked: node_peers.MessageHandler(
                 self.configuration.answer
             ),
         }
 
 
-class Meeting:
+class PeerConnector:
     """Joins the other instances, as soon as the store lets us.
 
     Parameters
@@ -131,22 +137,22 @@
         self,
         settings: serving.ServeSettings,
         store: stores.StoreClient,
-        rows: registrations.Registrations,
-        told: Told,
-        calls: node_calls.Calls,
+        registrations: registrations.Registrations,
+        parts: PeerParts,
+        calls: node_calls.PeerCalls,
         instances: node_instances.Instances,
         stopping: threading.Event,
-        tally: malformed.Tally,
+        malformed_counter: malformed.Tally,
         loop: event_loop.EventLoop,
     ) -> None:
         self.settings = settings
         self.store = store
-        self.rows = rows
-        self.told = told
+        self.registrations = registrations
+        self.parts = parts
         self.calls = calls
         self.instances = instances
         self.stopping = stopping
-        self.tally = tally
+        self.malformed_counter = malformed_counter
         self.loop = loop
         self.load_exchange: load_exchange.LoadExchange | None = None
 
@@ -166,26 +172,26 @@
         service = node_peers.join(
             self.settings,
             self.store,
-            self.rows,
-            self.told.sections(),
-            self.told.answers(),
+            self.registrations,
+            self.parts.sections(),
+            self.parts.handlers(),
             self.stopping,
-            self.tally,
+            self.malformed_counter,
             self.loop,
         )
         self.instances.membership = service
         if service is not None:
-            self.tell_loads(service)
+            self.start_load_exchange(service)
         log.info("peers_met", address=str(self.settings.listen.peers))
 
-    def tell_loads(self, service: membership.Membership) -> None:
+    def start_load_exchange(self, service: membership.Membership) -> None:
         """Begin to tell the cell this instance's work as it changes."""
         self.load_exchange = load_exchange.LoadExchange(
-            self.told.loads,
+            self.parts.loads,
             self.settings.instance.name,
             str(self.settings.listen.peers),
             self.calls.peers,
             service.key,
-            self.tally,
+            self.malformed_counter,
         )
         self.load_exchange.start()
--- a/src/briarseam/compose/node_peers.py
+++ b/src/briarseam/compose/node_peers.py
@@ -8,7 +8,7 @@
 
 from briarseam.membership import service as membership
 from briarseam.membership import state as members
-from briarseam.peers import registrations
+from briarseam.peers import registrations as peer_registrations
 from briarseam.platform import framing
 from briarseam.platform import names
 from briarseam.wire import codec
@@ -27,14 +27,14 @@
 
 # What instances tell each other of engines' load is as old as this, and
 # prompts that arrive meanwhile are placed without it.
-HEARTBEAT_S = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 # Three heartbeats and a little: callers are no longer sent there then.
 SUSPECT_AFTER_S = 1.6
 LISTING_INTERVAL_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True)
-class Answer:
+class MessageHandler:
     """What answers one kind of message of other instances.
 
     Attributes
@@ -46,18 +46,18 @@
         answer is always due at once.
     """
 
-    find: typing.Callable[[typing.Any], codec.Message]
+    answer: typing.Callable[[typing.Any], codec.Message]
     wait: wire.Wait | None = None
 
 
 def join(
     settings: serving.ServeSettings,
     store: stores.StoreClient,
-    rows: registrations.Registrations,
-    told: collections.abc.Sequence[sections.Section],
-    answers: collections.abc.Mapping[type, Answer],
+    registrations: peer_registrations.Registrations,
+    heartbeat_sections: collections.abc.Sequence[sections.Section],
+    handlers: collections.abc.Mapping[type, MessageHandler],
     stopping: threading.Event,
-    tally: malformed.Tally,
+    malformed_counter: malformed.Tally,
     loop: event_loop.EventLoop,
 ) -> membership.Membership | None:
     """Join the other instances, once the store tells the secret.
@@ -81,15 +81,15 @@
     loop
         Runs the connections to and from other instances.
     """
-    registrations.wait_for_secret(
-        rows, stopping, settings.instance.first_start
+    peer_registrations.wait_for_secret(
+        registrations, stopping, settings.instance.first_start
     )
-    secret = rows.secret or registrations.agree_on_secret(
+    secret = registrations.secret or peer_registrations.agree_on_secret(
         store, names.MEMBERS_TOPIC, framing.encode_keyed, stopping
     )
     if secret is None:
         return None
-    rows.agreed_secret = secret
+    registrations.agreed_secret = secret
     service = membership.Membership(
         members.LocalAgent(
             name=settings.instance.name,
@@ -97,25 +97,25 @@
             agent_address=str(settings.listen.peers),
             entry_addresses=(str(settings.listen.callers),),
         ),
-        rows,
+        registrations,
         secret,
-        cell_of=rows.cell_of,
-        heartbeat_interval_s=HEARTBEAT_S,
+        cell_of=registrations.cell_of,
+        heartbeat_interval_s=HEARTBEAT_INTERVAL_S,
         suspect_after_s=SUSPECT_AFTER_S,
         list_interval_s=LISTING_INTERVAL_S,
-        malformed_counter=tally,
+        malformed_counter=malformed_counter,
         loop=loop,
     )
-    for section in told:
+    for section in heartbeat_sections:
         service.add_section(section.name, section.provide, section.consume)
     router = wire.Router()
     service.register(router)
-    for kind, answer in answers.items():
-        handler = functools.partial(reply, answer.find)
-        if answer.wait is None:
-            router.on_quick(kind, handler)
+    for kind, handler in handlers.items():
+        handle = functools.partial(handle_message, handler.answer)
+        if handler.wait is None:
+            router.on_quick(kind, handle)
         else:
-            router.on(kind, handler, answer.wait)
+            router.on(kind, handle, handler.wait)
     wire.Server(
         str(settings.listen.peers),
         wire_connection.Identity("agent", settings.instance.name),
@@ -124,15 +124,15 @@
         loop=loop,
     ).start()
     service.start()
-    rows.start()
+    registrations.start()
     return service
 
 
-def reply(
-    find: typing.Callable[[typing.Any], codec.Message],
+def handle_message(
+    answer: typing.Callable[[typing.Any], codec.Message],
     peer: wire_connection.Identity,
     message: codec.Message,
 ) -> codec.Message:
     """Answer a message, whoever sent it."""
     del peer
-    return find(message)
+    return answer(message)
--- a/src/briarseam/compose/node_servers.py
+++ b/src/briarseam/compose/node_servers.py
@@ -16,14 +16,14 @@
     from briarseam.settings import sections
     from briarseam.settings import serving
 
-Handle = typing.Callable[[http.Exchange], None]
+Handler = typing.Callable[[http.Exchange], None]
 
 
 def build(
     listen: serving.Listen,
-    forward: Handle,
+    forward: Handler,
     in_flight: inflight.InFlight,
-    small: local_handlers.SmallAnswers,
+    local: local_handlers.LocalHandlers,
 ) -> dict[str, http.Server]:
     """Return the servers by what they are for, nothing bound.
 
@@ -38,15 +38,15 @@
     small
         Answers everything else.
     """
-    handles: dict[str, tuple[sections.Address, Handle]] = {
-        "readiness": (listen.readiness, small.readiness),
-        "lookups": (listen.lookups, small.addresses),
-        "metrics": (listen.metrics, small.scrape),
+    handlers: dict[str, tuple[sections.Address, Handler]] = {
+        "readiness": (listen.readiness, local.readiness),
+        "lookups": (listen.lookups, local.addresses),
+        "metrics": (listen.metrics, local.scrape),
     }
     callers = (listen.callers.ip, listen.callers.port)
     servers = {"callers": http.Server("callers", callers, forward, in_flight)}
-    for name, (address, handle) in handles.items():
-        servers[name] = http.Server(name, (address.ip, address.port), handle)
+    for name, (address, handler) in handlers.items():
+        servers[name] = http.Server(name, (address.ip, address.port), handler)
     return servers
 
 
--- a/src/briarseam/compose/node_weights.py
+++ b/src/briarseam/compose/node_weights.py
@@ -24,7 +24,7 @@
     from briarseam.settings import serving
 
 ORDERS_GROUP = "briarseam-orders"
-START_BYTES = 4
+INCARNATION_BYTES = 4
 # Added to the time for which holders must not take turns: orders arrive a
 # little after they were sent.
 LEASE_SLACK_S = 0.3
@@ -91,13 +91,13 @@
             lambda: self.settings.bounds.engines_check_fence,
         )
         # What was logged last as excluded, by model.
-        self.excluded: dict[str, int] = {}
-        start = secrets.token_hex(START_BYTES)
+        self.logged_oldest: dict[str, int] = {}
+        incarnation = secrets.token_hex(INCARNATION_BYTES)
         self.leadership = leader.Leadership(
             store,
             ORDERS_GROUP,
             names.ORDERS_TOPIC,
-            f"{settings.instance.name}/{start}",
+            f"{settings.instance.name}/{incarnation}",
             settings.bounds.lease_ms / MS + LEASE_SLACK_S,
             self.is_leader_candidate,
             self.are_others_idle,
@@ -111,9 +111,9 @@
                 engines=engines,
                 known_weights=self.known_weights,
                 own_name=settings.instance.name,
-                remaining_s=self.time_left_s,
+                remaining_s=self.remaining_s,
                 before_order=self.leader_reports.record_order,
-                publish=instances.tell_at_once,
+                publish=instances.publish_now,
             )
         )
 
@@ -129,7 +129,7 @@
         self.goal_times.stop()
         self.leadership.stop()
 
-    def told(self) -> tuple[sections.Section, ...]:
+    def heartbeat_sections(self) -> tuple[sections.Section, ...]:
         """Return what heartbeats carry."""
         return (
             sections.Section(
@@ -168,24 +168,24 @@
             return 0.0
         return self.settings.bounds.version_ms / MS - VERSION_MARGIN_S
 
-    def time_left_s(self, model: str, version: int) -> float:
+    def remaining_s(self, model: str, version: int) -> float:
         """Return the seconds until weights are out of use."""
         return self.goals.remaining_s(model, version, self.excluded_after_s())
 
     def required(self, model: str) -> int:
         """Return the oldest weights that requests may still begin on."""
-        found = self.goals.oldest_allowed(model, self.excluded_after_s())
-        if found != self.excluded.get(model, 0):
-            self.excluded[model] = found
+        oldest = self.goals.oldest_allowed(model, self.excluded_after_s())
+        if oldest != self.logged_oldest.get(model, 0):
+            self.logged_oldest[model] = oldest
             log.info(
                 "older_weights_excluded",
                 model=model,
-                oldest=found,
+                oldest=oldest,
                 times_known=self.goal_times.known.is_set(),
             )
-        return found
+        return oldest
 
-    def oldest(self, model: str) -> int | None:
+    def oldest_version(self, model: str) -> int | None:
         """Return the oldest weights that an engine may have.
 
         ``None`` when an engine's are not known, or there is none: one that
--- a/tests/compose/test_node_calls.py
+++ b/tests/compose/test_node_calls.py
@@ -43,22 +43,22 @@
         return self.reply
 
 
-def calls(me="a1", reply=None):
+def calls(own_name="a1", reply=None):
     service = types.SimpleNamespace(
-        local_member=member(me, "a"),
+        local_member=member(own_name, "a"),
         members=lambda: MEMBERS[:2],
         client=lambda name: Peer(reply),
-        identity=connection.Identity("agent", me),
+        identity=connection.Identity("agent", own_name),
         key=b"key",
     )
     instances = types.SimpleNamespace(
-        me=me,
+        own_name=own_name,
         membership=service,
         all=lambda: MEMBERS,
-        cell=lambda: ["a1", "a2"],
+        names_in_cell=lambda: ["a1", "a2"],
         weight_of=lambda name: WEIGHTS.get(name, 1.0),
     )
-    return node_calls.Calls(instances)
+    return node_calls.PeerCalls(instances)
 
 
 def test_strongest_of_a_cell_speaks_for_it():
--- a/tests/compose/test_node_instances.py
+++ b/tests/compose/test_node_instances.py
@@ -26,10 +26,10 @@
     )
 
 
-def instances(me="instance-0", **options):
-    made = node_instances.Instances(me)
-    made.rows = registrations.Registrations(
-        None, "topic", registrations.Registration(me, "", "north", "a")
+def instances(own_name="instance-0", **options):
+    made = node_instances.Instances(own_name)
+    made.registrations = registrations.Registrations(
+        None, "topic", registrations.Registration(own_name, "", "north", "a")
     )
     if options:
         made.membership = service(**options)
@@ -37,7 +37,7 @@
 
 
 def register(made, names, weight=1.0):
-    made.rows.by_name = {
+    made.registrations.by_name = {
         name: registrations.Registration(name, "", "north", "a", weight)
         for name in names
     }
@@ -50,7 +50,7 @@
     """
     made = instances()
     register(made, NAMES)
-    assert made.sharers() == len(NAMES)
+    assert made.known_count() == len(NAMES)
 
 
 @pytest.mark.parametrize(
@@ -101,5 +101,7 @@
 
 
 def test_nobody_is_heard_by_who_has_no_fresh_view():
-    assert instances(everyone=NAMES, cell=NAMES, fresh=False).heard() == []
-    assert instances(everyone=NAMES, cell=NAMES).heard() == NAMES
+    assert (
+        instances(everyone=NAMES, cell=NAMES, fresh=False).fresh_names() == []
+    )
+    assert instances(everyone=NAMES, cell=NAMES).fresh_names() == NAMES
--- a/tests/compose/test_node_weights.py
+++ b/tests/compose/test_node_weights.py
@@ -67,11 +67,11 @@
     assert weights.required("m") == 0
     weights.goals.add(goals.WeightGoal("m", 2), age_s=10.1)
     assert weights.required("m") == 2
-    assert weights.time_left_s("m", 1) <= 0
+    assert weights.remaining_s("m", 1) <= 0
 
 
 def test_entry_of_another_service_keeps_no_parts_of_old_weights(weights):
     """An entry that names a model of ours, written by somebody else, would
     keep what is stored of old weights for ever.
     """
-    assert weights.oldest("m") == 2
+    assert weights.oldest_version("m") == 2
