--- a/src/briarseam/compose/local_handlers.py
+++ b/src/briarseam/compose/local_handlers.py
@@ -1,4 +1,4 @@
-"""Answers that need no endpoint: readiness, lookups, metrics."""
+"""HTTP handlers that need no endpoint: readiness, lookups, metrics."""
 
 from __future__ import annotations
 
@@ -15,23 +15,24 @@
 OK = 200
 NOT_FOUND = 404
 NOT_READY = 503
-# Callers of an instance that dies go on trying it for this long.
+# Callers keep trying an instance that failed for this long.
 LOOKUP_TTL_S = 2.0
 
 
 class LocalHandlers:
-    """Answers questions about this instance.
+    """Answers readiness probes, lookups and scrapes of metrics.
 
     Parameters
     ----------
     is_ready
-        Tells whether callers may be sent here.
+        Returns whether callers may be directed to this instance.
     lookup
-        Knows which addresses callers should use.
+        Finds the addresses that callers should use.
     own_address
-        Where callers reach this instance.
-    most_ttl_s
-        Returns the longest time that callers keep addresses, in seconds.
+        The address of this instance for callers.
+    max_ttl_s
+        Returns the maximum time for which callers keep addresses, in
+        seconds.
     registry
         The metrics.
     """
@@ -51,14 +52,14 @@
         self.registry = registry
 
     def readiness(self, exchange: http.Exchange) -> None:
-        """Tell whether this instance is ready."""
+        """Answer a readiness probe."""
         if not answers.is_readiness(exchange.target):
             exchange.answer(NOT_FOUND, (), b"")
             return
         exchange.answer(OK if self.is_ready() else NOT_READY, (), b"")
 
     def addresses(self, exchange: http.Exchange) -> None:
-        """Tell a caller which addresses to use."""
+        """Answer a lookup with the addresses that the caller should use."""
         query = answers.decode_lookup(exchange.target)
         if query is None:
             exchange.answer(NOT_FOUND, (), b"")
@@ -74,6 +75,6 @@
         exchange.answer(OK, (("Content-Type", answers.JSON),), body)
 
     def scrape(self, exchange: http.Exchange) -> None:
-        """Answer a scrape."""
+        """Answer a scrape with the metrics."""
         headers = (("Content-Type", rendering.CONTENT_TYPE),)
         exchange.answer(OK, headers, self.registry.render().encode())
--- a/src/briarseam/compose/node.py
+++ b/src/briarseam/compose/node.py
@@ -1,4 +1,4 @@
-"""Composing the one process that serves on the users' platform."""
+"""Composition of the process that serves on the users' platform."""
 
 from __future__ import annotations
 
@@ -59,14 +59,14 @@
     from briarseam.settings import serving
 
 HOUSEKEEPING_INTERVAL_S = 1.0
-# Left of the time to shut down, for the end of the process itself.
+# Part of the shutdown time that is reserved for the exit of the process.
 EXIT_MARGIN_S = 1.0
 STOP_WAIT_S = 5.0
 log = structlog.get_logger("briarseam.node")
 
 
 class Node:
-    """One instance: it answers callers, lookups and readiness.
+    """One instance, which answers callers, lookups and readiness probes.
 
     Parameters
     ----------
@@ -178,7 +178,7 @@
         )
 
     def peer_parts(self) -> node_membership.PeerParts:
-        """Return the parts that tell peers something."""
+        """Return the parts that exchange state with peers."""
         return node_membership.PeerParts(
             loads=self.chooser.loads,
             cell_loads=self.cell_loads,
@@ -193,7 +193,7 @@
         )
 
     def forwarding_dependencies(self) -> request_context.Dependencies:
-        """Return what forwarding needs."""
+        """Return the dependencies of forwarding."""
         bounds = self.settings.bounds
         registry = self.metrics
         return request_context.Dependencies(
@@ -216,7 +216,7 @@
         )
 
     def build_servers(self) -> dict[str, http.Server]:
-        """Return the servers by what they are for, nothing bound."""
+        """Return the servers by purpose, not yet bound."""
         listen = self.settings.listen
         handlers = local_handlers.LocalHandlers(
             self.is_ready,
@@ -233,10 +233,10 @@
             listen, self.forwarding.handle, self.in_flight, handlers
         )
 
-    # Life of the process.
+    # Start and stop.
 
     def start(self) -> None:
-        """Begin to serve; peers are met in a thread of its own."""
+        """Start serving; a separate thread connects to the peers."""
         self.supervisor.start()
         self.reloading.start()
         for server in self.servers.values():
@@ -253,7 +253,7 @@
         self.housekeeping.start()
 
     def run_housekeeping(self) -> None:
-        """Forget what is old, and fetch what peers have newer."""
+        """Drop expired state, and fetch newer configurations from peers."""
         self.feeds.registry.forget_lapsed()
         self.keep_only_endpoints(self.feeds.registry.ids())
         self.pool.close_expired()
@@ -269,15 +269,15 @@
         interrupted: typing.Callable[[], bool],
         stop_requested_s: float | None = None,
     ) -> drains.Outcome:
-        """Leave the lookups and serve what is under way.
+        """Leave the lookups and serve the requests in flight.
 
         Parameters
         ----------
-        hurry
-            Whether to give up waiting now.
-        asked_s
-            When this process was asked to stop, by the boot clock; now
-            unless given.
+        interrupted
+            Whether to stop waiting now.
+        stop_requested_s
+            Time of the request to stop, by the boot clock; now unless
+            given.
         """
         return node_draining.Draining(
             self.shutdown,
@@ -292,7 +292,7 @@
         return self.settings.bounds.shutdown_s - EXIT_MARGIN_S
 
     def deregister(self) -> None:
-        """Give up this instance's duty and registration."""
+        """Release the lease for issuing orders, and the registration."""
         self.weights.stop()
         self.feeds.registrations.stop()
 
@@ -302,7 +302,7 @@
         Parameters
         ----------
         wait_s
-            Longest wait for the servers to end, in seconds.
+            Maximum wait for the servers to stop, in seconds.
         """
         self.stopping.set()
         self.housekeeping.stop()
@@ -326,7 +326,7 @@
         self.supervisor.stop()
 
     def apply_settings(self, settings: serving.ServeSettings) -> None:
-        """Put changed settings in force, but for where this listens."""
+        """Apply changed settings, except for the listen addresses."""
         self.settings = settings
         self.weights.settings = settings
         bounds = settings.bounds
@@ -336,10 +336,10 @@
         if str(settings.store.address) != self.store.address:
             self.store.move_to(str(settings.store.address))
 
-    # What the parts ask of each other.
+    # Callbacks of the parts.
 
     def readings(self) -> node_metrics.Readings:
-        """Return what metrics tell of the parts."""
+        """Return the values of the parts that metrics read."""
         return node_metrics.Readings(
             in_flight=lambda: self.in_flight.count,
             connections_opened=lambda: self.pool.opened,
@@ -354,7 +354,7 @@
     def configuration_changed(
         self, configuration: routes.Configuration
     ) -> None:
-        """Let the callers' server keep to the limits in force."""
+        """Apply the limits of a new configuration, and follow its stores."""
         limits = configuration.limits
         server = self.servers["callers"]
         server.set_idle_timeout(limits.idle_timeout_s)
@@ -367,28 +367,28 @@
         self.store_watches.follow([store.address for store in freeing_stores])
 
     def forget_endpoints(self, ids: frozenset[str]) -> None:
-        """Forget starts of endpoints that are over."""
+        """Drop the state of endpoint starts that are gone."""
         self.pool.forget(ids)
         for endpoint_id in ids:
             self.chooser.residency.forget(endpoint_id)
             self.weights.known_weights.forget(endpoint_id)
 
     def keep_only_endpoints(self, ids: frozenset[str]) -> None:
-        """Forget what came late of starts that are over.
+        """Drop state that arrived after its endpoint start was gone.
 
-        Guard: it is of no effect, since it is found under the id of its own
-        start only, but it would stay for good, and endpoints restart all
-        day.
+        Guard: such state is never used, since it is stored under the id of
+        that start, but it would not be freed: endpoints restart all day, so
+        memory would grow without bound.
         """
         self.pool.keep_only(ids)
         self.chooser.forget_old(ids)
         self.weights.known_weights.keep_only(ids)
 
     def is_ready(self) -> bool:
-        """Tell whether callers may be sent here.
+        """Return whether callers may be directed to this instance.
 
-        Before it is known how old wanted weights are, prompts are refused
-        where engines have older ones.
+        Until the ages of the weight goals are known, prompts are refused
+        where engines have older weights.
         """
         return (
             not self.shutdown.begun
--- a/src/briarseam/compose/node_calls.py
+++ b/src/briarseam/compose/node_calls.py
@@ -1,4 +1,4 @@
-"""Calls of the one process to other instances, as its parts need them."""
+"""Calls of the serving process to other instances."""
 
 from __future__ import annotations
 
@@ -24,25 +24,31 @@
     from briarseam.membership import service as membership
     from briarseam.wire import codec
 
-# Bound on telling another cell something; an answer takes some ms.
+# Timeout of calls that publish or query state; an answer takes a few ms.
 CALL_TIMEOUT_S = 1.0
-# Who reads topics for a cell, and speaks for it to others.
+# Key of the ranking of instances that read topics for their cell; the first
+# also represents the cell to other cells.
 SPEAKER_KEY = "speaker"
-# One reads topics; others do when the store does not answer that one.  A
-# store that turns a third of the instances away leaves one of three in 24
-# of 25 cells.
+# The first reads topics; the others replace it while the store does not
+# answer it.  If the store rejects a third of the instances, 24 of 25 cells
+# still have at least one of three readers.
 TOPIC_READERS = 3
 
 Reply = typing.TypeVar("Reply")
 
 
 class PeerCalls:
-    """Calls to instances of this cell and of others.
+    """Calls to instances of this cell and of other cells.
 
     Parameters
     ----------
     instances
         All instances.
+
+    Attributes
+    ----------
+    remote_clients
+        Clients of the speakers of other cells, by address.
     """
 
     def __init__(self, instances: node_instances.Instances) -> None:
@@ -51,9 +57,15 @@
         self.lock = threading.Lock()
 
     def require_membership(self) -> membership.Membership:
-        """Return membership, or raise :class:`replies.NoReplyError`."""
+        """Return the membership.
+
+        Raises
+        ------
+        NoReplyError
+            If this instance has not joined its peers yet.
+        """
         if self.instances.membership is None:
-            raise replies.NoReplyError("no peer is met yet")
+            raise replies.NoReplyError("not connected to peers yet")
         return self.instances.membership
 
     def call_in_cell(
@@ -63,12 +75,12 @@
         kind: type[Reply],
         timeout_s: float,
     ) -> Reply:
-        """Ask an instance of this cell.
+        """Call an instance of this cell.
 
         Raises
         ------
         NoReplyError
-            When it does not answer with what was asked.
+            If it does not answer with a message of the expected kind.
         """
         try:
             client = self.require_membership().client(name)
@@ -76,15 +88,15 @@
         except wire_connection.WireError as error:
             raise replies.NoReplyError(str(error)) from error
 
-    def call_cell(
+    def call_remote(
         self, address: str, message: codec.Message, kind: type[Reply]
     ) -> Reply:
-        """Tell an instance of another cell.
+        """Call an instance of another cell.
 
         Raises
         ------
         NoReplyError
-            When it does not answer with what was expected.
+            If it does not answer with a message of the expected kind.
         """
         try:
             return replies.checked(
@@ -105,20 +117,20 @@
                 self.remote_clients[address] = client
         return client
 
-    # This cell and the others.
+    # This cell and other cells.
 
     def name(self) -> str:
-        """Return the name of this cell; empty before peers are met."""
+        """Return the name of this cell; empty before joining the peers."""
         membership = self.instances.membership
         return "" if membership is None else membership.local_member.cell
 
     def size(self) -> int:
-        """Return how many instances this cell has."""
+        """Return the number of instances of this cell."""
         membership = self.instances.membership
         return 1 if membership is None else len(membership.members())
 
     def peers(self) -> list[str]:
-        """Return where to reach the other instances of this cell."""
+        """Return the addresses of the other instances of this cell."""
         membership = self.instances.membership
         if membership is None:
             return []
@@ -129,7 +141,7 @@
         ]
 
     def topic_readers(self) -> list[str]:
-        """Return who may read topics for this cell, the speaker first."""
+        """Return the topic readers of this cell, the speaker first."""
         return rank.strongest(
             SPEAKER_KEY,
             self.instances.names_in_cell(),
@@ -137,16 +149,19 @@
         )[:TOPIC_READERS]
 
     def speaker(self) -> str:
-        """Return who speaks for this cell; empty while not known."""
+        """Return the speaker of this cell; empty while unknown."""
         readers = self.topic_readers()
         return readers[0] if readers else ""
 
     def is_speaker(self) -> bool:
-        """Tell whether this instance speaks for its cell."""
+        """Return whether this instance is the speaker of its cell."""
         return self.speaker() == self.instances.own_name
 
     def addresses(self) -> list[str]:
-        """Return where to reach the speaker of each other cell."""
+        """Return the address of the speaker of each other cell.
+
+        Clients of instances that are no longer speakers are closed.
+        """
         cells: dict[str, dict[str, str]] = {}
         for member in self.instances.all():
             if member.state is members.MemberState.ALIVE:
@@ -164,54 +179,54 @@
         return addresses
 
     def publish_load(self, address: str, message: cell_loads.CellLoad) -> None:
-        """Tell the work of this cell.
+        """Publish the load of this cell to another cell.
 
         Raises
         ------
         NoReplyError
-            When it may not have been taken in.
+            If it may not have been applied.
         """
-        self.call_cell(address, message, cell_loads.CellLoadNoted)
+        self.call_remote(address, message, cell_loads.CellLoadNoted)
 
     def send_losses(
         self, address: str, message: loss_sharing.RequestsLost
     ) -> None:
-        """Tell requests that were lost with an endpoint.
+        """Send requests that were lost with an endpoint to another cell.
 
         Raises
         ------
         NoReplyError
-            When they may not have been taken in.
+            If they may not have been applied.
         """
-        self.call_cell(address, message, loss_sharing.RequestsLostNoted)
+        self.call_remote(address, message, loss_sharing.RequestsLostNoted)
 
     def publish_weights(
         self, address: str, message: cell_weights.WeightsTold
     ) -> None:
-        """Tell which engines are being given new weights.
+        """Publish which engines are loading new weights.
 
         Raises
         ------
         NoReplyError
-            When it may not have been taken in.
+            If it may not have been applied.
         """
-        self.call_cell(address, message, cell_weights.WeightsNoted)
+        self.call_remote(address, message, cell_weights.WeightsNoted)
 
     def query_configuration(
         self, name: str
     ) -> peer_configuration.ConfigurationTold:
-        """Ask an instance of this cell for its configuration.
+        """Query an instance of this cell for its configuration.
 
         Raises
         ------
         NoReplyError
-            When it does not answer.
+            If it does not answer.
         """
         query = peer_configuration.ConfigurationAsked()
         kind = peer_configuration.ConfigurationTold
         return self.call_in_cell(name, query, kind, CALL_TIMEOUT_S)
 
-    # Instances of this cell that read for it.
+    # Reads through other instances of this cell.
 
     def instance_count(self) -> int:
         """Return the number of all instances."""
@@ -223,12 +238,12 @@
         query: shared_messages.RecordsAsked,
         timeout_s: float,
     ) -> shared_messages.RecordsTold:
-        """Ask for records of a shared topic.
+        """Query a reader for records of a shared topic.
 
         Raises
         ------
         ReaderUnavailableError
-            When the reader does not answer.
+            If the reader does not answer.
         """
         kind = shared_messages.RecordsTold
         try:
@@ -242,12 +257,12 @@
         query: store_messages.StoresAsked,
         timeout_s: float,
     ) -> store_messages.StoresTold:
-        """Ask what stores of KV cache keep.
+        """Query a reader for the contents of KV cache stores.
 
         Raises
         ------
         ReaderUnavailableError
-            When the reader does not answer.
+            If the reader does not answer.
         """
         kind = store_messages.StoresTold
         try:
--- a/src/briarseam/compose/node_draining.py
+++ b/src/briarseam/compose/node_draining.py
@@ -1,4 +1,4 @@
-"""Composing how an instance leaves between SIGTERM and its end."""
+"""Composition of the drain of an instance between SIGTERM and its exit."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
     from briarseam.forwarding import active_requests as active
     from briarseam.forwarding import shutdown as shutdowns
 
-# For the last answers to requests that are cut off: their threads may wait
-# for a connection to an endpoint, which takes 0.4 s at most.
+# Time for the final answers to requests that are cut off: their threads may
+# be connecting to an endpoint, which takes up to 0.4 s.
 FINAL_ANSWERS_S = 0.5
-# Lookups are kept for three times their time to live by some callers, but
-# those have other addresses to turn to.
+# Some callers keep a lookup for three times its time to live, but they have
+# other addresses to try.
 LINGER_S = 3.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Draining:
-    """Leaves the lookups and serves what is under way.
+    """Leaves the lookups and serves the requests in flight.
 
     Attributes
     ----------
     shutdown
-        What is still taken on, and until when.
+        The state of the shutdown and its deadline.
     in_flight
         Requests in flight.
     active_requests
-        Those that are being forwarded.
+        Requests that are being forwarded.
     instances
-        The peers that give out lookups.
-    sign_off
-        Gives up this instance's duty and registration; may wait for the
-        store.
+        The peers that answer lookups.
+    deregister
+        Releases the lease for issuing orders, and the registration; may
+        wait for the store.
     """
 
     shutdown: shutdowns.Shutdown
@@ -57,11 +57,11 @@
 
         Parameters
         ----------
-        hurry
-            Whether to give up waiting now.
-        asked_s
-            When this process was asked to stop, by the boot clock; now
-            unless given.
+        interrupted
+            Whether to stop waiting now.
+        stop_requested_s
+            Time of the request to stop, by the boot clock; now unless
+            given.
         """
         self.shutdown.begin(stop_requested_s)
         self.in_flight.move_to(inflight.Stage.LEAVING)
@@ -84,10 +84,10 @@
         return outcome
 
     def announce_leaving(self) -> None:
-        """Tell peers and store that this instance will be gone soon."""
+        """Publish to peers and the store that this instance is leaving."""
         if self.instances.membership is not None:
             self.instances.membership.announce_leaving()
-        # The store may be away; what serves must not wait for it.
+        # The store may be unavailable, and the drain must not wait for it.
         threading.Thread(
             target=self.deregister, name="sign-off", daemon=True
         ).start()
--- a/src/briarseam/compose/node_feeds.py
+++ b/src/briarseam/compose/node_feeds.py
@@ -1,4 +1,4 @@
-"""What the process on the users' platform follows on the store."""
+"""The topics of the platform's store that the serving process follows."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
     from briarseam.routes import model as routes
     from briarseam.settings import serving
 
-# A change must be in force within two seconds of an instance being in touch
-# for three.  A connection that went silent shows at the end of a poll, so
-# that end must come in three seconds.
+# A change must be in force two seconds after an instance has been connected
+# for three.  A silent connection is detected at the end of a poll only, so a
+# poll must end within three seconds.
 OPERATOR_POLL_S = 2.0
 ENDPOINT_POLL_S = 1.5
-# Endpoints write every second or so, each; read one by one that would be a
-# call for each write.  Of the time within which a leaving endpoint must get
-# no new work, so much may pass between two reads: the rest is for a read
-# that fails and the one after it.
+# Pause between two reads, as a share of the time within which a leaving
+# endpoint must get no new work; the rest is for a failed read and the next
+# one.  Without a pause each write would cost a call, and each endpoint
+# writes about once a second.
 ENDPOINT_PAUSE_SHARE = 0.3
 REGISTRATION_POLL_S = 10.0
-# When all instances start, each registration ends the poll of each other
-# one: 85 of them would make some 7,000 calls.
+# When all instances start at once, each registration ends the poll of every
+# other instance: without a pause, 85 instances make some 7,000 calls.
 REGISTRATION_PAUSE_S = 0.5
 MS = 1000.0
 TOPICS = (
@@ -45,18 +45,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Feeds:
-    """What is followed on the store.
+    """The feeds that are followed on the store.
 
     Attributes
     ----------
     operators
-        Configuration and wanted weights.
+        Configuration and weight goals.
     registry
         Endpoints.
     registrations
         Instances of this system.
     followers
-        The threads that follow.
+        The threads that follow the topics.
     """
 
     operators: operators.OperatorFeed
@@ -65,7 +65,7 @@
     followers: tuple[following.Follower, ...]
 
     def start(self) -> None:
-        """Begin following."""
+        """Start following."""
         for follower in self.followers:
             follower.start()
 
@@ -99,7 +99,7 @@
         ]
 
     def configuration_version(self) -> int:
-        """Return the version in force; 0 before the first."""
+        """Return the configuration version in force; 0 before the first."""
         return self.operators.version()
 
 
@@ -111,7 +111,7 @@
     on_gone: typing.Callable[[frozenset[str]], None],
     malformed_counter: malformed.Tally,
 ) -> Feeds:
-    """Return what is followed, nothing started.
+    """Return the feeds, not yet started.
 
     Parameters
     ----------
@@ -120,13 +120,13 @@
     store
         The platform's store.
     reads
-        Reads topics from it, or through another instance.
+        Reads topics from the store or through another instance.
     on_configuration
         Called with each new configuration, before it is in force.
     on_gone
         Called with the ids of endpoints that are gone.
-    tally
-        Notes records that can't be read.
+    malformed_counter
+        Counts records that can't be read.
     """
     feed = operators.OperatorFeed(
         documents.OperatorDocuments(), on_configuration, malformed_counter
--- a/src/briarseam/compose/node_instances.py
+++ b/src/briarseam/compose/node_instances.py
@@ -1,4 +1,4 @@
-"""What the parts of the one process ask about all instances."""
+"""View of all instances for the parts of the serving process."""
 
 from __future__ import annotations
 
@@ -13,29 +13,30 @@
     from briarseam.membership import service as membership
     from briarseam.peers import registrations
 
-# Instances that stand for giving orders: more than may be lost at once
-# without anybody noticing, and few enough that their calls hardly count.
+# Number of instances that compete for issuing orders: more than may be lost
+# at once undetected, and few enough for the cost of their calls to be
+# negligible.
 LEADER_CANDIDATES = 9
 LEADER_KEY = "orders"
-# With so many times more instances registered than heard, most are not
-# lost: they have not been met yet.
-UNMET_FACTOR = 2
+# Above this ratio of registered to alive instances, most of the instances
+# that are not alive haven't been lost, but haven't been connected to yet.
+MAX_REGISTERED_RATIO = 2
 
 
 class Instances:
-    """All instances, by membership and their registrations.
+    """All instances, from membership and registrations.
 
     Parameters
     ----------
-    me
+    own_name
         Name of this instance.
 
     Attributes
     ----------
-    rows
-        Their registrations; ``None`` before these are followed.
-    service
-        Membership; ``None`` before peers are met.
+    registrations
+        Registrations of the instances; ``None`` until they are followed.
+    membership
+        The membership; ``None`` before joining the peers.
     """
 
     def __init__(self, own_name: str) -> None:
@@ -52,13 +53,13 @@
         return [member.name for member in self.all()]
 
     def names_in_cell(self) -> list[str]:
-        """Return the instances of this cell that stay, this one included."""
+        """Return the names of the alive instances of this cell."""
         if self.membership is None:
             return []
         return [member.name for member in self.membership.live()]
 
     def weight_of(self, name: str) -> float:
-        """Return the work an instance can take, relative to others."""
+        """Return the capacity of an instance relative to others."""
         return (
             1.0
             if self.registrations is None
@@ -66,10 +67,11 @@
         )
 
     def known_count(self) -> int:
-        """Return how many instances share the budget for retries.
+        """Return the number of instances that are registered or members.
 
-        Registrations are known before peers are met; taken for alone, an
-        instance that has just started would use the whole slack.
+        They share the slack of the retry budget.  Registrations are known
+        before the peers are joined; an instance that has just started and
+        counted members only would use the whole slack.
         """
         registered = (
             0
@@ -79,22 +81,22 @@
         return max(registered, len(self.all()))
 
     def fresh_names(self) -> list[str]:
-        """Return who is heard, by any cell; empty with no fresh view."""
+        """Return the names of all known instances; empty if not up to date."""
         if self.membership is None or not self.membership.is_fresh():
             return []
         return self.all_names()
 
     def is_published(self) -> bool:
-        """Tell whether all peers know what this instance says of itself."""
+        """Return whether all peers have the state that this one published."""
         return self.membership is None or self.membership.is_published()
 
     def publish_now(self) -> None:
-        """Send the next heartbeats now."""
+        """Send the next heartbeats immediately."""
         if self.membership is not None:
             self.membership.publish_now()
 
     def is_leader_candidate(self) -> bool:
-        """Tell whether this instance should take part in giving orders."""
+        """Return whether this instance should compete for issuing orders."""
         if self.membership is None:
             return False
         names = self.eligible_names()
@@ -104,11 +106,11 @@
         return self.own_name in ranked[:LEADER_CANDIDATES]
 
     def eligible_names(self) -> list[str]:
-        """Return the instances that may stand for giving orders.
+        """Return the names from which the leader candidates are chosen.
 
-        When all instances start at once, each hears only itself at first;
-        registrations tell it that there are others, and it doesn't join
-        the group just to leave it.
+        When all instances start at once, each knows only itself as alive at
+        first.  Registrations show the others, so that the instance doesn't
+        join the candidates only to leave them a moment later.
         """
         alive = [
             member.name
@@ -120,14 +122,15 @@
             if self.registrations is None
             else list(self.registrations.by_name)
         )
-        if len(registered) <= UNMET_FACTOR * len(alive):
+        if len(registered) <= MAX_REGISTERED_RATIO * len(alive):
             return alive
         return list({*alive, *registered})
 
     def other_leader_candidates(self) -> list[str] | None:
-        """Return who else may give orders; ``None`` if not all are heard.
+        """Return the names of the other instances that may issue orders.
 
-        Instances of other cells are not heard directly.
+        ``None`` if registrations aren't loaded, or name several cells:
+        heartbeats of other cells aren't received directly.
         """
         if (
             self.registrations is None
--- a/src/briarseam/compose/node_membership.py
+++ b/src/briarseam/compose/node_membership.py
@@ -1,4 +1,4 @@
-"""Composing what an instance and its peers tell each other."""
+"""Composition of the exchange of state between an instance and its peers."""
 
 from __future__ import annotations
 
@@ -41,22 +41,22 @@
 
 @dataclasses.dataclass(frozen=True)
 class PeerParts:
-    """The parts that tell peers something.
+    """The parts that publish state to peers and answer their messages.
 
     Attributes
     ----------
     loads, cell_loads
-        Work at endpoints, of this instance and of its cell.
+        Load of endpoints, by this instance and by its cell.
     restarts
         Starts of endpoints.
     guard, losses
         Requests that crash endpoints.
     weights, cell_weights
-        Ages of weights, and engines that take new ones.
+        Ages of weights, and engines that are loading new ones.
     configuration
         Version of the operators' configuration.
     stores, topics
-        What is read for others, of stores of KV cache and of topics.
+        Contents of KV cache stores and topics, read for other instances.
     """
 
     loads: endpoint_loads.Loads
@@ -71,7 +71,7 @@
     topics: sharing.SharedReads
 
     def sections(self) -> tuple[sections.Section, ...]:
-        """Return what heartbeats carry."""
+        """Return the sections of heartbeats."""
         providers: dict[str, typing.Any] = {
             "endpoint-loads": self.loads,
             "endpoint-starts": self.restarts,
@@ -91,7 +91,7 @@
     def handlers(
         self,
     ) -> collections.abc.Mapping[type, node_peers.MessageHandler]:
-        """Return what answers peers' messages, by their kind."""
+        """Return the handlers of peers' messages by message type."""
         return {
             store_messages.StoresAsked: node_peers.MessageHandler(
                 self.stores.answer, self.stores.await_changes
@@ -115,20 +115,26 @@
 
 
 class PeerConnector:
-    """Joins the other instances, as soon as the store lets us.
+    """Joins the other instances once the store provides their secret.
 
     Parameters
     ----------
-    settings, store, rows
-        Of this process; the store's client; registrations.
-    told
-        What peers are told.
-    calls, instances
-        The peers.
+    settings
+        The settings of this process.
+    store
+        The platform's store.
+    registrations
+        Registrations of all instances.
+    parts
+        The parts that exchange state with peers.
+    calls
+        Calls to other instances.
+    instances
+        View of all instances, which gets the membership.
     stopping
-        Ends the attempts.
-    tally
-        Notes what can't be read.
+        Ends the attempts to join.
+    malformed_counter
+        Counts input that can't be read.
     loop
         Runs the connections to and from peers.
     """
@@ -157,18 +163,18 @@
         self.load_exchange: load_exchange.LoadExchange | None = None
 
     def start(self) -> None:
-        """Begin, in a thread of its own."""
+        """Start joining in a separate thread."""
         threading.Thread(
             target=self.run, name="meet-peers", daemon=True
         ).start()
 
     def stop(self) -> None:
-        """Tell peers nothing more between heartbeats."""
+        """Stop publishing loads between heartbeats."""
         if self.load_exchange is not None:
             self.load_exchange.stop()
 
     def run(self) -> None:
-        """Join, and begin to tell."""
+        """Join the other instances, and start to publish loads."""
         service = node_peers.join(
             self.settings,
             self.store,
@@ -185,7 +191,7 @@
         log.info("peers_met", address=str(self.settings.listen.peers))
 
     def start_load_exchange(self, service: membership.Membership) -> None:
-        """Begin to tell the cell this instance's work as it changes."""
+        """Start publishing this instance's load to its cell as it changes."""
         self.load_exchange = load_exchange.LoadExchange(
             self.parts.loads,
             self.settings.instance.name,
--- a/src/briarseam/compose/node_metrics.py
+++ b/src/briarseam/compose/node_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the one process."""
+"""Metrics of the serving process."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Readings:
-    """What is read from the parts at each scrape.
+    """Values that are read from the parts at each scrape.
 
     Attributes
     ----------
     in_flight, connections_opened, store_calls, store_era, topic_reads_direct
     topic_reads_shared, configuration_version, endpoints_known
-        As their help texts say.
+        The metrics of the same names; see their help texts.
     """
 
     in_flight: Reading
@@ -36,7 +36,7 @@
 
 
 def register(registry: metrics.Registry, readings: Readings) -> None:
-    """Let metrics tell of the parts."""
+    """Register metrics for the values of the parts."""
     for name, text, reading in (
         (
             "requests_in_flight",
@@ -85,7 +85,10 @@
 def malformed_counter(
     registry: metrics.Registry,
 ) -> typing.Callable[[malformed.Kind], None]:
-    """Return what counts malformed records by kind, each from 0 on."""
+    """Return a function that counts malformed records by kind.
+
+    All counters exist from the start, at 0.
+    """
     family = registry.counters(
         "malformed_total",
         "Records and rows of others that could not be read, by kind",
@@ -96,7 +99,7 @@
 
 
 def forwarding_metrics(registry: metrics.Registry) -> request_context.Metrics:
-    """Return what forwarding counts and times."""
+    """Return the counters and latencies of forwarding."""
     return request_context.Metrics(
         answers=registry.counters(
             "answers_total",
--- a/src/briarseam/compose/node_peers.py
+++ b/src/briarseam/compose/node_peers.py
@@ -25,25 +25,26 @@
     from briarseam.settings import serving
     from briarseam.wire import event_loop
 
-# What instances tell each other of engines' load is as old as this, and
-# prompts that arrive meanwhile are placed without it.
+# Published loads of engines are up to this old, and prompts that arrive in
+# the meantime are placed without them.
 HEARTBEAT_INTERVAL_S = 0.5
-# Three heartbeats and a little: callers are no longer sent there then.
+# Three heartbeats and a margin; callers are no longer directed to an instance
+# that is suspect.
 SUSPECT_AFTER_S = 1.6
 LISTING_INTERVAL_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True)
 class MessageHandler:
-    """What answers one kind of message of other instances.
+    """Handler of one kind of message of other instances.
 
     Attributes
     ----------
-    find
-        Returns the answer at once.
+    answer
+        Returns the answer without waiting.
     wait
-        Awaited with the message before, without a thread; none if the
-        answer is always due at once.
+        Awaited with the message before `answer`, without a thread; ``None``
+        if messages are answered immediately.
     """
 
     answer: typing.Callable[[typing.Any], codec.Message]
@@ -60,7 +61,7 @@
     malformed_counter: malformed.Tally,
     loop: event_loop.EventLoop,
 ) -> membership.Membership | None:
-    """Join the other instances, once the store tells the secret.
+    """Join the other instances once the store provides the secret.
 
     Parameters
     ----------
@@ -68,18 +69,23 @@
         The settings of this process.
     store
         The platform's store.
-    rows
+    registrations
         Registrations of all instances.
-    told
-        What heartbeats carry.
-    answers
-        What answers other instances' messages, by their kind.
+    heartbeat_sections
+        The sections of heartbeats.
+    handlers
+        The handlers of other instances' messages by message type.
     stopping
-        Ends the attempts; ``None`` is returned then.
-    tally
-        Notes what of heartbeats can't be read.
+        Ends the attempts to join.
+    malformed_counter
+        Counts sections of heartbeats that can't be read.
     loop
         Runs the connections to and from other instances.
+
+    Returns
+    -------
+    Membership or None
+        The membership; ``None`` if `stopping` ended the attempts.
     """
     peer_registrations.wait_for_secret(
         registrations, stopping, settings.instance.first_start
@@ -133,6 +139,6 @@
     peer: wire_connection.Identity,
     message: codec.Message,
 ) -> codec.Message:
-    """Answer a message, whoever sent it."""
+    """Answer a message regardless of its sender."""
     del peer
     return answer(message)
--- a/src/briarseam/compose/node_servers.py
+++ b/src/briarseam/compose/node_servers.py
@@ -1,4 +1,4 @@
-"""Composing the HTTP servers of the one process."""
+"""Composition of the HTTP servers of the serving process."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
     in_flight: inflight.InFlight,
     local: local_handlers.LocalHandlers,
 ) -> dict[str, http.Server]:
-    """Return the servers by what they are for, nothing bound.
+    """Return the servers by purpose, not yet bound.
 
     Parameters
     ----------
     listen
-        Where they take connections.
+        The addresses to listen on.
     forward
         Answers callers' requests.
     in_flight
-        Counts them.
-    small
-        Answers everything else.
+        Counts callers' requests.
+    local
+        Answers all other requests.
     """
     handlers: dict[str, tuple[sections.Address, Handler]] = {
         "readiness": (listen.readiness, local.readiness),
@@ -53,14 +53,14 @@
 def stop_all(
     servers: collections.abc.Iterable[http.Server], wait_s: float
 ) -> None:
-    """Stop servers at once: each takes half a second or more.
+    """Stop servers in parallel: each takes half a second or more.
 
     Parameters
     ----------
     servers
-        Which ones.
+        The servers to stop.
     wait_s
-        Longest wait for all of them to end, in seconds.
+        Maximum wait for all of them to stop, in seconds.
     """
     end_s = clocks.boot_clock() + wait_s
     threads = [
--- a/src/briarseam/compose/node_weights.py
+++ b/src/briarseam/compose/node_weights.py
@@ -1,4 +1,4 @@
-"""Composing what brings engines to the wanted weights."""
+"""Composition of the parts that bring engines to the target weights."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 
 ORDERS_GROUP = "briarseam-orders"
 INCARNATION_BYTES = 4
-# Added to the time for which holders must not take turns: orders arrive a
-# little after they were sent.
+# Added to the lease before another holder may issue orders: orders arrive
+# shortly after they are sent.
 LEASE_SLACK_S = 0.3
-# A request that is sent may wait at its engine for about this long before
-# it begins; it must not begin on weights that are too old by then.
+# A request may wait at its engine for about this long before it begins, and
+# must not begin on weights that are too old by then.
 VERSION_MARGIN_S = 2.0
 MS = 1000.0
 log = structlog.get_logger("briarseam.weights")
 
 
 class Weights:
-    """The parts that know and change engines' weights.
+    """The parts that track and change the weights of engines.
 
     Parameters
     ----------
@@ -45,23 +45,23 @@
     store
         The platform's store.
     feeds
-        What is followed on it.
+        The feeds that are followed on the store.
     instances
-        Who else there is, and whether this instance should take part in
-        giving orders.
+        View of all instances, and whether this one should compete for
+        issuing orders.
     engines
         Calls to engines.
-    tally
-        Counts what can't be read.
+    malformed_counter
+        Counts records that can't be read.
 
     Attributes
     ----------
     known_weights
-        What is known of engines' weights.
+        The known weights of engines.
     goal_times
-        Since when weights are wanted, as it lies on the store.
+        The times at which the weight goals were set, kept on the store.
     leader_reports
-        What instances say of who gives orders.
+        Reports of the instances about who issues orders.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         feeds: node_feeds.Feeds,
         instances: node_instances.Instances,
         engines: engine_updates.Engines,
-        tally: malformed.Tally | None = None,
+        malformed_counter: malformed.Tally | None = None,
     ) -> None:
         self.settings = settings
         self.feeds = feeds
@@ -84,13 +84,13 @@
             self.goals,
             instances.is_leader_candidate,
             era=lambda: store.era,
-            tally=tally,
+            tally=malformed_counter,
         )
         self.leader_reports = leader_reports.LeaderReports(
             instances.other_leader_candidates,
             lambda: self.settings.bounds.engines_check_fence,
         )
-        # What was logged last as excluded, by model.
+        # Oldest allowed version that was logged last, by model.
         self.logged_oldest: dict[str, int] = {}
         incarnation = secrets.token_hex(INCARNATION_BYTES)
         self.leadership = leader.Leadership(
@@ -118,26 +118,26 @@
         )
 
     def start(self) -> None:
-        """Begin to take part in who gives orders."""
+        """Start competing for issuing orders."""
         self.goal_times.start()
         self.leadership.start()
         self.rollout.start()
 
     def stop(self) -> None:
-        """Give no further orders, and give the duty up."""
+        """Stop issuing orders, and release the lease."""
         self.rollout.stop()
         self.goal_times.stop()
         self.leadership.stop()
 
     def heartbeat_sections(self) -> tuple[sections.Section, ...]:
-        """Return what heartbeats carry."""
+        """Return the heartbeat sections of weights and orders."""
         return (
             sections.Section(
                 "weights",
                 self.known_weights.provide,
                 self.known_weights.consume,
             ),
-            # After the ages themselves, which the former carries.
+            # Must follow "weights", which carries the ages themselves.
             sections.Section(
                 "weights-known",
                 self.goal_times.provide,
@@ -151,25 +151,25 @@
         )
 
     def is_leader_candidate(self) -> bool:
-        """Tell whether to take part; asked each half a second."""
+        """Return whether to compete; called every half second."""
         self.leader_reports.record_active()
         return self.instances.is_leader_candidate()
 
     def are_others_idle(self, since_s: float) -> bool:
-        """Tell whether no other instance can be giving orders."""
+        """Return whether no other instance can be issuing orders."""
         lease_s = self.settings.bounds.lease_ms / MS + LEASE_SLACK_S
         return self.leader_reports.are_others_idle(since_s, lease_s)
 
     def excluded_after_s(self) -> float:
         """Return the age of a goal from which it excludes older weights."""
         if not self.goal_times.known.is_set():
-            # How old goals are is not known in the first moments after a
-            # start; requests would begin on weights replaced long ago.
+            # Just after a start the ages of goals are unknown; with another
+            # bound, requests would begin on weights replaced long ago.
             return 0.0
         return self.settings.bounds.version_ms / MS - VERSION_MARGIN_S
 
     def remaining_s(self, model: str, version: int) -> float:
-        """Return the seconds until weights are out of use."""
+        """Return the seconds until weights are excluded."""
         return self.goals.remaining_s(model, version, self.excluded_after_s())
 
     def required(self, model: str) -> int:
@@ -186,17 +186,18 @@
         return oldest
 
     def oldest_version(self, model: str) -> int | None:
-        """Return the oldest weights that an engine may have.
+        """Return the oldest weight version that an engine may have.
 
-        ``None`` when an engine's are not known, or there is none: one that
-        is just restarting comes back with what it had.
+        ``None`` if there is no engine or the version of one is unknown: an
+        engine that is restarting returns with the weights that it had.
         """
         versions = [
             self.known_weights.version(
                 endpoint.id, model, endpoint.versions[model]
             )
-            # An entry of another service may name any model, and would keep
-            # parts of old weights from being freed.
+            # Only engines of the model's services count: an entry of another
+            # service may name any model, and would keep the parts of old
+            # weights from being freed.
             for endpoint in self.feeds.all_engines_of(model)
             if model in endpoint.versions
         ]
--- a/tests/compose/test_node_calls.py
+++ b/tests/compose/test_node_calls.py
@@ -14,11 +14,11 @@
 from briarseam.wire import replies
 
 ALIVE = state.MemberState.ALIVE
-ASKED = store_messages.StoresAsked((), 0.0)
+QUERY = store_messages.StoresAsked((), 0.0)
 
 
-def member(name, cell, how=ALIVE):
-    return state.Member(name, "north", cell, f"{name}:1", (), how)
+def member(name, cell, status=ALIVE):
+    return state.Member(name, "north", cell, f"{name}:1", (), status)
 
 
 MEMBERS = [
@@ -32,7 +32,7 @@
 
 
 class Peer:
-    """Answers each call with what it is given."""
+    """Answers each call with a given reply, or raises it."""
 
     def __init__(self, reply):
         self.reply = reply
@@ -43,8 +43,8 @@
         return self.reply
 
 
-def calls(own_name="a1", reply=None):
-    service = types.SimpleNamespace(
+def make_calls(own_name="a1", reply=None):
+    membership = types.SimpleNamespace(
         local_member=member(own_name, "a"),
         members=lambda: MEMBERS[:2],
         client=lambda name: Peer(reply),
@@ -53,7 +53,7 @@
     )
     instances = types.SimpleNamespace(
         own_name=own_name,
-        membership=service,
+        membership=membership,
         all=lambda: MEMBERS,
         names_in_cell=lambda: ["a1", "a2"],
         weight_of=lambda name: WEIGHTS.get(name, 1.0),
@@ -61,25 +61,25 @@
     return node_calls.PeerCalls(instances)
 
 
-def test_strongest_of_a_cell_speaks_for_it():
-    assert calls("a1").is_speaker()
-    assert not calls("a2").is_speaker()
+def test_highest_ranked_instance_is_the_speaker_of_its_cell():
+    assert make_calls("a1").is_speaker()
+    assert not make_calls("a2").is_speaker()
 
 
-def test_one_live_instance_of_each_other_cell_is_told():
-    assert calls().addresses() == ["b2:1"]
+def test_addresses_are_of_one_alive_instance_of_each_other_cell():
+    assert make_calls().addresses() == ["b2:1"]
 
 
-def test_nobody_is_told_or_asked_before_peers_are_met():
-    made = calls()
-    made.instances.membership = None
+def test_calls_fail_before_peers_are_joined():
+    peer_calls = make_calls()
+    peer_calls.instances.membership = None
     with pytest.raises(replies.NoReplyError):
-        made.send_losses("b2:1", loss_sharing.RequestsLost(()))
+        peer_calls.send_losses("b2:1", loss_sharing.RequestsLost(()))
     with pytest.raises(replies.NoReplyError):
-        made.publish_load("b2:1", cell_loads.CellLoad("a", 2, ()))
+        peer_calls.publish_load("b2:1", cell_loads.CellLoad("a", 2, ()))
     with pytest.raises(shared_watch.ReaderUnavailableError):
-        made.read_stores("a2", ASKED, 1.0)
-    assert made.name() == ""
+        peer_calls.read_stores("a2", QUERY, 1.0)
+    assert peer_calls.name() == ""
 
 
 @pytest.mark.parametrize(
@@ -89,11 +89,11 @@
         pytest.param(loss_sharing.RequestsLostNoted(), id="another answer"),
     ],
 )
-def test_answer_that_is_none_is_told_apart(reply):
+def test_missing_or_unexpected_answer_makes_the_reader_unavailable(reply):
     with pytest.raises(shared_watch.ReaderUnavailableError):
-        calls(reply=reply).read_stores("a2", ASKED, 1.0)
+        make_calls(reply=reply).read_stores("a2", QUERY, 1.0)
 
 
-def test_answer_is_handed_on():
-    told = store_messages.StoresTold(True, ())
-    assert calls(reply=told).read_stores("a2", ASKED, 1.0) == told
+def test_answer_of_the_reader_is_returned():
+    answer = store_messages.StoresTold(True, ())
+    assert make_calls(reply=answer).read_stores("a2", QUERY, 1.0) == answer
--- a/tests/compose/test_node_instances.py
+++ b/tests/compose/test_node_instances.py
@@ -17,91 +17,94 @@
     )
 
 
-def service(everyone, cell, fresh=True):
+def make_membership(all_names, cell, fresh=True):
     return types.SimpleNamespace(
-        all_members=lambda: [member(name) for name in everyone],
+        all_members=lambda: [member(name) for name in all_names],
         members=lambda: [member(name) for name in cell],
         live=lambda: [member(name) for name in cell],
         is_fresh=lambda: fresh,
     )
 
 
-def instances(own_name="instance-0", **options):
-    made = node_instances.Instances(own_name)
-    made.registrations = registrations.Registrations(
+def make_instances(own_name="instance-0", **options):
+    instances = node_instances.Instances(own_name)
+    instances.registrations = registrations.Registrations(
         None, "topic", registrations.Registration(own_name, "", "north", "a")
     )
     if options:
-        made.membership = service(**options)
-    return made
+        instances.membership = make_membership(**options)
+    return instances
 
 
-def register(made, names, weight=1.0):
-    made.registrations.by_name = {
+def register(instances, names, weight=1.0):
+    instances.registrations.by_name = {
         name: registrations.Registration(name, "", "north", "a", weight)
         for name in names
     }
 
 
-def test_slack_is_shared_before_peers_are_met():
-    """All instances start at once, and engines reset connections.
+def test_registered_instances_are_counted_before_peers_are_joined():
+    """Guards against each instance using the whole retry slack.
 
-    Each uses the whole slack for the second in which it knows no peer.
+    When all instances start at once, each knows no peer for a second, while
+    engines may reset connections.
     """
-    made = instances()
-    register(made, NAMES)
-    assert made.known_count() == len(NAMES)
+    instances = make_instances()
+    register(instances, NAMES)
+    assert instances.known_count() == len(NAMES)
 
 
 @pytest.mark.parametrize(
-    ("everyone", "standing"),
+    ("all_names", "expected"),
     [
         pytest.param(NAMES[:7], 7, id="small"),
         pytest.param(NAMES, node_instances.LEADER_CANDIDATES, id="large"),
     ],
 )
-def test_few_of_a_large_deployment_stand_for_the_duty(everyone, standing):
-    found = [
+def test_number_of_leader_candidates_is_limited(all_names, expected):
+    candidates = [
         name
-        for name in everyone
-        if instances(
-            name, everyone=everyone, cell=everyone
+        for name in all_names
+        if make_instances(
+            name, all_names=all_names, cell=all_names
         ).is_leader_candidate()
     ]
-    assert len(found) == standing
+    assert len(candidates) == expected
 
 
-def test_who_has_met_nobody_yet_does_not_stand():
-    """Two hundred instances start at once, and each joins and leaves.
+def test_registered_instances_limit_the_candidates_before_peers_are_joined():
+    """Guards against all instances joining the candidates and leaving again.
 
-    Each knew itself only, and took itself for one of the few.
+    When many instances start at once, each is connected to no other at first
+    and would count itself among the candidates.
     """
-    before = instances("instance-0")
-    register(before, NAMES)
-    assert not before.is_leader_candidate()
-    found = []
+    unconnected = make_instances("instance-0")
+    register(unconnected, NAMES)
+    assert not unconnected.is_leader_candidate()
+    candidates = []
     for name in NAMES:
-        made = instances(name, everyone=[name], cell=[name])
-        register(made, NAMES)
-        if made.is_leader_candidate():
-            found.append(name)
-    assert len(found) == node_instances.LEADER_CANDIDATES
-
-
-def test_who_is_left_of_a_large_deployment_stands():
-    """Zones are lost, and their instances' registrations are still there."""
-    left = NAMES[:25]
-    found = []
-    for name in left:
-        made = instances(name, everyone=left, cell=left)
-        register(made, NAMES)
-        if made.is_leader_candidate():
-            found.append(name)
-    assert len(found) == node_instances.LEADER_CANDIDATES
-
-
-def test_nobody_is_heard_by_who_has_no_fresh_view():
+        instances = make_instances(name, all_names=[name], cell=[name])
+        register(instances, NAMES)
+        if instances.is_leader_candidate():
+            candidates.append(name)
+    assert len(candidates) == node_instances.LEADER_CANDIDATES
+
+
+def test_candidates_are_among_the_remaining_instances_after_zones_are_lost():
+    """Registrations of the instances of lost zones remain for a while."""
+    remaining = NAMES[:25]
+    candidates = []
+    for name in remaining:
+        instances = make_instances(name, all_names=remaining, cell=remaining)
+        register(instances, NAMES)
+        if instances.is_leader_candidate():
+            candidates.append(name)
+    assert len(candidates) == node_instances.LEADER_CANDIDATES
+
+
+def test_fresh_names_are_empty_without_a_fresh_view():
     assert (
-        instances(everyone=NAMES, cell=NAMES, fresh=False).fresh_names() == []
+        make_instances(all_names=NAMES, cell=NAMES, fresh=False).fresh_names()
+        == []
     )
-    assert instances(everyone=NAMES, cell=NAMES).fresh_names() == NAMES
+    assert make_instances(all_names=NAMES, cell=NAMES).fresh_names() == NAMES
--- a/tests/compose/test_node_weights.py
+++ b/tests/compose/test_node_weights.py
@@ -15,11 +15,11 @@
 
 
 class Store:
-    """A store that is never called."""
+    """A store that is not called."""
 
 
 class Engines:
-    """Engines that are never called."""
+    """Engines that are not called."""
 
 
 def engine(name, version, service="engines"):
@@ -51,9 +51,11 @@
     )
 
 
-def test_older_weights_are_out_of_use_until_the_age_of_goals_is_known(weights):
-    """A process that has just started sees a goal that may be old.  Taken
-    for new, requests of the first moments would begin on replaced weights.
+def test_older_weights_are_excluded_until_the_ages_of_goals_are_known(weights):
+    """Guards against requests that begin on replaced weights after a start.
+
+    A goal that a new process reads may be old; if it counted as new, older
+    weights would stay in use.
     """
     weights.goals.add(goals.WeightGoal("m", 2))
     assert weights.required("m") == 2
@@ -61,7 +63,7 @@
     assert weights.required("m") == 0
 
 
-def test_older_weights_are_out_of_use_a_while_before_the_bound(weights):
+def test_older_weights_are_excluded_a_margin_before_the_bound(weights):
     weights.goal_times.known.set()
     weights.goals.add(goals.WeightGoal("m", 2), age_s=9.9)
     assert weights.required("m") == 0
@@ -70,8 +72,9 @@
     assert weights.remaining_s("m", 1) <= 0
 
 
-def test_entry_of_another_service_keeps_no_parts_of_old_weights(weights):
-    """An entry that names a model of ours, written by somebody else, would
-    keep what is stored of old weights for ever.
+def test_entry_of_another_service_does_not_affect_the_oldest_version(weights):
+    """Guards against stored parts of old weights that are never freed.
+
+    Another service's entry may name a model of this system.
     """
     assert weights.oldest_version("m") == 2
