--- a/src/briarseam/compose/node_feeds.py
+++ b/src/briarseam/compose/node_feeds.py
@@ -21,9 +21,9 @@
     from briarseam.routes import model as routes
     from briarseam.settings import serving
 
-# A change must be in force two seconds after an instance has been connected
-# for three.  A silent connection is detected at the end of a poll only, so a
-# poll must end within three seconds.
+# A change must be in force within two seconds once an instance has been
+# connected for three.  A silent connection is detected at the end of a poll
+# only, so a poll must end within three seconds.
 OPERATOR_POLL_S = 2.0
 ENDPOINT_POLL_S = 1.5
 # Pause between two reads, as a share of the time within which a leaving
