--- a/src/briarseam/status/__init__.py
+++ b/src/briarseam/status/__init__.py
@@ -1,1 +1,1 @@
-"""What operators see of the agents: one row each, asked over the wire."""
+"""Status of all agents for operators, queried over the wire protocol."""
--- a/src/briarseam/status/messages.py
+++ b/src/briarseam/status/messages.py
@@ -1,4 +1,4 @@
-"""Messages about the state of agents."""
+"""Messages of status queries."""
 
 from __future__ import annotations
 
@@ -10,12 +10,13 @@
 @codec.message("status-asked")
 @dataclasses.dataclass(frozen=True)
 class StatusAsked:
-    """Ask an agent how it is.
+    """Query the status of an agent.
 
     Attributes
     ----------
     all_members
-        Whether to ask the other members of the cell too.
+        Whether to include the status of all other known agents, not only of
+        the agent that answers.
     """
 
     all_members: bool
@@ -23,18 +24,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Rollout:
-    """How far a model's weight version has got.
+    """Progress of the rollout of a model's weight version.
 
     Attributes
     ----------
     model, version
-        What the configuration wants.
+        Target of the rollout, from the configuration.
     serving, wanted
-        Endpoints that report the version, of how many.
+        Number of endpoints that report the version, and the number that
+        should.
     loading
-        Endpoints that load it now.
+        Number of endpoints that are loading it.
     detail
-        Why it does not go on; empty when it does.
+        Why the rollout makes no progress; empty while it does.
     """
 
     model: str
@@ -47,26 +49,29 @@
 
 @dataclasses.dataclass(frozen=True)
 class AgentStatus:
-    """One agent.
+    """Status of one agent.
 
     Attributes
     ----------
     name, zone, cell, state
-        As the answering agent's membership has it.
+        Identity and member state, as the agent itself knows them; from the
+        answering agent's membership or instance list if it is not reached.
     configuration_offset
-        Offset of the last configuration record in force there.
+        Offset of the last configuration record that it applied.
     stale_s
-        Time since it last had proof that this is current; -1 for never.
+        Time since its configuration was last confirmed to be current, in
+        seconds; -1 if it never was.
     age_s
-        Time since it was heard, in seconds.
+        Time since the answering agent's last direct contact with it, in
+        seconds.
     running
-        Granted requests that have not ended.
+        Number of granted requests that have not ended.
     reached
         Whether it answered.
     rollouts
-        Of the models whose rollout it leads.
+        Progress of the rollouts that it leads.
     region
-        Its region; empty of an agent that did not answer.
+        Its region; empty if it did not answer.
     """
 
     name: str
@@ -85,6 +90,6 @@
 @codec.message("status")
 @dataclasses.dataclass(frozen=True)
 class Status:
-    """The agents asked, in order of name."""
+    """Status of the queried agents, sorted by name."""
 
     agents: tuple[AgentStatus, ...]
--- a/src/briarseam/status/service.py
+++ b/src/briarseam/status/service.py
@@ -1,4 +1,4 @@
-"""Answers operators' question how the agents are."""
+"""Answers status queries about the local agent and all other agents."""
 
 from __future__ import annotations
 
@@ -16,26 +16,27 @@
     from briarseam.membership import service as membership
     from briarseam.wire import server
 
-ASK_TIMEOUT_S = 1.0
-MAX_ASKERS = 16
+QUERY_TIMEOUT_S = 1.0
+MAX_CONCURRENT_QUERIES = 16
 
 
 @dataclasses.dataclass(frozen=True)
 class Sources:
-    """Where an agent's own row comes from.
+    """Where the status of the local agent is read.
 
     Attributes
     ----------
     offset
-        Configuration offset in force.
+        Returns the offset of the last configuration record applied.
     staleness_s
-        Time without proof of being current; infinite for never.
+        Returns the time since the configuration was last confirmed to be
+        current, in seconds; infinite if it never was.
     running
-        Granted requests that have not ended.
+        Returns the number of granted requests that have not ended.
     rollouts
-        Rollouts this agent leads.
+        Returns the progress of the rollouts that this agent leads.
     region
-        Region of this agent.
+        Region of the local agent.
     """
 
     offset: typing.Callable[[], int]
@@ -46,15 +47,15 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Known:
-    """Another agent, before it is asked.
+class RemoteAgent:
+    """Another agent, before its status is queried.
 
     Attributes
     ----------
     address
         ``ip:port``.
     unreached
-        Its row if it does not answer.
+        Its status if it does not answer.
     """
 
     address: str
@@ -62,14 +63,15 @@
 
 
 class StatusService:
-    """Describes this agent and asks the others.
+    """Reports the status of this agent and of the others.
 
     Parameters
     ----------
     membership
-        The members of the cell, and whom the instance list has elsewhere.
+        Members of the cell, and the instance list for agents of other
+        cells.
     sources
-        Where this agent's own row comes from.
+        Where the status of the local agent is read.
     """
 
     def __init__(
@@ -79,28 +81,30 @@
         self.sources = sources
 
     def register(self, router: server.Router) -> None:
-        """Answer entries and other agents."""
-        router.on(messages.StatusAsked, self.on_asked)
+        """Register the handler of status queries."""
+        router.on(messages.StatusAsked, self.on_query)
 
-    def on_asked(
-        self, peer: connections.Identity, asked: messages.StatusAsked
+    def on_query(
+        self, peer: connections.Identity, query: messages.StatusAsked
     ) -> messages.Status:
-        """Answer with this agent's row, on request with all members'."""
+        """Return the status of this agent, on request of all agents."""
         del peer
-        rows = [self.own()]
-        if asked.all_members:
-            rows += self.others()
-        return messages.Status(tuple(sorted(rows, key=lambda row: row.name)))
-
-    def own(self) -> messages.AgentStatus:
-        """Return this agent's row."""
-        me = self.membership.local_member
+        statuses = [self.local_status()]
+        if query.all_members:
+            statuses += self.remote_statuses()
+        return messages.Status(
+            tuple(sorted(statuses, key=lambda status: status.name))
+        )
+
+    def local_status(self) -> messages.AgentStatus:
+        """Return the status of this agent."""
+        local = self.membership.local_member
         stale_s = self.sources.staleness_s()
         return messages.AgentStatus(
-            name=me.name,
-            zone=me.zone,
-            cell=me.cell,
-            state=me.state.value,
+            name=local.name,
+            zone=local.zone,
+            cell=local.cell,
+            state=local.state.value,
             configuration_offset=self.sources.offset(),
             stale_s=-1.0 if math.isinf(stale_s) else round(stale_s, 3),
             running=self.sources.running(),
@@ -108,19 +112,23 @@
             region=self.sources.region,
         )
 
-    def others(self) -> list[messages.AgentStatus]:
-        """Ask all other agents, many at a time."""
-        asked = self.known()
-        if not asked:
+    def remote_statuses(self) -> list[messages.AgentStatus]:
+        """Query all other agents concurrently and return their status."""
+        agents = self.remote_agents()
+        if not agents:
             return []
-        workers = min(MAX_ASKERS, len(asked))
+        workers = min(MAX_CONCURRENT_QUERIES, len(agents))
         with concurrent.futures.ThreadPoolExecutor(workers) as pool:
-            return list(pool.map(self.ask, asked))
+            return list(pool.map(self.query, agents))
+
+    def remote_agents(self) -> list[RemoteAgent]:
+        """Return the other agents: members, and others in the list.
 
-    def known(self) -> list[Known]:
-        """Return the other agents: members, and listed ones elsewhere."""
-        known = {
-            row.name: Known(
+        Members take precedence, as membership knows more of them than the
+        instance list.
+        """
+        agents = {
+            row.name: RemoteAgent(
                 row.address,
                 messages.AgentStatus(
                     row.name, row.zone, "", row.state.value, reached=False
@@ -130,7 +138,7 @@
             if row.role == listing.AGENT_ROLE
         }
         for member in self.membership.members():
-            known[member.name] = Known(
+            agents[member.name] = RemoteAgent(
                 member.agent_address,
                 messages.AgentStatus(
                     name=member.name,
@@ -141,22 +149,22 @@
                     reached=False,
                 ),
             )
-        known.pop(self.membership.local_member.name, None)
-        return list(known.values())
+        agents.pop(self.membership.local_member.name, None)
+        return list(agents.values())
 
-    def ask(self, known: Known) -> messages.AgentStatus:
-        """Return an agent's row, its own word where it answers."""
+    def query(self, agent: RemoteAgent) -> messages.AgentStatus:
+        """Return an agent's own status if it answers, else ``unreached``."""
         client = clients.Client(
-            known.address, self.membership.identity, self.membership.key, 0
+            agent.address, self.membership.identity, self.membership.key, 0
         )
         try:
             reply = client.call(
-                messages.StatusAsked(all_members=False), ASK_TIMEOUT_S
+                messages.StatusAsked(all_members=False), QUERY_TIMEOUT_S
             )
         except connections.WireError:
-            return known.unreached
+            return agent.unreached
         if not isinstance(reply, messages.Status) or not reply.agents:
-            return known.unreached
+            return agent.unreached
         return dataclasses.replace(
-            reply.agents[0], age_s=known.unreached.age_s
+            reply.agents[0], age_s=agent.unreached.age_s
         )
