--- a/tests/status/test_status.py
+++ b/tests/status/test_status.py
@@ -17,56 +17,56 @@
         yield started
 
 
-def ask(running, capsys, *arguments):
-    """Run the command; return its status and output."""
+def run_status(running, capsys, *arguments):
+    """Run the status command; return its exit status and output."""
     path = running.instances[0].settings.path
     capsys.readouterr()
-    status = run.run(["status", "--settings", path, *arguments])
-    # The deployment's own log lines go to the same stream in tests.
+    exit_status = run.run(["status", "--settings", path, *arguments])
+    # The deployment logs to the same stream; its lines start with a year.
     lines = capsys.readouterr().out.split("\n")
-    shown = [line for line in lines if not line.startswith("2")]
-    return status, "\n".join(shown)
+    output = [line for line in lines if not line.startswith("2")]
+    return exit_status, "\n".join(output)
 
 
-def test_status_shows_the_agents_of_all_zones(running, capsys):
-    """An operator asks one entry.  Agents of other zones, whose heartbeats
-    this entry's agent does not hear, are asked by their listed address.
+def test_status_shows_agents_of_all_zones(running, capsys):
+    """Agents of other zones send no heartbeats to the queried agent; they
+    would be missing if it did not query their address in the instance list.
     """
 
     def names():
-        _, out = ask(running, capsys, "--json")
+        _, out = run_status(running, capsys, "--json")
         agents = json.loads(out)["agents"]
         return {one["name"] for one in agents if one["reached"]}
 
-    wanted = {instance.name for instance in running.instances}
-    waiting.until(lambda: names() == wanted, what="all three answer")
+    expected = {instance.name for instance in running.instances}
+    waiting.until(lambda: names() == expected, what="all agents to answer")
 
 
-def test_an_agent_that_does_not_answer_is_shown_as_such(running, capsys):
-    """One instance has just died and is still listed.  Its row must not
-    vanish, or the operator would think that all is well.
+def test_status_shows_agent_that_does_not_answer(running, capsys):
+    """An instance that is lost but still listed must not be left out of the
+    status, which would then look as if all agents were well.
     """
     running.list_row("instance-9", "agent", "127.0.0.1:9", "zone-0")
 
-    def silent():
-        _, out = ask(running, capsys, "--json")
+    def unreached():
+        _, out = run_status(running, capsys, "--json")
         agents = json.loads(out)["agents"]
         return [one["name"] for one in agents if not one["reached"]]
 
-    waiting.until(lambda: silent() == ["instance-9"], what="it is shown")
+    waiting.until(lambda: unreached() == ["instance-9"], what="it to be shown")
     running.list.delete("instance-9")
 
 
-def test_status_fits_a_phone(running, capsys):
-    """An operator looks from a telephone; no line is over 40 columns."""
-    status, out = ask(running, capsys, "--narrow")
-    assert status == 0
+def test_narrow_status_fits_40_columns(running, capsys):
+    """Narrow output must fit the width of a telephone's terminal."""
+    exit_status, out = run_status(running, capsys, "--narrow")
+    assert exit_status == 0
     assert max(map(len, out.split("\n"))) <= 40
 
 
-def test_a_wrong_team_is_refused(running, capsys):
-    """The settings name no such team; the error says so."""
+def test_status_refuses_unknown_team(running, capsys):
+    """The error names the team that the settings don't have."""
     path = running.instances[0].settings.path
-    status = run.run(["status", "--settings", path, "--team", "nobody"])
-    assert status == 3
+    exit_status = run.run(["status", "--settings", path, "--team", "nobody"])
+    assert exit_status == 3
     assert "nobody" in capsys.readouterr().err
