--- a/src/briarseam/backing/__init__.py
+++ b/src/briarseam/backing/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the log and the instance list, in the project's own protocol."""
+"""HTTP clients of the log service and the instance list."""
--- a/src/briarseam/backing/instances.py
+++ b/src/briarseam/backing/instances.py
@@ -1,4 +1,4 @@
-"""The platform's lagging instance list, seen through one small adapter."""
+"""Client of the platform's instance list, which is eventually consistent."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ListedState(enum.StrEnum):
-    """What the platform says of an instance."""
+    """State of an instance as listed by the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Instance:
-    """One row of the list.
+    """One row of the instance list.
 
     Attributes
     ----------
@@ -35,7 +35,7 @@
     zone
         Its availability zone.
     state
-        Live or leaving, as of some seconds ago.
+        Live or leaving; the list may be some seconds behind.
     """
 
     name: str
@@ -47,14 +47,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Listing:
-    """One read of the list.
+    """The result of one read of the instance list.
 
     Attributes
     ----------
     instances
         All rows.
     size
-        Bytes that the answer took.
+        Size of the response body in bytes.
     """
 
     instances: tuple[Instance, ...]
@@ -63,17 +63,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class ListBody:
-    """The body of the service's answer."""
+    """The JSON body of the service's response."""
 
     instances: tuple[Instance, ...]
 
 
 class InstanceListUnavailableError(Exception):
-    """The list could not be read just now."""
+    """The instance list cannot be read at present."""
 
 
 class InstanceSource(typing.Protocol):
-    """Whatever can read the instance list."""
+    """Interface of a reader of the instance list."""
 
     def read(self) -> Listing:
         """Return the list or raise :class:`InstanceListUnavailableError`."""
@@ -87,7 +87,7 @@
     address
         ``ip:port`` of the service.
     timeout_s
-        Longest wait for one read.
+        Timeout of one read in seconds.
     """
 
     def __init__(
@@ -98,19 +98,21 @@
         self.pool = urllib3.PoolManager(maxsize=2, retries=False)
 
     def read(self) -> Listing:
-        """Return the list as the platform shows it now.
+        """Return the current instance list of the platform.
 
         Raises
         ------
         InstanceListUnavailableError
-            When the service does not answer properly.
+            When the request fails, or its response has another status than
+            200 or can't be decoded.
         """
         url = f"http://{self.address}/instances"
         try:
             response = self.pool.request("GET", url, timeout=self.timeout_s)
             if response.status != HTTP_OK:
                 raise InstanceListUnavailableError(
-                    f"the instance list answered {response.status}"
+                    "the instance list service returned HTTP status "
+                    f"{response.status}"
                 )
             body = msgspec.json.decode(response.data, type=ListBody)
         except (urllib3.exceptions.HTTPError, msgspec.MsgspecError) as error:
--- a/src/briarseam/backing/log.py
+++ b/src/briarseam/backing/log.py
@@ -1,4 +1,4 @@
-"""The append-only log service, seen through one small adapter."""
+"""Client of the append-only log service."""
 
 from __future__ import annotations
 
@@ -17,32 +17,32 @@
 RETRY_S = 0.25
 MAX_RETRY_S = 2.0
 DEFAULT_RETRY_AFTER_S = 1.0
-READ_MAX = 1000
+MAX_READ_RECORDS = 1000
 HTTP_OK = 200
-HTTP_TOO_MANY = 429
-HTTP_REFUSED = frozenset({400, 404, 413, 429})
+HTTP_TOO_MANY_REQUESTS = 429
+REFUSAL_STATUSES = frozenset({400, 404, 413, 429})
 log = structlog.get_logger("briarseam.backing")
 
 
 @dataclasses.dataclass(frozen=True)
 class Appended:
-    """The record is in the stream at ``offset``."""
+    """The record has been appended to the stream at ``offset``."""
 
     offset: int
 
 
 @dataclasses.dataclass(frozen=True)
 class AppendRefused:
-    """The record is certainly not in the stream and never will be.
+    """The record is not in the stream and is never going to be.
 
     Attributes
     ----------
     detail
-        One sentence.
+        The reason, in one sentence.
     retry_after_s
-        Seconds after which an append may succeed.
+        Delay in seconds after which another append may succeed.
     throttled
-        Whether the log only has too many appends just now.
+        Whether the log service rejected the append by its rate limit.
     """
 
     detail: str
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class AppendUnknown:
-    """The record may or may not be in the stream, now or later."""
+    """The record may be in the stream already, or appear in it later."""
 
     detail: str
 
@@ -67,11 +67,12 @@
     Attributes
     ----------
     offset
-        Position, dense from 1.
+        Position in the stream; consecutive, starting at 1.
     time_ms
-        The log service's clock at the append, in ms since the epoch.
+        Time of the append by the log service's clock, in ms since the
+        Unix epoch.
     data
-        The bytes as appended.
+        The appended bytes.
     """
 
     offset: int
@@ -81,16 +82,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Batch:
-    """What one read returned.
+    """The result of one read.
 
     Attributes
     ----------
     first
-        Lowest offset still retained.
+        Lowest offset that is still retained.
     next
-        Offset that the next append will get.
+        Offset of the next append.
     records
-        In order of offset, without holes.
+        Records by ascending offset, without gaps.
     """
 
     first: int
@@ -99,7 +100,7 @@
 
 
 class LogUnavailableError(Exception):
-    """The log could not be read just now."""
+    """The log cannot be read at present."""
 
 
 class LogClient:
@@ -110,7 +111,7 @@
     address
         ``ip:port`` of the service.
     append_timeout_s
-        Bound on one append.
+        Timeout of one append in seconds.
     """
 
     def __init__(
@@ -118,8 +119,8 @@
     ) -> None:
         self.address = address
         self.append_timeout_s = append_timeout_s
-        # Library retries stay off: an append whose answer was lost may
-        # have taken effect, and only its writer can settle that.
+        # No retries by urllib3: an append whose response was lost may
+        # have taken effect, and only its writer can resolve that.
         self.pool = urllib3.PoolManager(
             maxsize=32, retries=False, headers={"Accept": "*/*"}
         )
@@ -132,7 +133,7 @@
         stream
             Name of the stream.
         data
-            The record, at most 1 MiB.
+            The record, of 1 MiB at most.
         """
         url = f"http://{self.address}/streams/{stream}"
         try:
@@ -145,9 +146,9 @@
             return AppendUnknown(str(error))
         if response.status == HTTP_OK:
             return Appended(int(response.json()["offset"]))
-        detail = f"the log answered {response.status}"
-        if response.status in HTTP_REFUSED:
-            throttled = response.status == HTTP_TOO_MANY
+        detail = f"the log service returned HTTP status {response.status}"
+        if response.status in REFUSAL_STATUSES:
+            throttled = response.status == HTTP_TOO_MANY_REQUESTS
             return AppendRefused(detail, retry_after(response), throttled)
         return AppendUnknown(detail)
 
@@ -156,9 +157,9 @@
         stream: str,
         after: int,
         wait_ms: int = 0,
-        limit: int = READ_MAX,
+        limit: int = MAX_READ_RECORDS,
     ) -> Batch:
-        """Return records with an offset above ``after``.
+        """Return the records whose offset is above ``after``.
 
         Parameters
         ----------
@@ -167,14 +168,16 @@
         after
             Last offset already read.
         wait_ms
-            Long poll: wait up to this while there are none.
+            Duration of a long poll in ms: the service waits up to this
+            long for a first record.
         limit
-            At most this many records.
+            Maximum number of records.
 
         Raises
         ------
         LogUnavailableError
-            When the service does not answer properly.
+            When the request fails, or its response has another status than
+            200 or can't be decoded.
         """
         url = (
             f"http://{self.address}/streams/{stream}"
@@ -185,14 +188,16 @@
                 "GET", url, timeout=wait_ms / 1000 + READ_SLACK_S
             )
             if response.status != HTTP_OK:
-                raise LogUnavailableError(f"read answered {response.status}")
+                raise LogUnavailableError(
+                    f"the read returned HTTP status {response.status}"
+                )
             return parse_batch(response.data)
         except (urllib3.exceptions.HTTPError, ValueError, KeyError) as error:
             raise LogUnavailableError(str(error)) from error
 
 
 def retry_after(response: urllib3.BaseHTTPResponse) -> float:
-    """Return a response's Retry-After in seconds."""
+    """Return a response's Retry-After in seconds, or the default."""
     try:
         return float(response.headers.get("Retry-After", ""))
     except ValueError:
@@ -200,28 +205,28 @@
 
 
 def parse_batch(data: bytes) -> Batch:
-    """Return the batch of a read's msgpack body."""
+    """Decode the msgpack body of a read's response."""
     body = msgpack.unpackb(data, raw=False)
     records = tuple(Record(*entry) for entry in body["records"])
     return Batch(int(body["first"]), int(body["next"]), records)
 
 
 class Follower:
-    """A thread that hands on every batch of one stream, in order.
+    """A thread that passes each batch of a stream to a callback, in order.
 
     Parameters
     ----------
     client
-        The log.
+        Client of the log service.
     stream
         Name of the stream.
     after
-        Last offset already known.
+        Last offset that has already been read.
     on_batch
         Called with each batch, also with empty ones, so that the owner
-        knows how current it is.
+        can tell how current its state is.
     wait_ms
-        Length of one long poll.
+        Duration of one long poll in ms.
     """
 
     def __init__(
@@ -244,35 +249,35 @@
         )
 
     def start(self) -> None:
-        """Begin following."""
+        """Start the thread."""
         self.thread.start()
 
     def stop(self) -> None:
-        """Stop after the poll under way."""
+        """Make the thread stop after the current poll."""
         self.stopping.set()
 
     def follow(self) -> None:
-        """Read on until stopped; back off while the log is away."""
-        pauses = backoff.Backoff(RETRY_S, MAX_RETRY_S)
-        # The first read doesn't wait, so that the owner of an empty stream
-        # knows at once that it is current.
+        """Read until stopped; back off while the log is unavailable."""
+        retry_delays = backoff.Backoff(RETRY_S, MAX_RETRY_S)
+        # The first read returns at once, so that the owner of an empty
+        # stream does not wait for a poll to learn that it is current.
         wait_ms = 0
         while not self.stopping.is_set():
             try:
                 batch = self.client.read(self.stream, self.after, wait_ms)
             except LogUnavailableError as error:
-                self.note_available(False, str(error))
-                self.stopping.wait(pauses.next_s())
+                self.record_availability(False, str(error))
+                self.stopping.wait(retry_delays.next_s())
                 continue
-            pauses.reset()
+            retry_delays.reset()
             wait_ms = self.wait_ms
-            self.note_available(True, "")
+            self.record_availability(True, "")
             self.on_batch(batch)
             if batch.records:
                 self.after = batch.records[-1].offset
 
-    def note_available(self, available: bool, detail: str) -> None:
-        """Log a change of the log's availability, once."""
+    def record_availability(self, available: bool, detail: str) -> None:
+        """Record the log's availability and log it when it changes."""
         if available == self.available:
             return
         self.available = available
