--- a/src/briarseam/command/options.py
+++ b/src/briarseam/command/options.py
@@ -62,7 +62,7 @@
     )
 
 
-def overriding(text: str) -> settings.Overriding:
+def overriding(text: str) -> settings.ValueOverride:
     """Return the override that ``section.key=value`` names."""
     place, equals, value = text.partition("=")
     section, dot, key = place.strip().rpartition(".")
@@ -70,7 +70,7 @@
         raise argparse.ArgumentTypeError(
             f"expected SECTION.KEY=VALUE, got {text!r}"
         )
-    return settings.Overriding(section, key, value.strip())
+    return settings.ValueOverride(section, key, value.strip())
 
 
 def duration_ms(text: str) -> int:
--- a/src/briarseam/settings/__init__.py
+++ b/src/briarseam/settings/__init__.py
@@ -8,7 +8,7 @@
 from briarseam.settings.address import Address as Address
 from briarseam.settings.address import parse as parse_address
 from briarseam.settings.errors import SettingsError as SettingsError
-from briarseam.settings.loading import Overriding as Overriding
+from briarseam.settings.loading import ValueOverride as ValueOverride
 from briarseam.settings.loading import load as load
 from briarseam.settings.model import Explained as Explained
 from briarseam.settings.model import Settings as Settings
@@ -31,12 +31,12 @@
     "Instance",
     "Limits",
     "Logging",
-    "Overriding",
     "Platform",
     "Secret",
     "Settings",
     "SettingsError",
     "Team",
+    "ValueOverride",
     "load",
     "parse_address",
 ]
--- a/src/briarseam/settings/loading.py
+++ b/src/briarseam/settings/loading.py
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Overriding:
+class ValueOverride:
     """A value from the command line, which goes before the file's.
 
     Attributes
@@ -75,7 +75,7 @@
 
     path: str
     written: dict[str, ini.Section]
-    overrides: tuple[Overriding, ...]
+    overrides: tuple[ValueOverride, ...]
     sources: Sources
 
     def section(
@@ -196,7 +196,7 @@
 
 
 def load(
-    path: str, overrides: typing.Sequence[Overriding] = ()
+    path: str, overrides: typing.Sequence[ValueOverride] = ()
 ) -> model.Settings:
     """Return the settings of a file.
 
--- a/tests/answers/conftest.py
+++ b/tests/answers/conftest.py
@@ -21,8 +21,8 @@
         """Shorten the times that tests wait for."""
         path = super().write_settings(*args).path
         overrides = [
-            settings.Overriding("entry", "resume_grace_s", f"{GRACE_S}s"),
-            settings.Overriding("entry", "engine_silence_ms", "1s"),
+            settings.ValueOverride("entry", "resume_grace_s", f"{GRACE_S}s"),
+            settings.ValueOverride("entry", "engine_silence_ms", "1s"),
         ]
         return settings.load(path, overrides)
 
--- a/tests/command/test_serve.py
+++ b/tests/command/test_serve.py
@@ -13,24 +13,24 @@
     ("text", "line"),
     [
         pytest.param(
-            serve_text.GOOD.replace(
+            serve_text.VALID.replace(
                 "callers = 127.0.0.1:1", "callers = there"
             ),
             "settings.ini:7 [listen] callers: expected",
             id="bad-address",
         ),
         pytest.param(
-            serve_text.GOOD.replace("zone = a\n", ""),
+            serve_text.VALID.replace("zone = a\n", ""),
             "settings.ini:2 [instance] zone: expected",
             id="missing",
         ),
         pytest.param(
-            serve_text.GOOD + "[bounds]\nretry_ratio = -1\n",
+            serve_text.VALID + "[bounds]\nretry_ratio = -1\n",
             "settings.ini:15 [bounds] retry_ratio: expected",
             id="out-of-bounds",
         ),
         pytest.param(
-            serve_text.GOOD + "[bonds]\n",
+            serve_text.VALID + "[bonds]\n",
             "settings.ini:14 [bonds]: expected one of",
             id="unknown-section",
         ),
@@ -58,7 +58,7 @@
     No process started there, since the settings took 100 at most.
     """
     path = tmp_path / "settings.ini"
-    path.write_text(serve_text.GOOD + "[bounds]\nretry_slack = 210\n")
+    path.write_text(serve_text.VALID + "[bounds]\nretry_slack = 210\n")
     assert serving.load(str(path)).bounds.retry_slack == 210
 
 
--- a/tests/compose/test_reloading.py
+++ b/tests/compose/test_reloading.py
@@ -7,7 +7,7 @@
 from briarseam.testing import waiting
 from tests.settings import serve_text
 
-TEXT = serve_text.GOOD + "[bounds]\nretry_ratio = {ratio}\n"
+TEXT = serve_text.VALID + "[bounds]\nretry_ratio = {ratio}\n"
 
 
 class Case:
--- a/tests/settings/serve_text.py
+++ b/tests/settings/serve_text.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-GOOD = """
+VALID = """
 [instance]
 name = one
 zone = a
--- a/tests/settings/test_loading.py
+++ b/tests/settings/test_loading.py
@@ -21,7 +21,7 @@
 
 def test_explain_names_each_source_and_hides_keys(write, valid):
     path = write(valid)
-    override = settings.Overriding("entry", "listen", "127.0.0.1:8002")
+    override = settings.ValueOverride("entry", "listen", "127.0.0.1:8002")
     loaded = settings.load(path, [override])
     explained = {
         (item.section, item.key): (item.value, str(item.source))
@@ -215,7 +215,7 @@
     ids=["section", "key"],
 )
 def test_override_of_something_unknown_is_refused(write, valid, section, key):
-    override = settings.Overriding(section, key, "127.0.0.1:8003")
+    override = settings.ValueOverride(section, key, "127.0.0.1:8003")
     with pytest.raises(settings.SettingsError, match="expected one of"):
         settings.load(write(valid), [override])
 
