--- a/src/briarseam/admission/request_metrics.py
+++ b/src/briarseam/admission/request_metrics.py
@@ -92,7 +92,7 @@
             collections.OrderedDict()
         )
 
-    def asked(self, request: codec.Message) -> None:
+    def on_request(self, request: codec.Message) -> None:
         """Count a message before it is handled, in the handler's thread."""
         match request:
             case messages.Admit() | messages.AdmitCall():
@@ -102,7 +102,7 @@
             case messages.RunEnded():
                 self.count_end(request)
 
-    def answered(self, request: codec.Message, reply: codec.Message) -> None:
+    def on_reply(self, request: codec.Message, reply: codec.Message) -> None:
         """Count the reply to a message, in the handler's thread."""
         if not isinstance(request, messages.Admit | messages.AdmitCall):
             return
--- a/src/briarseam/compose/agent.py
+++ b/src/briarseam/compose/agent.py
@@ -204,7 +204,7 @@
     )
     idempotency_service = idempotency.Idempotency(
         recording.RecordingClaims(claim_service, ring),
-        lambda: server.connected(),
+        lambda: server.connected_peers(),
     )
     lookups = lookup.Lookup(
         member_service.all_members,
@@ -260,7 +260,7 @@
                 str(settings.instance.agent_address), clients
             ),
             guard=crash_parts.guard,
-            connected=lambda: server.connected(),
+            connected=lambda: server.connected_peers(),
         )
     )
 
--- a/src/briarseam/compose/node_calls.py
+++ b/src/briarseam/compose/node_calls.py
@@ -84,7 +84,7 @@
         """
         try:
             client = self.require_membership().client(name)
-            return replies.checked(client.call(message, timeout_s), kind)
+            return replies.require_type(client.call(message, timeout_s), kind)
         except wire_connection.WireError as error:
             raise replies.NoReplyError(str(error)) from error
 
@@ -99,7 +99,7 @@
             If it does not answer with a message of the expected kind.
         """
         try:
-            return replies.checked(
+            return replies.require_type(
                 self.remote_client(address).call(message, CALL_TIMEOUT_S), kind
             )
         except wire_connection.WireError as error:
--- a/src/briarseam/compose/node_peers.py
+++ b/src/briarseam/compose/node_peers.py
@@ -119,7 +119,7 @@
     for kind, handler in handlers.items():
         handle = functools.partial(handle_message, handler.answer)
         if handler.wait is None:
-            router.on_quick(kind, handle)
+            router.on_nonblocking(kind, handle)
         else:
             router.on(kind, handle, handler.wait)
     wire.Server(
--- a/src/briarseam/membership/gossip.py
+++ b/src/briarseam/membership/gossip.py
@@ -83,7 +83,7 @@
 
     def register(self, router: server.Router) -> None:
         """Register the handler of other agents' exchanges."""
-        router.on_quick(messages.CellsAsked, self.on_cells_query)
+        router.on_nonblocking(messages.CellsAsked, self.on_cells_query)
 
     def start(self) -> None:
         """Start the thread."""
--- a/src/briarseam/membership/handlers.py
+++ b/src/briarseam/membership/handlers.py
@@ -54,10 +54,10 @@
 
     def register(self, router: server.Router) -> None:
         """Register the handlers of the other agents' messages."""
-        router.on_quick(messages.Introduction, self.on_introduction)
-        router.on_quick(messages.Heartbeat, self.on_heartbeat)
-        router.on_quick(messages.PeersAsked, self.on_peers_query)
-        router.on_quick(messages.HeardAsked, self.on_contact_query)
+        router.on_nonblocking(messages.Introduction, self.on_introduction)
+        router.on_nonblocking(messages.Heartbeat, self.on_heartbeat)
+        router.on_nonblocking(messages.PeersAsked, self.on_peers_query)
+        router.on_nonblocking(messages.HeardAsked, self.on_contact_query)
 
     def on_introduction(
         self, peer: connections.Identity, introduction: messages.Introduction
--- a/src/briarseam/membership/heartbeat_sender.py
+++ b/src/briarseam/membership/heartbeat_sender.py
@@ -82,7 +82,7 @@
         self.wake = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
         self.stopped = False
-        self.connection: frames_module.Frames | None = None
+        self.connection: frames_module.AsyncConnection | None = None
         self.address = ""
         self.sent_sections: dict[str, bytes] = {}
         self.sent_about: messages.About | None = None
@@ -192,7 +192,7 @@
 
     async def handle_reply(
         self,
-        connection: frames_module.Frames,
+        connection: frames_module.AsyncConnection,
         heartbeat: messages.Introduction | messages.Heartbeat,
         reply: codec.Message,
         sent_at: float,
@@ -217,7 +217,7 @@
             case _:
                 raise connections.WireError("unexpected reply to a heartbeat")
 
-    async def connect(self) -> frames_module.Frames:
+    async def connect(self) -> frames_module.AsyncConnection:
         """Return the open connection, or a new one to the current address."""
         address = self.parts.address_of(self.name)
         if self.connection is not None and address == self.address:
@@ -268,7 +268,7 @@
         return messages.Heartbeat(about.incarnation, digest, changed)
 
     async def query_peers(
-        self, connection: frames_module.Frames, digest: int
+        self, connection: frames_module.AsyncConnection, digest: int
     ) -> None:
         """Query the peer's live agents if its digest differs."""
         now = self.parts.clock()
--- a/src/briarseam/placement/load_exchange.py
+++ b/src/briarseam/placement/load_exchange.py
@@ -134,7 +134,7 @@
         """Receive datagrams until stopped."""
         while not self.stopping.is_set():
             try:
-                datagram = self.socket.recv(datagrams.MOST_BYTES)
+                datagram = self.socket.recv(datagrams.MAX_DATAGRAM_BYTES)
             except OSError as error:
                 # The error may stem from an earlier datagram to a closed
                 # port; the next receive may succeed.
--- a/src/briarseam/timeline/requests.py
+++ b/src/briarseam/timeline/requests.py
@@ -71,7 +71,7 @@
         self.ring = ring
         self.runs = Runs()
 
-    def asked(self, request: codec.Message) -> None:
+    def on_request(self, request: codec.Message) -> None:
         """Note a message before it is sent."""
         match request:
             case messages.Admit():
@@ -89,7 +89,7 @@
             case messages.RunEnded():
                 self.note_end(request)
 
-    def answered(self, request: codec.Message, reply: codec.Message) -> None:
+    def on_reply(self, request: codec.Message, reply: codec.Message) -> None:
         """Note what the agent answered, where the agent may not know."""
         match request, reply:
             case (
@@ -185,7 +185,7 @@
         self.ring = ring
         self.runs = Runs()
 
-    def asked(self, request: codec.Message) -> None:
+    def on_request(self, request: codec.Message) -> None:
         """Note a message before it is handled."""
         match request:
             case messages.Admit() | messages.AdmitCall():
@@ -207,7 +207,7 @@
                 if known is not None:
                     note_end(self.ring, Kind.SETTLED, request, known)
 
-    def answered(self, request: codec.Message, reply: codec.Message) -> None:
+    def on_reply(self, request: codec.Message, reply: codec.Message) -> None:
         """Note the decision about a request."""
         self.ring.about("")
         match request, reply:
--- a/src/briarseam/wire/client.py
+++ b/src/briarseam/wire/client.py
@@ -123,14 +123,14 @@
         """
         if self.observer is None:
             return self.exchange(request, timeout_s)
-        self.observer.asked(request)
+        self.observer.on_request(request)
         try:
             reply = self.exchange(request, timeout_s)
         except connections.WireError as error:
             failed = codec.Failed("lost", str(error))
-            self.observer.answered(request, failed)
+            self.observer.on_reply(request, failed)
             raise
-        self.observer.answered(request, reply)
+        self.observer.on_reply(request, reply)
         return reply
 
     def exchange(
--- a/src/briarseam/wire/connection.py
+++ b/src/briarseam/wire/connection.py
@@ -34,10 +34,10 @@
 class Observer(typing.Protocol):
     """Sees calls go by; must neither wait nor raise."""
 
-    def asked(self, request: codec.Message) -> None:
+    def on_request(self, request: codec.Message) -> None:
         """See a request before it is sent or handled."""
 
-    def answered(self, request: codec.Message, reply: codec.Message) -> None:
+    def on_reply(self, request: codec.Message, reply: codec.Message) -> None:
         """See a request's reply; ``Failed`` when none came."""
 
 
@@ -47,15 +47,15 @@
 
     members: tuple[Observer, ...]
 
-    def asked(self, request: codec.Message) -> None:
+    def on_request(self, request: codec.Message) -> None:
         """Let each see a request."""
         for member in self.members:
-            member.asked(request)
+            member.on_request(request)
 
-    def answered(self, request: codec.Message, reply: codec.Message) -> None:
+    def on_reply(self, request: codec.Message, reply: codec.Message) -> None:
         """Let each see a reply."""
         for member in self.members:
-            member.answered(request, reply)
+            member.on_reply(request, reply)
 
 
 @dataclasses.dataclass(frozen=True)
--- a/src/briarseam/wire/datagrams.py
+++ b/src/briarseam/wire/datagrams.py
@@ -18,7 +18,7 @@
 # Set apart from the MACs of connections, which are made with the same key.
 LABEL = b"briarseam-datagram"
 # The most that UDP carries over IPv4.
-MOST_BYTES = 65_507
+MAX_DATAGRAM_BYTES = 65_507
 
 
 class TooLargeError(connections.WireError):
@@ -33,7 +33,7 @@
     TooLargeError
         If it does not fit.
     """
-    if len(content) + MAC_BYTES > MOST_BYTES:
+    if len(content) + MAC_BYTES > MAX_DATAGRAM_BYTES:
         raise TooLargeError(f"{len(content)} bytes for a datagram")
     return mac_of(key, content) + content
 
--- a/src/briarseam/wire/frames.py
+++ b/src/briarseam/wire/frames.py
@@ -15,7 +15,7 @@
 MAX_AHEAD = 4
 
 
-class Frames(asyncio.Protocol):
+class AsyncConnection(asyncio.Protocol):
     """A connection whose messages one coroutine takes in order.
 
     Parameters
@@ -35,7 +35,7 @@
     """
 
     def __init__(
-        self, opened: typing.Callable[[Frames], None] | None = None
+        self, opened: typing.Callable[[AsyncConnection], None] | None = None
     ) -> None:
         self.opened = opened
         self.peer = connections.Identity(role="", name="")
@@ -178,7 +178,7 @@
     key: bytes,
     timeout_s: float,
     clock: connections.Clock | None = None,
-) -> Frames:
+) -> AsyncConnection:
     """Return an authenticated connection.
 
     Parameters
@@ -203,7 +203,9 @@
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(timeout_s):
-            _, frames = await loop.create_connection(Frames, host, port)
+            _, frames = await loop.create_connection(
+                AsyncConnection, host, port
+            )
     except (OSError, TimeoutError) as error:
         raise connections.WireError(f"cannot connect to {address}") from error
     try:
@@ -216,7 +218,10 @@
 
 
 async def greet(
-    frames: Frames, me: connections.Identity, key: bytes, timeout_s: float
+    frames: AsyncConnection,
+    me: connections.Identity,
+    key: bytes,
+    timeout_s: float,
 ) -> None:
     """Open a connection from the client's side.
 
--- a/src/briarseam/wire/replies.py
+++ b/src/briarseam/wire/replies.py
@@ -14,7 +14,7 @@
     """An instance did not answer, or not with what was asked for."""
 
 
-def checked(reply: codec.Message, kind: type[Reply]) -> Reply:
+def require_type(reply: codec.Message, kind: type[Reply]) -> Reply:
     """Return a reply of the expected kind.
 
     Raises
--- a/src/briarseam/wire/server.py
+++ b/src/briarseam/wire/server.py
@@ -49,7 +49,7 @@
 
     handlers: dict[type, Handler] = dataclasses.field(default_factory=dict)
     waits: dict[type, Wait] = dataclasses.field(default_factory=dict)
-    quick: set[type] = dataclasses.field(default_factory=set)
+    nonblocking: set[type] = dataclasses.field(default_factory=set)
     observer: connections.Observer | None = None
 
     def on(
@@ -73,13 +73,13 @@
         if wait is not None:
             self.waits[kind] = wait
 
-    def on_quick(self, kind: type, handler: Handler) -> None:
+    def on_nonblocking(self, kind: type, handler: Handler) -> None:
         """Let a handler that never waits answer messages of a class.
 
         It runs in the event loop, and all connections wait for its end.
         """
         self.on(kind, handler)
-        self.quick.add(kind)
+        self.nonblocking.add(kind)
 
     def answer(
         self, peer: connections.Identity, request: codec.Message
@@ -87,9 +87,9 @@
         """Return the reply to ``request``, ``Failed`` on an error."""
         if self.observer is None:
             return self.handle(peer, request)
-        self.observer.asked(request)
+        self.observer.on_request(request)
         reply = self.handle(peer, request)
-        self.observer.answered(request, reply)
+        self.observer.on_reply(request, reply)
         return reply
 
     def handle(
@@ -146,7 +146,7 @@
         self.loop = loop or event_loop.EventLoop("wire-server")
         self.workers = worker_threads.WorkerThreads("wire-handler")
         self.tasks: set[asyncio.Task[None]] = set()
-        self.open: set[frames_module.Frames] = set()
+        self.open: set[frames_module.AsyncConnection] = set()
         self.lock = threading.Lock()
         self.accepting: asyncio.Server | None = None
         self.listener = socket.create_server(
@@ -164,18 +164,18 @@
     async def accept(self) -> None:
         """Accept until stopped; a failed accept is tried again."""
         self.accepting = await asyncio.get_running_loop().create_server(
-            lambda: frames_module.Frames(self.begin),
+            lambda: frames_module.AsyncConnection(self.begin),
             sock=self.listener,
             backlog=BACKLOG,
         )
 
-    def begin(self, frames: frames_module.Frames) -> None:
+    def begin(self, frames: frames_module.AsyncConnection) -> None:
         """Serve a connection that was accepted."""
         task = asyncio.get_running_loop().create_task(self.serve(frames))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def serve(self, frames: frames_module.Frames) -> None:
+    async def serve(self, frames: frames_module.AsyncConnection) -> None:
         """Answer one connection's messages until it ends."""
         with self.lock:
             self.open.add(frames)
@@ -195,10 +195,10 @@
                 self.open.discard(frames)
 
     async def answer(
-        self, frames: frames_module.Frames, request: codec.Message
+        self, frames: frames_module.AsyncConnection, request: codec.Message
     ) -> bytes:
         """Return the reply to a message, as a frame."""
-        if type(request) in self.router.quick:
+        if type(request) in self.router.nonblocking:
             return encoded(frames, self.router.answer(frames.peer, request))
         wait = self.router.waits.get(type(request))
         if wait is not None:
@@ -206,7 +206,7 @@
         return await self.answer_in_thread(frames, request)
 
     async def answer_in_thread(
-        self, frames: frames_module.Frames, request: codec.Message
+        self, frames: frames_module.AsyncConnection, request: codec.Message
     ) -> bytes:
         """Return the reply of a handler that may wait, as a frame.
 
@@ -232,7 +232,7 @@
             return encoded(frames, codec.Failed("overloaded", str(error)))
         return await asyncio.wrap_future(reply)
 
-    def connected(self) -> frozenset[str]:
+    def connected_peers(self) -> frozenset[str]:
         """Return the names of the peers that have a connection open."""
         with self.lock:
             return frozenset(one.peer.name for one in self.open)
@@ -254,7 +254,7 @@
 
 
 async def admit(
-    frames: frames_module.Frames, me: connections.Identity, key: bytes
+    frames: frames_module.AsyncConnection, me: connections.Identity, key: bytes
 ) -> None:
     """Open a connection from the server's side.
 
@@ -272,7 +272,9 @@
     frames.max_bytes = codec.MAX_FRAME_BYTES
 
 
-def encoded(frames: frames_module.Frames, reply: codec.Message) -> bytes:
+def encoded(
+    frames: frames_module.AsyncConnection, reply: codec.Message
+) -> bytes:
     """Return a reply's frame, or one that says that it can't be carried."""
     try:
         return frames.encode(reply)
--- a/tests/admission/test_request_metrics.py
+++ b/tests/admission/test_request_metrics.py
@@ -20,8 +20,8 @@
 
 def record_exchange(request_counts, reply, tokens=3000):
     request = messages.Admit("d", "m", "s", (), tokens, 8, 5, 4000)
-    request_counts.asked(request)
-    request_counts.answered(request, reply)
+    request_counts.on_request(request)
+    request_counts.on_reply(request, reply)
 
 
 def grant(run, organisation):
@@ -40,7 +40,7 @@
     # reuse of one must not hide that another's prompts are recomputed.
     for run, organisation, cached in (("r1", "a", 2000), ("r2", "b", 0)):
         record_exchange(request_counts, grant(run, organisation))
-        request_counts.asked(messages.RunStarted(run, cached, 250.0))
+        request_counts.on_request(messages.RunStarted(run, cached, 250.0))
     samples = sample_values(registry)
     assert samples["prompt_tokens_total", "a"] == 3000
     assert samples["reused_prompt_tokens_total", "a"] == 2000
@@ -54,7 +54,7 @@
     record_exchange(request_counts, grant("r1", "a"))
     done = messages.RunEnded("r1", "", "e1", messages.RunResult.DONE, 8)
     for _ in range(3):
-        request_counts.asked(done)
+        request_counts.on_request(done)
     samples = sample_values(registry)
     assert samples["runs_ended_total", "done"] == 1
     assert samples["answer_tokens_total", "a"] == 8
@@ -88,7 +88,7 @@
     # negative number.
     for run, cached in (("r1", 10**9), ("r2", -5)):
         record_exchange(request_counts, grant(run, "a"), tokens=100)
-        request_counts.asked(messages.RunStarted(run, cached, -1.0))
+        request_counts.on_request(messages.RunStarted(run, cached, -1.0))
     assert sample_values(registry)["reused_prompt_tokens_total", "a"] == 100
 
 
--- a/tests/membership/test_many_peers.py
+++ b/tests/membership/test_many_peers.py
@@ -30,8 +30,8 @@
         self.name = name
         self.heartbeats = 0
         self.router = server.Router()
-        self.router.on_quick(messages.Introduction, self.on_introduction)
-        self.router.on_quick(messages.Heartbeat, self.on_heartbeat)
+        self.router.on_nonblocking(messages.Introduction, self.on_introduction)
+        self.router.on_nonblocking(messages.Heartbeat, self.on_heartbeat)
         me = connections.Identity("agent", name)
         self.server = server.Server(
             "127.0.0.1:0", me, helpers.KEY, self.router, loop=loop
--- a/tests/placement/test_load_exchange.py
+++ b/tests/placement/test_load_exchange.py
@@ -134,7 +134,7 @@
 
 def test_load_too_large_for_a_datagram_is_left_to_heartbeats(cell):
     provide = cell.loads["a"].provide
-    cell.loads["a"].provide = lambda: bytes(datagrams.MOST_BYTES)
+    cell.loads["a"].provide = lambda: bytes(datagrams.MAX_DATAGRAM_BYTES)
     cell.exchanges["a"].send(["127.0.0.1:9"])
     cell.loads["a"].provide = provide
     cell.loads["a"].add("engine-1", LOAD)
--- a/tests/timeline/test_requests.py
+++ b/tests/timeline/test_requests.py
@@ -30,20 +30,20 @@
     # A prompt loses its first endpoint before and its second after the
     # first token.  The operator sees each try under the request's name.
     observer = requests.EntryObserver(ring)
-    observer.asked(ASK)
-    observer.answered(ASK, GRANT)
+    observer.on_request(ASK)
+    observer.on_reply(ASK, GRANT)
     lost = messages.RunResult.LOST_BEFORE_FIRST
-    observer.asked(messages.RunEnded("run1", "", "e1", lost))
+    observer.on_request(messages.RunEnded("run1", "", "e1", lost))
     second = dataclasses.replace(ASK, lost=("e1",))
-    observer.asked(second)
-    observer.answered(
+    observer.on_request(second)
+    observer.on_reply(
         second, dataclasses.replace(GRANT, run_id="run2", endpoint="e2")
     )
-    observer.asked(messages.RunStarted("run2", 1000, 12.34))
+    observer.on_request(messages.RunStarted("run2", 1000, 12.34))
     third = dataclasses.replace(
         ASK, lost=("e1", "e2"), continues="id", passed_on=3
     )
-    observer.asked(third)
+    observer.on_request(third)
     assert told(ring) == [
         ("accepted", "r1"),
         ("ended", "r1"),
@@ -60,9 +60,9 @@
 def test_end_stands_once_however_often_it_is_reported(ring):
     # The agent is away, and the entry reports the end again and again.
     observer = requests.EntryObserver(ring)
-    observer.answered(ASK, GRANT)
+    observer.on_reply(ASK, GRANT)
     for _ in range(3):
-        observer.asked(DONE)
+        observer.on_request(DONE)
     assert told(ring) == [("ended", "r1")]
 
 
@@ -99,8 +99,8 @@
 def test_agent_tells_each_decision(ring, reply, kind, fields):
     # What the agent decided must be there when its entry is gone.
     observer = requests.AgentObserver(ring)
-    observer.asked(CALL)
-    observer.answered(CALL, reply)
+    observer.on_request(CALL)
+    observer.on_reply(CALL, reply)
     admitting, decided = ring.since()
     assert admitting.fields["key"] == "k1"
     assert (decided.kind, decided.request) == (kind, "r2")
@@ -111,17 +111,17 @@
 def test_agent_that_does_not_answer_shows_at_the_entry(ring):
     # The agent is dead: only the entry can tell why the caller was refused.
     observer = requests.EntryObserver(ring)
-    observer.asked(ASK)
-    observer.answered(ASK, codec.Failed("lost", "timed out"))
+    observer.on_request(ASK)
+    observer.on_reply(ASK, codec.Failed("lost", "timed out"))
     assert told(ring) == [("accepted", "r1"), ("refused", "r1")]
 
 
 def test_agent_tells_how_a_run_was_settled(ring):
     # Its entry died after reporting the end.
     observer = requests.AgentObserver(ring)
-    observer.answered(ASK, GRANT)
-    observer.asked(DONE)
-    observer.asked(DONE)
+    observer.on_reply(ASK, GRANT)
+    observer.on_request(DONE)
+    observer.on_request(DONE)
     assert told(ring) == [("granted", "r1"), ("settled", "r1")]
     assert ring.since()[1].fields["result"] == "done"
 
@@ -139,9 +139,9 @@
     # A claim is made while the agent decides, by a slice that knows no
     # request names; what the thread does next is not about it any more.
     observer = requests.AgentObserver(ring)
-    observer.asked(CALL)
+    observer.on_request(CALL)
     ring.note("claimed", key="k1")
-    observer.answered(CALL, GRANT)
+    observer.on_reply(CALL, GRANT)
     ring.note("member")
     assert told(ring)[1:] == [
         ("claimed", "r2"),
--- a/tests/wire/test_datagrams.py
+++ b/tests/wire/test_datagrams.py
@@ -34,7 +34,7 @@
 
 def test_more_than_a_datagram_holds_is_refused():
     with pytest.raises(datagrams.TooLargeError):
-        datagrams.seal(KEY, bytes(datagrams.MOST_BYTES))
+        datagrams.seal(KEY, bytes(datagrams.MAX_DATAGRAM_BYTES))
 
 
 def test_sent_and_received_at_an_address():
--- a/tests/wire/test_hello.py
+++ b/tests/wire/test_hello.py
@@ -25,7 +25,7 @@
     async def run():
         loop = asyncio.get_running_loop()
         _, accepted = await loop.connect_accepted_socket(
-            frames.Frames, connection.sock
+            frames.AsyncConnection, connection.sock
         )
         await servers.admit(accepted, me, key)
         connection.peer = accepted.peer
--- a/tests/wire/test_replies.py
+++ b/tests/wire/test_replies.py
@@ -8,9 +8,9 @@
 
 def test_reply_of_the_expected_kind_is_returned():
     reply = codec.Failed("error", "broken")
-    assert replies.checked(reply, codec.Failed) is reply
+    assert replies.require_type(reply, codec.Failed) is reply
 
 
 def test_reply_of_another_kind_is_none():
     with pytest.raises(replies.NoReplyError):
-        replies.checked(codec.Failed("error", "broken"), int)
+        replies.require_type(codec.Failed("error", "broken"), int)
