--- a/src/briarseam/metrics/__init__.py
+++ b/src/briarseam/metrics/__init__.py
@@ -1,6 +1,7 @@
-"""Counters, gauges and latencies, and the text that a scrape reads.
+"""Counters, gauges and latencies, and their Prometheus text format.
 
-A `Registry` is made once per process and passed to whatever counts.
+Each process creates one `Registry` and passes it to all parts that record
+metrics.
 """
 
 from __future__ import annotations
--- a/src/briarseam/metrics/instruments.py
+++ b/src/briarseam/metrics/instruments.py
@@ -1,4 +1,4 @@
-"""What counts and measures; each may be used from any thread."""
+"""Metric instruments; all are safe to use from any thread."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     import collections.abc
     import types
 
-# Two significant figures over a microsecond to ten minutes: 25 KB a
-# histogram.
+# With two significant figures from one microsecond to ten minutes, a
+# histogram takes 25 KB.
 SIGNIFICANT_FIGURES = 2
 LOWEST_US = 1
 HIGHEST_US = 600_000_000
@@ -23,12 +23,12 @@
 
 
 class Counter:
-    """A number that only grows.
+    """A value that never decreases.
 
     Attributes
     ----------
     value
-        Sum of what was added.
+        Sum of all amounts added.
     """
 
     def __init__(self) -> None:
@@ -44,18 +44,18 @@
             If the amount is negative.
         """
         if amount < 0:
-            raise ValueError("a counter only grows")
+            raise ValueError("counter amount must not be negative")
         with self.lock:
             self.value += amount
 
 
 class Gauge:
-    """A number that goes up and down.
+    """A value that can increase and decrease.
 
     Attributes
     ----------
     value
-        The present value.
+        The current value.
     """
 
     def __init__(self) -> None:
@@ -63,30 +63,31 @@
         self.lock = threading.Lock()
 
     def set(self, value: float) -> None:
-        """Replace the present value."""
+        """Set the value."""
         with self.lock:
             self.value = value
 
     def add(self, amount: float) -> None:
-        """Change the present value by an amount, which may be negative."""
+        """Add an amount, which may be negative, to the value."""
         with self.lock:
             self.value += amount
 
 
 @dataclasses.dataclass(frozen=True)
 class LatencySummary:
-    """What a latency has recorded so far.
+    """Summary of the durations that a latency has recorded.
 
     Attributes
     ----------
     count
-        Number of recordings.
+        Number of durations recorded.
     sum_us
-        Their sum, microseconds.
+        Sum of the durations, in microseconds.
     max_us
-        The longest, microseconds.
+        Longest duration, in microseconds.
     quantiles_us
-        Microseconds for each of ``QUANTILES``, in their order.
+        Durations at each of ``QUANTILES``, in microseconds and in the same
+        order.
     """
 
     count: int
@@ -98,7 +99,7 @@
 class Latency:
     """A histogram of durations in microseconds.
 
-    Durations beyond ten minutes count as ten minutes.
+    Durations of more than ten minutes are recorded as ten minutes.
     """
 
     def __init__(self) -> None:
@@ -109,22 +110,22 @@
         self.lock = threading.Lock()
 
     def record_us(self, duration_us: float) -> None:
-        """Record a duration in microseconds; a negative one counts as 0."""
-        whole_us = min(max(int(duration_us), 0), HIGHEST_US)
+        """Record a duration in microseconds; a negative one as 0."""
+        clamped_us = min(max(int(duration_us), 0), HIGHEST_US)
         with self.lock:
-            self.histogram.record_value(whole_us)
-            self.sum_us += whole_us
+            self.histogram.record_value(clamped_us)
+            self.sum_us += clamped_us
 
     def record_s(self, duration_s: float) -> None:
         """Record a duration in seconds."""
         self.record_us(duration_s * US_PER_S)
 
-    def time(self) -> Timing:
-        """Return a context manager that records how long its body takes."""
-        return Timing(self)
+    def time(self) -> Timer:
+        """Return a context manager that records the duration of its body."""
+        return Timer(self)
 
     def summary(self) -> LatencySummary:
-        """Return what was recorded so far, consistent in itself."""
+        """Return a consistent summary of the durations recorded so far."""
         with self.lock:
             recorded = self.histogram
             return LatencySummary(
@@ -138,40 +139,40 @@
             )
 
 
-class Timing:
-    """Records how long a ``with`` body takes, also when it raises."""
+class Timer:
+    """Records the duration of a ``with`` body, also when it raises."""
 
     def __init__(self, latency: Latency) -> None:
         self.latency = latency
         self.started_s = 0.0
 
     def __enter__(self) -> None:
-        """Start the clock."""
+        """Start the timer."""
         self.started_s = time.perf_counter()
 
     def __exit__(
         self,
-        kind: type[BaseException] | None,
+        error_type: type[BaseException] | None,
         error: BaseException | None,
-        trace: types.TracebackType | None,
+        traceback: types.TracebackType | None,
     ) -> None:
-        """Record the time since the start."""
+        """Record the time since the timer started."""
         self.latency.record_s(time.perf_counter() - self.started_s)
 
 
 class CallbackGauge:
-    """A gauge whose value is read when it is scraped."""
+    """A gauge whose value a callback returns at each scrape."""
 
-    def __init__(self, read: collections.abc.Callable[[], float]) -> None:
-        self.read = read
+    def __init__(self, callback: collections.abc.Callable[[], float]) -> None:
+        self.callback = callback
 
     @property
     def value(self) -> float:
-        """The present value; NaN when it can't be read."""
-        # One reading that raises would fail the whole scrape and hide all
-        # other metrics just when something is wrong; NaN marks only it.
+        """The current value; NaN if the callback raises."""
+        # An exception would fail the whole scrape and hide all other
+        # metrics during a fault; NaN marks only this value as unavailable.
         try:
-            return float(self.read())
+            return float(self.callback())
         except Exception:
             return float("nan")
 
--- a/src/briarseam/metrics/labels.py
+++ b/src/briarseam/metrics/labels.py
@@ -1,4 +1,4 @@
-"""Families of instruments that share a name and differ by label values."""
+"""Families of instruments that share a name and differ in label values."""
 
 from __future__ import annotations
 
@@ -12,68 +12,71 @@
 
 OTHER = "other"
 
-Made = typing.TypeVar("Made", bound=instruments.Instrument)
+InstrumentT = typing.TypeVar("InstrumentT", bound=instruments.Instrument)
 
 
-class Family(typing.Generic[Made]):
-    """Instruments by the values of their labels, bounded in number.
+class Family(typing.Generic[InstrumentT]):
+    """A bounded number of instruments, by their label values.
 
     Attributes
     ----------
     label_names
-        Names of the labels, in order.
+        Names of the labels, in the order of their values.
     max_values
-        Distinct values kept of each label.
+        Maximum number of distinct values of each label.
     children
         Instruments by label values.
     """
 
     def __init__(
         self,
-        make: collections.abc.Callable[[], Made],
+        make: collections.abc.Callable[[], InstrumentT],
         label_names: tuple[str, ...],
         max_values: int,
     ) -> None:
         self.make = make
         self.label_names = label_names
         self.max_values = max_values
-        self.children: dict[tuple[str, ...], Made] = {}
+        self.children: dict[tuple[str, ...], InstrumentT] = {}
         self.seen: tuple[set[str], ...] = tuple(set() for _ in label_names)
         self.lock = threading.Lock()
 
-    def labelled(self, *values: str) -> Made:
-        """Return the instrument for label values, made at first use.
+    def labelled(self, *values: str) -> InstrumentT:
+        """Return the instrument for label values, created at first use.
 
         Raises
         ------
         ValueError
-            If there are not as many values as labels.
+            If the number of values differs from the number of labels.
         """
         if len(values) != len(self.label_names):
-            raise ValueError(f"labels are {', '.join(self.label_names)}")
-        found = self.children.get(values)
-        if found is not None:
-            return found
+            raise ValueError(
+                f"one value is required for each label:"
+                f" {', '.join(self.label_names)}"
+            )
+        instrument = self.children.get(values)
+        if instrument is not None:
+            return instrument
         with self.lock:
-            return self.bounded(values)
+            return self.get_or_create(values)
 
-    def bounded(self, values: tuple[str, ...]) -> Made:
-        """Return the instrument for values, new ones past the bound merged.
+    def get_or_create(self, values: tuple[str, ...]) -> InstrumentT:
+        """Return the instrument for label values, within the limit of values.
 
-        Values that callers choose (an organisation, a model) would otherwise
-        grow the memory of the process and every scrape without limit; past
-        the bound a new value counts as ``other``.
+        Label values that callers choose (an organisation, a model) would
+        otherwise grow the process's memory and each scrape without bound.
+        Beyond the limit, a new value is replaced by ``other``.
         """
-        kept = tuple(
-            self.kept(seen, value)
+        bounded = tuple(
+            self.bounded_value(seen, value)
             for seen, value in zip(self.seen, values, strict=True)
         )
-        if kept not in self.children:
-            self.children[kept] = self.make()
-        return self.children[kept]
+        if bounded not in self.children:
+            self.children[bounded] = self.make()
+        return self.children[bounded]
 
-    def kept(self, seen: set[str], value: str) -> str:
-        """Return a label value, or ``other`` when there are too many."""
+    def bounded_value(self, seen: set[str], value: str) -> str:
+        """Return a label value, or ``other`` beyond the limit of values."""
         if value in seen:
             return value
         if len(seen) >= self.max_values:
@@ -81,7 +84,7 @@
         seen.add(value)
         return value
 
-    def items(self) -> list[tuple[tuple[str, ...], Made]]:
-        """Return all instruments with their label values, sorted."""
+    def items(self) -> list[tuple[tuple[str, ...], InstrumentT]]:
+        """Return all instruments with their label values, sorted by these."""
         with self.lock:
             return sorted(self.children.items(), key=lambda item: item[0])
--- a/src/briarseam/metrics/messages.py
+++ b/src/briarseam/metrics/messages.py
@@ -1,4 +1,4 @@
-"""Messages by which an entry's page shows its agent's metrics too."""
+"""Messages by which an entry adds its agent's metrics to its scrape page."""
 
 from __future__ import annotations
 
@@ -10,12 +10,18 @@
 @codec.message("metrics-asked")
 @dataclasses.dataclass(frozen=True)
 class MetricsAsked:
-    """Ask an agent for its metrics."""
+    """Query the metrics of an agent."""
 
 
 @codec.message("metrics-text")
 @dataclasses.dataclass(frozen=True)
 class MetricsText:
-    """All present values, as the scrape page has them."""
+    """The current values of an agent's metrics.
+
+    Attributes
+    ----------
+    text
+        The values in the Prometheus text format.
+    """
 
     text: str
--- a/src/briarseam/metrics/registry.py
+++ b/src/briarseam/metrics/registry.py
@@ -1,4 +1,4 @@
-"""All metrics of one process."""
+"""Registry of all metrics of a process."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
     import collections.abc
 
 MAX_LABEL_VALUES = 64
-# A histogram takes 25 KB, and one is made for each label value.
+# Each label value has its own histogram of 25 KB.
 MAX_LATENCY_LABEL_VALUES = 16
 
-NAME = re.compile(r"[a-z][a-z0-9_]*")
-COUNTER_ENDING = "_total"
-LATENCY_ENDING = "_us"
+NAME_PATTERN = re.compile(r"[a-z][a-z0-9_]*")
+COUNTER_SUFFIX = "_total"
+LATENCY_SUFFIX = "_us"
 
-Made = typing.TypeVar("Made", bound=instruments.Instrument)
+InstrumentT = typing.TypeVar("InstrumentT", bound=instruments.Instrument)
 AnyFamily = (
     labels.Family[instruments.Counter]
     | labels.Family[instruments.Gauge]
@@ -33,16 +33,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Metric:
-    """One name with its instruments.
+    """A named metric and its instruments.
 
     Attributes
     ----------
     name
-        Name, with its unit.
+        Name, with the unit as its suffix.
     help
-        One sentence for operators.
+        Description for operators, in one sentence.
     kind
-        Prometheus type.
+        Prometheus metric type.
     family
         Instruments by label values.
     """
@@ -54,14 +54,15 @@
 
 
 class Registry:
-    """The metrics of one process; may be used from any thread.
+    """Metrics of a process; safe to use from any thread.
 
-    Names carry their unit: counters end in ``_total``, latencies in ``_us``.
+    Names of counters end in ``_total``, those of latencies in ``_us``.
 
     Parameters
     ----------
     max_label_values
-        Distinct values kept of one label; further ones count as ``other``.
+        Maximum number of distinct values of a label; further values are
+        replaced by ``other``.
     """
 
     def __init__(self, max_label_values: int = MAX_LABEL_VALUES) -> None:
@@ -76,8 +77,8 @@
     def counters(
         self, name: str, help: str, label_names: tuple[str, ...]
     ) -> labels.Family[instruments.Counter]:
-        """Register counters that differ by labels."""
-        require_ending(name, COUNTER_ENDING)
+        """Register a family of counters and return it."""
+        require_suffix(name, COUNTER_SUFFIX)
         family = labels.Family(
             instruments.Counter, label_names, self.max_label_values
         )
@@ -91,7 +92,7 @@
     def gauges(
         self, name: str, help: str, label_names: tuple[str, ...]
     ) -> labels.Family[instruments.Gauge]:
-        """Register gauges that differ by labels."""
+        """Register a family of gauges and return it."""
         family = labels.Family(
             instruments.Gauge, label_names, self.max_label_values
         )
@@ -102,24 +103,26 @@
         self,
         name: str,
         help: str,
-        read: collections.abc.Callable[[], float],
+        callback: collections.abc.Callable[[], float],
     ) -> None:
-        """Register a gauge whose value is read at each scrape."""
-        family = labels.Family(lambda: instruments.CallbackGauge(read), (), 1)
+        """Register a gauge whose value a callback returns at each scrape."""
+        family = labels.Family(
+            lambda: instruments.CallbackGauge(callback), (), 1
+        )
         family.labelled()
         self.add(Metric(name, help, "gauge", family))
 
     def latency(self, name: str, help: str) -> instruments.Latency:
-        """Register a latency, microseconds, and return it."""
+        """Register a latency in microseconds and return it."""
         return self.latencies(name, help, ()).labelled()
 
     def latencies(
         self, name: str, help: str, label_names: tuple[str, ...]
     ) -> labels.Family[instruments.Latency]:
-        """Register latencies, microseconds, that differ by labels."""
-        require_ending(name, LATENCY_ENDING)
-        bound = min(self.max_label_values, MAX_LATENCY_LABEL_VALUES)
-        family = labels.Family(instruments.Latency, label_names, bound)
+        """Register a family of latencies in microseconds and return it."""
+        require_suffix(name, LATENCY_SUFFIX)
+        max_values = min(self.max_label_values, MAX_LATENCY_LABEL_VALUES)
+        family = labels.Family(instruments.Latency, label_names, max_values)
         self.add(Metric(name, help, "summary", family))
         return family
 
@@ -129,18 +132,19 @@
         Raises
         ------
         ValueError
-            If its name or a label's is malformed, or the name is taken.
+            If its name or a label's name is malformed, or the name is
+            already registered.
         """
         for name in (metric.name, *metric.family.label_names):
-            if not NAME.fullmatch(name):
-                raise ValueError(f"{name!r} is no metric or label name")
+            if not NAME_PATTERN.fullmatch(name):
+                raise ValueError(f"invalid metric or label name: {name!r}")
         with self.lock:
             if metric.name in self.metrics:
-                raise ValueError(f"{metric.name} is registered already")
+                raise ValueError(f"metric {metric.name} is already registered")
             self.metrics[metric.name] = metric
 
     def samples(self) -> list[rendering.Sample]:
-        """Return all present values, metrics in order of registration."""
+        """Return the current values, metrics in order of registration."""
         return [
             sample
             for metric in self.all_metrics()
@@ -148,9 +152,9 @@
         ]
 
     def render(self) -> str:
-        """Return all present values as Prometheus text."""
+        """Return the current values in the Prometheus text format."""
         parts = [
-            rendering.block(
+            rendering.metric_text(
                 metric.name, metric.help, metric.kind, metric_samples(metric)
             )
             for metric in self.all_metrics()
@@ -163,14 +167,14 @@
             return list(self.metrics.values())
 
 
-def require_ending(name: str, ending: str) -> None:
-    """Raise if a name does not tell its unit."""
-    if not name.endswith(ending):
-        raise ValueError(f"{name!r} must end in {ending!r}")
+def require_suffix(name: str, suffix: str) -> None:
+    """Raise `ValueError` if a metric's name does not end in a suffix."""
+    if not name.endswith(suffix):
+        raise ValueError(f"{name!r} must end in {suffix!r}")
 
 
 def metric_samples(metric: Metric) -> list[rendering.Sample]:
-    """Return the present values of one metric."""
+    """Return the current values of one metric."""
     samples: list[rendering.Sample] = []
     for values, instrument in metric.family.items():
         pairs = tuple(zip(metric.family.label_names, values, strict=True))
--- a/src/briarseam/metrics/rendering.py
+++ b/src/briarseam/metrics/rendering.py
@@ -1,4 +1,4 @@
-"""The plain text that a Prometheus scrape reads."""
+"""Rendering of metrics in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Sample:
-    """One present value.
+    """One value of a metric.
 
     Attributes
     ----------
     name
-        Name, with its unit.
+        Name of the metric; the sum and the count of a latency add ``_sum``
+        and ``_count``.
     labels
-        Pairs of label name and value.
+        Pairs of a label's name and value.
     value
-        The value.
+        The current value.
     """
 
     name: str
@@ -33,7 +34,7 @@
 def instrument_samples(
     name: str, labels: Labels, instrument: instruments.Instrument
 ) -> list[Sample]:
-    """Return the present values of one instrument."""
+    """Return the current values of one instrument."""
     match instrument:
         case instruments.Latency():
             return latency_samples(name, labels, instrument.summary())
@@ -44,7 +45,7 @@
 def latency_samples(
     name: str, labels: Labels, summary: instruments.LatencySummary
 ) -> list[Sample]:
-    """Return quantiles, sum and count of a latency."""
+    """Return the quantiles, sum and count of a latency."""
     quantiles = zip(instruments.QUANTILES, summary.quantiles_us, strict=True)
     samples = [
         Sample(name, (*labels, ("quantile", f"{quantile:g}")), value_us)
@@ -55,35 +56,36 @@
     return samples
 
 
-def block(name: str, help: str, kind: str, samples: list[Sample]) -> str:
-    """Return the lines of one metric, each with its line end."""
-    lines = [f"# HELP {name} {escaped(help)}", f"# TYPE {name} {kind}"]
-    lines.extend(line(sample) for sample in samples)
+def metric_text(name: str, help: str, kind: str, samples: list[Sample]) -> str:
+    """Return the text of one metric, each line with its newline."""
+    lines = [f"# HELP {name} {escape_help(help)}", f"# TYPE {name} {kind}"]
+    lines.extend(sample_line(sample) for sample in samples)
     return "".join(f"{text}\n" for text in lines)
 
 
-def line(sample: Sample) -> str:
-    """Return the line of one value."""
+def sample_line(sample: Sample) -> str:
+    """Return the line of one sample, without its newline."""
     if not sample.labels:
-        return f"{sample.name} {number(sample.value)}"
+        return f"{sample.name} {format_value(sample.value)}"
     pairs = ",".join(
-        f'{name}="{quoted(value)}"' for name, value in sample.labels
+        f'{name}="{escape_label_value(value)}"'
+        for name, value in sample.labels
     )
-    return f"{sample.name}{{{pairs}}} {number(sample.value)}"
+    return f"{sample.name}{{{pairs}}} {format_value(sample.value)}"
 
 
-def number(value: float) -> str:
-    """Return a value without an exponent where it is whole."""
+def format_value(value: float) -> str:
+    """Return the text of a value, without exponent if it is integral."""
     if value != value:
         return "NaN"
     return str(int(value)) if float(value).is_integer() else repr(value)
 
 
-def escaped(text: str) -> str:
-    """Return help text on one line."""
+def escape_help(text: str) -> str:
+    """Return help text with backslashes and newlines escaped."""
     return text.replace("\\", "\\\\").replace("\n", "\\n")
 
 
-def quoted(text: str) -> str:
-    """Return a label value as it stands between quotes."""
-    return escaped(text).replace('"', '\\"')
+def escape_label_value(text: str) -> str:
+    """Return a label value escaped for use in double quotes."""
+    return escape_help(text).replace('"', '\\"')
--- a/src/briarseam/metrics/service.py
+++ b/src/briarseam/metrics/service.py
@@ -1,4 +1,4 @@
-"""An agent's metrics, for the scrape page of its entries."""
+"""Serves an agent's metrics to the scrape pages of its entries."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class MetricsService:
-    """Answers with all present values.
+    """Answers metrics queries.
 
     Parameters
     ----------
@@ -25,12 +25,12 @@
         self.registry = registry
 
     def register(self, router: server.Router) -> None:
-        """Answer the entries."""
-        router.on(messages.MetricsAsked, self.on_asked)
+        """Register the handler of metrics queries."""
+        router.on(messages.MetricsAsked, self.on_query)
 
-    def on_asked(
-        self, peer: connection.Identity, asked: messages.MetricsAsked
+    def on_query(
+        self, peer: connection.Identity, query: messages.MetricsAsked
     ) -> messages.MetricsText:
-        """Return the page's text."""
-        del peer, asked
+        """Return the metrics in the Prometheus text format."""
+        del peer, query
         return messages.MetricsText(self.registry.render())
--- a/src/briarseam/metrics/threads.py
+++ b/src/briarseam/metrics/threads.py
@@ -1,4 +1,4 @@
-"""Counting this process's threads by what they are for."""
+"""Number of threads of this process by purpose."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 if typing.TYPE_CHECKING:
     from briarseam.metrics import registry as registries
 
-# What follows in a thread's name tells one of several: an address, a
-# number, or the instance that it asks.
-WHICH = re.compile(r"(-by-|[-_ (]?\d).*")
+# The end of a thread's name that distinguishes it from others of the same
+# purpose: an address, a number, or the instance that it queries.
+DISCRIMINATOR = re.compile(r"(-by-|[-_ (]?\d).*")
 
 
 class ThreadGauge:
-    """Threads by purpose, renewed when asked.
+    """Gauges of threads by purpose, which `update` sets.
 
     Parameters
     ----------
     registry
-        Where the gauge stands.
+        Registry to which the gauges are added.
     """
 
     def __init__(self, registry: registries.Registry) -> None:
@@ -31,16 +31,19 @@
         self.purposes: set[str] = set()
 
     def update(self) -> None:
-        """Count the threads that run now."""
-        counts = by_purpose()
+        """Set the gauges to the number of threads that are running.
+
+        Purposes without a thread any more are set to 0.
+        """
+        counts = count_by_purpose()
         self.purposes |= counts.keys()
         for purpose in self.purposes:
             self.gauges.labelled(purpose).set(counts.get(purpose, 0))
 
 
-def by_purpose() -> collections.Counter[str]:
-    """Return how many threads run for each purpose."""
+def count_by_purpose() -> collections.Counter[str]:
+    """Return the number of running threads by purpose."""
     return collections.Counter(
-        WHICH.sub("", thread.name) or "other"
+        DISCRIMINATOR.sub("", thread.name) or "other"
         for thread in threading.enumerate()
     )
--- a/tests/metrics/test_registry.py
+++ b/tests/metrics/test_registry.py
@@ -39,9 +39,9 @@
     )
 
 
-def test_label_values_past_the_bound_count_as_other(registry):
-    """Memory of a process grows until it is killed: a caller sends a new
-    model name with each request, and each name made a counter of its own.
+def test_label_values_beyond_the_limit_count_as_other(registry):
+    """A caller that sends a new model name with each request would create
+    a counter for each name, and the process would run out of memory.
     """
     family = registry.counters("asked_total", "Asked", ("model", "ran"))
     for number in range(10):
@@ -51,16 +51,16 @@
     assert values[("model", metrics.OTHER), ("ran", "no")] == 7
 
 
-def test_counts_of_many_threads_are_whole(registry):
+def test_no_count_is_lost_with_many_threads(registry):
     counter = registry.counter("asked_total", "Asked")
     latency = registry.latency("asked_us", "Asked")
 
-    def work() -> None:
+    def record() -> None:
         for _ in range(2000):
             counter.add()
             latency.record_us(10)
 
-    threads = [threading.Thread(target=work) for _ in range(4)]
+    threads = [threading.Thread(target=record) for _ in range(4)]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -70,22 +70,22 @@
 
 
 @pytest.mark.parametrize("duration_us", [-5, 10**12], ids=["below", "above"])
-def test_durations_out_of_range_are_still_counted(registry, duration_us):
+def test_durations_out_of_range_are_counted(registry, duration_us):
     latency = registry.latency("asked_us", "Asked")
     latency.record_us(duration_us)
     assert latency.summary().count == 1
 
 
-def test_time_of_a_body_that_raises_is_recorded(registry):
+def test_duration_of_a_body_that_raises_is_recorded(registry):
     latency = registry.latency("asked_us", "Asked")
     with pytest.raises(KeyError), latency.time():
         raise KeyError
     assert latency.summary().count == 1
 
 
-def test_a_reading_that_fails_leaves_the_other_metrics_readable(registry):
-    """An operator's scrape answers 500 while a store is down, because one
-    gauge asks that store for its size; all other metrics are hidden too.
+def test_failing_callback_gauge_does_not_fail_the_scrape(registry):
+    """A gauge that queries a store raises while the store is down; the
+    scrape would answer 500 and hide all other metrics.
     """
 
     def fail() -> float:
@@ -98,15 +98,15 @@
     assert "asked_total 1\n" in scrape
 
 
-def test_bad_names_doubles_and_amounts_are_refused(registry):
+def test_invalid_names_duplicates_and_amounts_are_refused(registry):
     registry.counter("asked_total", "Asked")
-    with pytest.raises(ValueError, match="registered already"):
+    with pytest.raises(ValueError, match="asked_total is already registered"):
         registry.counter("asked_total", "Asked")
     with pytest.raises(ValueError, match="must end in '_total'"):
         registry.counter("asked", "Asked")
     with pytest.raises(ValueError, match="must end in '_us'"):
         registry.latency("asked_ms", "Asked")
-    with pytest.raises(ValueError, match="no metric or label name"):
+    with pytest.raises(ValueError, match="invalid metric or label name"):
         registry.gauges("depth", "Depth", ("bad-label",))
-    with pytest.raises(ValueError, match="only grows"):
+    with pytest.raises(ValueError, match="must not be negative"):
         registry.counter("more_total", "More").add(-1)
