--- a/tests/metrics/test_page.py
+++ b/tests/metrics/test_page.py
@@ -25,13 +25,12 @@
     )
 
 
-def value_of(page, start):
-    lines = [line for line in page.splitlines() if line.startswith(start)]
+def value_of(page, prefix):
+    lines = [line for line in page.splitlines() if line.startswith(prefix)]
     return float(lines[0].rsplit(" ", 1)[1]) if lines else None
 
 
-def test_page_tells_of_a_request_at_entry_and_agent(running):
-    # An operator scrapes an instance after a request of 1,200 tokens.
+def test_page_shows_request_metrics_of_entry_and_agent(running):
     body = deployment.prompt_body("word " * 1200)
     assert running.caller().ask(body).done
     waiting.until(
@@ -40,8 +39,8 @@
         )
     )
     page = scrape(running).data.decode()
-    tokens_of = f'{{organisation="{deployment.ORGANISATIONS[0]}"}}'
-    assert value_of(page, f"prompt_tokens_total{tokens_of}") == 1200
+    organisation_label = f'{{organisation="{deployment.ORGANISATIONS[0]}"}}'
+    assert value_of(page, f"prompt_tokens_total{organisation_label}") == 1200
     assert value_of(page, "first_token_us_count") == 1
     assert value_of(page, 'requests_total{decision="granted"}') == 1
     assert value_of(page, "entry_timeline_events ") > 0
@@ -49,7 +48,7 @@
 
 
 def test_page_has_each_metric_once(running):
-    # A scraper refuses a page on which a name stands twice.
+    # Prometheus rejects a page on which a metric occurs twice.
     page = scrape(running).data.decode()
     names = [
         line.split()[2]
@@ -59,13 +58,13 @@
     assert len(names) == len(set(names))
 
 
-def test_page_is_for_operators_only(running):
-    # It names organisations.
+def test_page_requires_an_operator_token(running):
+    # The page names organisations, which callers must not see.
     assert scrape(running, running.caller().token).status == 401
 
 
-def test_entry_shows_its_own_when_the_agent_is_away(running):
-    # The agent is dead, which is when an operator looks.
+def test_page_shows_entry_metrics_when_the_agent_is_unreachable(running):
+    # Operators need the entry's metrics most while its agent is down.
     running.instances[0].entry.ring.note("probe")
     link = running.instances[0].entry.parts.agent
     report = link.report
--- a/tests/metrics/test_reference.py
+++ b/tests/metrics/test_reference.py
@@ -15,7 +15,7 @@
     / "reference"
     / "metrics.md"
 )
-LISTED = re.compile(r"`([a-z][a-z0-9_]*)`")
+METRIC_NAME = re.compile(r"`([a-z][a-z0-9_]*)`")
 
 
 @pytest.fixture(scope="module")
@@ -36,7 +36,7 @@
 
 
 def node_registry(folder):
-    """Return the metrics of the one process on the users' platform."""
+    """Return the registry of a node, the process of the users' platform."""
     system = systems.System(folder)
     try:
         return compose.Node(system.settings()).metrics
@@ -44,17 +44,17 @@
         system.close()
 
 
-def test_every_metric_is_on_the_page(registered):
-    # Somebody woken at night looks a name up.
-    assert registered - set(LISTED.findall(PAGE.read_text())) == set()
+def test_reference_lists_every_metric(registered):
+    # Operators look up names of metrics in the reference during an outage.
+    assert registered - set(METRIC_NAME.findall(PAGE.read_text())) == set()
 
 
-def test_the_page_lists_no_metric_that_is_gone(registered):
-    # A dashboard built from the page would stay empty.
+def test_reference_lists_only_existing_metrics(registered):
+    # A dashboard of a metric that no longer exists would stay empty.
     rows = [
         line.split("|")[1]
         for line in PAGE.read_text().splitlines()
         if line.startswith("| `")
     ]
-    listed = {name for row in rows for name in LISTED.findall(row)}
+    listed = {name for row in rows for name in METRIC_NAME.findall(row)}
     assert listed - registered == set()
