--- a/src/briarseam/compose/entry.py
+++ b/src/briarseam/compose/entry.py
@@ -43,9 +43,9 @@
     """The parts of an entry."""
 
     server: cheroot.wsgi.Server
-    parts: app.EntryParts
+    parts: app.EntryDependencies
     agent_client: wire.Client
-    reports: report_queue.Reports
+    reports: report_queue.ReportQueue
     ring: rings.Ring
     events: feed.RingFeed
     presence: presence.Presence
@@ -127,10 +127,12 @@
     registry = metrics.Registry(settings.limits.max_metric_label_values)
     compose_timeline.register_metrics(ring, registry)
     teams = {team.name: team.key.value for team in settings.teams}
-    reports = report_queue.Reports(client, settings.claims.max_response_bytes)
+    reports = report_queue.ReportQueue(
+        client, settings.claims.max_response_bytes
+    )
     link = agent_link.AgentLink(client, reports)
     engines = engine.EngineClient(settings.entry.engine_silence_ms / MS)
-    parts = app.EntryParts(
+    parts = app.EntryDependencies(
         agent=link,
         engines=engines,
         run_keeper=keeping.RunKeeper(
--- a/src/briarseam/entry/agent_link.py
+++ b/src/briarseam/entry/agent_link.py
@@ -38,7 +38,7 @@
     def __init__(
         self,
         client: wire_client.Client,
-        reports: report_queue.Reports,
+        reports: report_queue.ReportQueue,
     ) -> None:
         self.client = client
         self.reports = reports
--- a/src/briarseam/entry/app.py
+++ b/src/briarseam/entry/app.py
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class EntryParts:
+class EntryDependencies:
     """What the application works with, wired by ``compose``.
 
     Attributes
@@ -106,7 +106,7 @@
 
     exposed = True
 
-    def __init__(self, parts: EntryParts) -> None:
+    def __init__(self, parts: EntryDependencies) -> None:
         self.parts = parts
 
     def GET(self, session: str = "") -> bytes:  # noqa: N802
@@ -127,7 +127,7 @@
 
     exposed = True
 
-    def __init__(self, parts: EntryParts) -> None:
+    def __init__(self, parts: EntryDependencies) -> None:
         self.parts = parts
 
     def POST(self) -> bytes | typing.Iterator[bytes]:  # noqa: N802
@@ -199,7 +199,7 @@
 
     exposed = True
 
-    def __init__(self, parts: EntryParts) -> None:
+    def __init__(self, parts: EntryDependencies) -> None:
         self.parts = parts
 
     def POST(self, service: str, call: str) -> bytes:  # noqa: N802
@@ -219,7 +219,7 @@
 
 
 def relay_call(
-    parts: EntryParts, request: messages.AdmitCall, body: bytes
+    parts: EntryDependencies, request: messages.AdmitCall, body: bytes
 ) -> bytes:
     """Run a service call to its end."""
     with refusals_as_problems():
@@ -282,7 +282,7 @@
 
     exposed = True
 
-    def __init__(self, parts: EntryParts) -> None:
+    def __init__(self, parts: EntryDependencies) -> None:
         self.parts = parts
 
     def GET(self) -> bytes:  # noqa: N802
@@ -302,7 +302,7 @@
 
     exposed = True
 
-    def __init__(self, parts: EntryParts) -> None:
+    def __init__(self, parts: EntryDependencies) -> None:
         self.parts = parts
 
     def GET(self) -> bytes:  # noqa: N802
@@ -322,7 +322,7 @@
 class Version1:
     """The ``/v1`` folder."""
 
-    def __init__(self, parts: EntryParts) -> None:
+    def __init__(self, parts: EntryDependencies) -> None:
         self.status = Status(parts)
         self.metrics = Metrics(parts)
         self.timeline = timeline_page.TimelinePage(parts.teams, parts.agent)
@@ -334,11 +334,11 @@
 class Root:
     """The root folder."""
 
-    def __init__(self, parts: EntryParts) -> None:
+    def __init__(self, parts: EntryDependencies) -> None:
         self.v1 = Version1(parts)
 
 
-def build_application(parts: EntryParts) -> typing.Any:
+def build_application(parts: EntryDependencies) -> typing.Any:
     """Return the WSGI application."""
     config = {
         "/": {
--- a/src/briarseam/entry/reports.py
+++ b/src/briarseam/entry/reports.py
@@ -24,7 +24,7 @@
 STOP_JOIN_S = 3.0
 
 
-class Reports:
+class ReportQueue:
     """Offers reports to the agent, in order, until it took each.
 
     Parameters
--- a/src/briarseam/entry/server.py
+++ b/src/briarseam/entry/server.py
@@ -32,15 +32,15 @@
 
     Attributes
     ----------
-    chunks
+    allow_chunked
         Whether bodies may come in chunks.
-    underscores
+    allow_underscores
         Whether header names may have them; a WSGI application sees them
         as dashes, so that two headers would become one.
     """
 
-    chunks: bool = False
-    underscores: bool = False
+    allow_chunked: bool = False
+    allow_underscores: bool = False
 
 
 PLAIN_RULES = FramingRules()
@@ -103,7 +103,7 @@
             continue
         if name != name.strip():
             return "white space around a header name"
-        if b"_" in name and not rules.underscores:
+        if b"_" in name and not rules.allow_underscores:
             # The application sees "_" and "-" as the same character.
             return "underscore in a header name"
         name = name.title()
@@ -122,7 +122,7 @@
     coding = headers.get(b"Transfer-Encoding")
     if coding is None:
         return ""
-    if not rules.chunks:
+    if not rules.allow_chunked:
         return "Transfer-Encoding is not accepted, send Content-Length"
     if b"Content-Length" in headers:
         return "Content-Length beside Transfer-Encoding"
--- a/src/briarseam/forwarding/server.py
+++ b/src/briarseam/forwarding/server.py
@@ -37,7 +37,7 @@
 class HeaderReader(strict.StrictHeaderReader):
     """Reads headers; allows chunked bodies."""
 
-    rules = strict.FramingRules(chunks=True, underscores=True)
+    rules = strict.FramingRules(allow_chunked=True, allow_underscores=True)
 
 
 class Request(strict.StrictRequest):
