--- a/src/briarseam/entry/__init__.py
+++ b/src/briarseam/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The caller-facing HTTP edge of an entry process."""
+"""The HTTP server of an entry process, which callers connect to."""
--- a/src/briarseam/entry/app.py
+++ b/src/briarseam/entry/app.py
@@ -1,4 +1,4 @@
-"""The CherryPy application of an entry: the frozen caller interface."""
+"""The CherryPy application of an entry, with its HTTP interface."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
     from briarseam.entry import agent_link
     from briarseam.entry import operators
 
-EVENT_STREAM = "text/event-stream"
+EVENT_STREAM_MEDIA_TYPE = "text/event-stream"
 JSON = "application/json"
-REPLAYED = "Idempotent-Replayed"
-PLAIN = "text/plain; version=0.0.4"
+REPLAYED_HEADER = "Idempotent-Replayed"
+METRICS_MEDIA_TYPE = "text/plain; version=0.0.4"
 CALL_DEADLINE_MS = 30_000
 WHERE_TIMEOUT_S = 2.0
 STATUS_TIMEOUT_S = 4.0
@@ -45,24 +45,24 @@
 
 @dataclasses.dataclass(frozen=True)
 class EntryDependencies:
-    """What the application works with, wired by ``compose``.
+    """Dependencies of the application, set up by ``compose``.
 
     Attributes
     ----------
     agent
-        Link to the agent.
+        Calls to the agent.
     engines, services
-        Adapters to the endpoints.
+        Clients of the endpoints.
     run_keeper
-        Runs whose callers are gone.
+        Keeps the runs of callers that have disconnected.
     in_flight
-        Counter for the graceful shutdown.
+        Counter of the requests in flight, for the graceful shutdown.
     teams
-        Whom the operators' pages answer.
+        The teams whose operators may read the operators' pages.
     render_metrics
         Returns this process's metrics as text.
     max_body_bytes
-        Largest body a caller may send.
+        Maximum size of a request body.
     """
 
     agent: agent_link.AgentLink
@@ -77,7 +77,7 @@
 
 @contextlib.contextmanager
 def refusals_as_problems() -> typing.Iterator[None]:
-    """Turn a verdict that ends a request into its HTTP answer."""
+    """Convert a refusal into an HTTP problem response."""
     try:
         yield
     except verdict.RefusalError as error:
@@ -85,7 +85,7 @@
 
 
 def respond_json(value: typing.Any) -> bytes:
-    """Return JSON bytes and set the media type."""
+    """Encode a value as JSON and set the media type."""
     cherrypy.response.headers["Content-Type"] = JSON
     return msgspec.json.encode(value)
 
@@ -93,28 +93,28 @@
 def respond_stream(
     events: typing.Iterator[bytes],
 ) -> typing.Iterator[bytes]:
-    """Set up an event stream response."""
+    """Make the current response an event stream."""
     headers = cherrypy.response.headers
-    headers["Content-Type"] = EVENT_STREAM
+    headers["Content-Type"] = EVENT_STREAM_MEDIA_TYPE
     headers["Cache-Control"] = "no-store"
     cherrypy.response.stream = True
     return events
 
 
 class Where:
-    """``GET /v1/where``: which entries a session should use."""
+    """``GET /v1/where``: the entries that a session should use."""
 
     exposed = True
 
-    def __init__(self, parts: EntryDependencies) -> None:
-        self.parts = parts
+    def __init__(self, dependencies: EntryDependencies) -> None:
+        self.dependencies = dependencies
 
     def GET(self, session: str = "") -> bytes:  # noqa: N802
-        """Return addresses, best first, and how long they hold."""
+        """Return the addresses, best first, and their time to live."""
         requests.check_framing()
         token_digest = requests.read_token()
         with refusals_as_problems():
-            reply = self.parts.agent.ask(
+            reply = self.dependencies.agent.query(
                 lookup_messages.Where(token_digest, session),
                 (lookup_messages.Addresses,),
                 WHERE_TIMEOUT_S,
@@ -123,27 +123,30 @@
 
 
 class Answers:
-    """``/v1/answers``: prompts, and answers resumed."""
+    """``/v1/answers``: runs prompts and resumes answers."""
 
     exposed = True
 
-    def __init__(self, parts: EntryDependencies) -> None:
-        self.parts = parts
+    def __init__(self, dependencies: EntryDependencies) -> None:
+        self.dependencies = dependencies
 
     def POST(self) -> bytes | typing.Iterator[bytes]:  # noqa: N802
-        """Run a prompt and stream its answer."""
+        """Run a prompt and stream its answer, or replay an earlier one."""
         accepted_at = time.monotonic()
-        raw = requests.read_raw(self.parts.max_body_bytes)
+        raw = requests.read_raw(self.dependencies.max_body_bytes)
         body = requests.parse_answer(raw.body)
-        ask = build_ask(raw, body, accepted_at)
-        running = relay.Relay(
-            ask, self.parts.agent, self.parts.engines, self.parts.run_keeper
+        prompt_request = build_prompt_request(raw, body, accepted_at)
+        answer_relay = relay.Relay(
+            prompt_request,
+            self.dependencies.agent,
+            self.dependencies.engines,
+            self.dependencies.run_keeper,
         )
         with refusals_as_problems():
-            opened = running.open()
+            opened = answer_relay.open()
         if isinstance(opened, messages.Replayed):
             return self.replay(raw.token_digest, opened)
-        return respond_stream(running.events(opened))
+        return respond_stream(answer_relay.events(opened))
 
     def GET(  # noqa: N802
         self, answer_id: str = ""
@@ -158,20 +161,20 @@
     def resume(
         self, token_digest: str, answer_id: str, offset: int
     ) -> typing.Iterator[bytes]:
-        """Return an answer's event stream from an offset on.
+        """Return an answer's event stream, starting at an offset.
 
         Raises
         ------
         verdict.RefusalError
-            When it cannot be had.
+            When the answer is not available.
         """
-        located = self.parts.agent.locate(token_digest, answer_id)
+        located = self.dependencies.agent.locate(token_digest, answer_id)
         resumption = resume.Resumption(
             located,
             answer_id,
             offset,
-            self.parts.engines,
-            self.parts.run_keeper,
+            self.dependencies.engines,
+            self.dependencies.run_keeper,
         )
         stream = resumption.open()
         return respond_stream(resumption.events(stream))
@@ -179,13 +182,14 @@
     def replay(
         self, token_digest: str, replayed: messages.Replayed
     ) -> bytes | typing.Iterator[bytes]:
-        """Return the answer that a key's first request was given.
+        """Return the answer to the first request with the same key.
 
-        One that was not kept whole may still be had from its endpoint.
+        An answer that is not stored completely is resumed from its endpoint
+        if it still has it.
         """
         if replayed.whole or not replayed.answer_id:
             return replay_answer(replayed)
-        cherrypy.response.headers[REPLAYED] = "true"
+        cherrypy.response.headers[REPLAYED_HEADER] = "true"
         with refusals_as_problems():
             try:
                 return self.resume(token_digest, replayed.answer_id, 0)
@@ -199,12 +203,12 @@
 
     exposed = True
 
-    def __init__(self, parts: EntryDependencies) -> None:
-        self.parts = parts
+    def __init__(self, dependencies: EntryDependencies) -> None:
+        self.dependencies = dependencies
 
     def POST(self, service: str, call: str) -> bytes:  # noqa: N802
-        """Make a call to a plain service and return its answer."""
-        raw = requests.read_raw(self.parts.max_body_bytes)
+        """Call a plain service and return its answer."""
+        raw = requests.read_raw(self.dependencies.max_body_bytes)
         requests.check_json(raw.body)
         request = messages.AdmitCall(
             token_digest=raw.token_digest,
@@ -213,32 +217,32 @@
             key=raw.key,
             body_digest=raw.body_digest,
             deadline_ms=CALL_DEADLINE_MS,
-            request=requests.name_request(),
+            request=requests.assign_request_id(),
         )
-        return relay_call(self.parts, request, raw.body)
+        return relay_call(self.dependencies, request, raw.body)
 
 
 def relay_call(
-    parts: EntryDependencies, request: messages.AdmitCall, body: bytes
+    dependencies: EntryDependencies, request: messages.AdmitCall, body: bytes
 ) -> bytes:
-    """Run a service call to its end."""
+    """Run a service call and return the body of its answer."""
     with refusals_as_problems():
         answer = calls.CallRelay(
-            request, body, parts.agent, parts.services
+            request, body, dependencies.agent, dependencies.services
         ).run()
     if answer.replayed:
-        cherrypy.response.headers[REPLAYED] = "true"
+        cherrypy.response.headers[REPLAYED_HEADER] = "true"
     cherrypy.response.status = answer.status
     cherrypy.response.headers["Content-Type"] = answer.content_type
     return answer.body
 
 
-def build_ask(
+def build_prompt_request(
     raw: requests.RawRequest,
     body: requests.AnswerBody,
     accepted_at: float,
 ) -> runs.PromptRequest:
-    """Return what the relay needs of a validated request."""
+    """Return the relay's request for a validated prompt."""
     if not body.idempotent and not raw.key:
         raise problems.Problem(
             verdict.NotRun(
@@ -246,7 +250,7 @@
                 "a prompt with idempotent=false needs an Idempotency-Key",
             )
         )
-    continued = requests.read_continued(body)
+    continued_answer_id = requests.read_continued_answer_id(body)
     tokens = pieces.split(body.prompt)
     admit = messages.Admit(
         token_digest=raw.token_digest,
@@ -260,36 +264,36 @@
         idempotent=body.idempotent,
         key="" if body.idempotent else raw.key,
         body_digest=raw.body_digest,
-        request=requests.name_request(),
+        request=requests.assign_request_id(),
         prompt_digest=requests.digest_prompt(tokens),
-        continues=continued,
+        continues=continued_answer_id,
         passed_on=len(body.prior),
     )
     return runs.PromptRequest(admit, body.prompt, accepted_at, body.prior)
 
 
 def replay_answer(replayed: messages.Replayed) -> bytes:
-    """Return the event stream of an answer that was given before."""
+    """Return the event stream of a completely stored answer."""
     with refusals_as_problems():
         body = b"".join(answer_events.replayed_events(replayed))
-    cherrypy.response.headers["Content-Type"] = EVENT_STREAM
-    cherrypy.response.headers[REPLAYED] = "true"
+    cherrypy.response.headers["Content-Type"] = EVENT_STREAM_MEDIA_TYPE
+    cherrypy.response.headers[REPLAYED_HEADER] = "true"
     return body
 
 
 class Status:
-    """``GET /v1/status``: the agents, for operators."""
+    """``GET /v1/status``: the status of all agents, for operators."""
 
     exposed = True
 
-    def __init__(self, parts: EntryDependencies) -> None:
-        self.parts = parts
+    def __init__(self, dependencies: EntryDependencies) -> None:
+        self.dependencies = dependencies
 
     def GET(self) -> bytes:  # noqa: N802
         """Return one row per agent of the cell."""
-        self.parts.teams.check()
+        self.dependencies.teams.check()
         with refusals_as_problems():
-            reply = self.parts.agent.ask(
+            reply = self.dependencies.agent.query(
                 status_messages.StatusAsked(all_members=True),
                 (status_messages.Status,),
                 STATUS_TIMEOUT_S,
@@ -302,43 +306,45 @@
 
     exposed = True
 
-    def __init__(self, parts: EntryDependencies) -> None:
-        self.parts = parts
+    def __init__(self, dependencies: EntryDependencies) -> None:
+        self.dependencies = dependencies
 
     def GET(self) -> bytes:  # noqa: N802
-        """Return the plain scrape page of this entry and its agent.
+        """Return the metrics of this entry and its agent as plain text.
 
-        Without its agent an entry still shows its own.
+        If the agent does not answer, only the entry's own are returned.
         """
-        self.parts.teams.check()
-        cherrypy.response.headers["Content-Type"] = PLAIN
-        reply = self.parts.agent.report(metrics_messages.MetricsAsked())
-        text = self.parts.render_metrics()
+        self.dependencies.teams.check()
+        cherrypy.response.headers["Content-Type"] = METRICS_MEDIA_TYPE
+        reply = self.dependencies.agent.report(metrics_messages.MetricsAsked())
+        text = self.dependencies.render_metrics()
         if isinstance(reply, metrics_messages.MetricsText):
             text += reply.text
         return text.encode()
 
 
 class Version1:
-    """The ``/v1`` folder."""
+    """The resources below ``/v1``."""
 
-    def __init__(self, parts: EntryDependencies) -> None:
-        self.status = Status(parts)
-        self.metrics = Metrics(parts)
-        self.timeline = timeline_page.TimelinePage(parts.teams, parts.agent)
-        self.where = Where(parts)
-        self.answers = Answers(parts)
-        self.services = Services(parts)
+    def __init__(self, dependencies: EntryDependencies) -> None:
+        self.status = Status(dependencies)
+        self.metrics = Metrics(dependencies)
+        self.timeline = timeline_page.TimelinePage(
+            dependencies.teams, dependencies.agent
+        )
+        self.where = Where(dependencies)
+        self.answers = Answers(dependencies)
+        self.services = Services(dependencies)
 
 
 class Root:
-    """The root folder."""
+    """The root of the resource tree."""
 
-    def __init__(self, parts: EntryDependencies) -> None:
-        self.v1 = Version1(parts)
+    def __init__(self, dependencies: EntryDependencies) -> None:
+        self.v1 = Version1(dependencies)
 
 
-def build_application(parts: EntryDependencies) -> typing.Any:
+def build_application(dependencies: EntryDependencies) -> typing.Any:
     """Return the WSGI application."""
     config = {
         "/": {
@@ -351,8 +357,8 @@
             "checker.on": False,
         }
     }
-    application = cherrypy.Application(Root(parts), "", config)
-    # Requests are counted, not logged one by one.
+    application = cherrypy.Application(Root(dependencies), "", config)
+    # Requests are counted, not logged individually.
     application.log.screen = False
     application.log.access_log.disabled = True
-    return counting.CountingApplication(application, parts.in_flight)
+    return counting.CountingApplication(application, dependencies.in_flight)
--- a/src/briarseam/entry/counting.py
+++ b/src/briarseam/entry/counting.py
@@ -1,4 +1,4 @@
-"""Counting an entry's requests, so that a planned stop waits for them."""
+"""Counts the requests in flight, so that a planned stop waits for them."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 if typing.TYPE_CHECKING:
     from briarseam import inflight
 
-CLOSE = ("Connection", "close")
+CLOSE_HEADER = ("Connection", "close")
 RETRY_AFTER_S = 1.0
-# The caller's next connection goes to another entry.
+# The caller retries at another entry, on a new connection.
 LEAVING = verdict.NotRun(
     verdict.Reason.LEAVING,
-    "this entry has shut down; others serve",
+    "this entry has shut down; send the request to another entry",
     RETRY_AFTER_S,
 )
 
 
 class CountingApplication:
-    """Counts each request from its headers to the last byte of its answer.
+    """WSGI middleware that counts the requests in flight.
 
-    A planned stop must not cut a request that is reading its body or
-    waiting for a grant either, so the count is taken around the whole
-    application.  While the process is leaving, each answer asks the caller
-    to close its connection: an idle one that is kept open could carry
-    the next request just as the process exits.  Once a stop has found
-    nothing in flight, requests are refused as not run: the process ends in
-    a moment and would take them along.
+    A request counts from its headers to the last byte of its answer, so
+    that a planned stop also waits for requests whose body is being read or
+    that wait for a grant.  While the process is leaving, each answer has
+    ``Connection: close``: on a connection that is kept open the next
+    request could arrive just as the process exits.  Once a stop has found
+    no request in flight, new ones are refused as not run, since the process
+    exits before they could be answered.
 
     Parameters
     ----------
     application
-        WSGI application.
+        The wrapped WSGI application.
     in_flight
-        The count.
+        The counter of requests in flight.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         environ: dict[str, typing.Any],
         start_response: typing.Callable[..., typing.Any],
     ) -> CountedBody:
-        """Answer one request."""
+        """Handle one request."""
 
         def start(
             status: str,
@@ -61,7 +61,7 @@
             *exc_info: typing.Any,
         ) -> typing.Any:
             if self.in_flight.leaving:
-                headers = [*headers, CLOSE]
+                headers = [*headers, CLOSE_HEADER]
             return start_response(status, headers, *exc_info)
 
         self.in_flight.enter()
@@ -77,7 +77,7 @@
 
 
 class CountedBody:
-    """The body of an answer; the request ends when it is closed."""
+    """A response body; its request is in flight until it is closed."""
 
     def __init__(
         self, body: typing.Iterable[bytes], in_flight: inflight.InFlight
@@ -87,11 +87,11 @@
         self.open = True
 
     def __iter__(self) -> typing.Iterator[bytes]:
-        """Return the chunks."""
+        """Return an iterator over the chunks."""
         return iter(self.body)
 
     def close(self) -> None:
-        """Close the body and count the request out, once."""
+        """Close the body and stop counting the request; idempotent."""
         if not self.open:
             return
         self.open = False
@@ -106,9 +106,9 @@
 def refuse(
     start_response: typing.Callable[..., typing.Any],
 ) -> typing.Iterable[bytes]:
-    """Answer that this entry takes nothing more."""
+    """Respond that this entry accepts no more requests."""
     status = problems.STATUS[LEAVING.reason]
-    body = problems.document(LEAVING, status)
+    body = problems.encode_document(LEAVING, status)
     phrase = http.HTTPStatus(status).phrase
     start_response(
         f"{status} {phrase}",
--- a/src/briarseam/entry/operators.py
+++ b/src/briarseam/entry/operators.py
@@ -1,4 +1,4 @@
-"""Operators at an entry: who they are and what they may ask."""
+"""Authentication of operators at an entry."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Operators:
-    """The teams whose operators an entry answers.
+    """The teams whose operators may query an entry.
 
     Parameters
     ----------
@@ -26,28 +26,30 @@
         self.teams = teams
 
     def check(self) -> str:
-        """Return the team of the current request's token.
+        """Return the team that the current request's token belongs to.
 
         Raises
         ------
         problems.Problem
-            When the token is no team's.
+            When the token is missing or belongs to no team.
         """
         requests.check_framing()
         value = cherrypy.request.headers.get("Authorization", "")
         token = value.removeprefix(requests.BEARER).strip()
         team = token.partition(":")[0]
         key = self.teams.get(team)
-        if key is None or not same(token, tokens.operator_token(team, key)):
+        if key is None or not is_same_token(
+            token, tokens.operator_token(team, key)
+        ):
             raise problems.Problem(
                 verdict.NotRun(
                     verdict.Reason.UNAUTHENTICATED,
-                    "this needs an operator's token",
+                    "an operator's token is required",
                 )
             )
         return str(team)
 
 
-def same(one: str, other: str) -> bool:
+def is_same_token(one: str, other: str) -> bool:
     """Compare two tokens in constant time."""
     return hmac.compare_digest(one.encode(), other.encode())
--- a/src/briarseam/entry/problems.py
+++ b/src/briarseam/entry/problems.py
@@ -1,4 +1,4 @@
-"""Refusals as ``application/problem+json``, each with its verdict."""
+"""Encodes refusals and their verdicts as ``application/problem+json``."""
 
 from __future__ import annotations
 
@@ -41,45 +41,45 @@
 
 
 class Problem(cherrypy.HTTPError):  # type: ignore[misc]
-    """Ends a request with a problem document.
+    """An HTTP error whose response is a problem document.
 
     Parameters
     ----------
     given
-        The verdict the caller gets.
+        The verdict returned to the caller.
     status
-        HTTP status; by default the one of the verdict's reason.
+        HTTP status; by default the status of the verdict's reason.
     """
 
     def __init__(
         self, given: verdict.Verdict, status: int | None = None
     ) -> None:
         self.given = given
-        self.code_given = status or STATUS[given.reason]
-        super().__init__(self.code_given, given.detail)
+        self.http_status = status or STATUS[given.reason]
+        super().__init__(self.http_status, given.detail)
 
     def set_response(self) -> None:
-        """Put the problem document into the current response."""
+        """Set the current response to the problem document."""
         response = cherrypy.serving.response
-        response.status = self.code_given
+        response.status = self.http_status
         response.stream = False
         response.headers.pop("Content-Length", None)
         response.headers["Content-Type"] = MEDIA_TYPE
         retry_after_s = self.given.retry_after_s
         if retry_after_s is not None:
             response.headers["Retry-After"] = retry_after_text(retry_after_s)
-        if self.code_given == http.HTTPStatus.UNAUTHORIZED:
+        if self.http_status == http.HTTPStatus.UNAUTHORIZED:
             response.headers["WWW-Authenticate"] = "Bearer"
-        response.body = document(self.given, self.code_given)
+        response.body = encode_document(self.given, self.http_status)
 
 
 def retry_after_text(seconds: float) -> str:
-    """Return whole seconds, at least one, as the header asks."""
+    """Return the value of Retry-After: whole seconds, at least one."""
     return str(max(1, math.ceil(seconds)))
 
 
-def document(given: verdict.Verdict, status: int) -> bytes:
-    """Return the JSON of a problem document."""
+def encode_document(given: verdict.Verdict, status: int) -> bytes:
+    """Return a problem document as JSON."""
     body: dict[str, typing.Any] = {
         "type": f"urn:briarseam:{given.reason.value}",
         "title": http.HTTPStatus(status).phrase,
@@ -94,17 +94,18 @@
 
 
 def malformed(detail: str) -> Problem:
-    """Return the problem of a request that is not understood."""
+    """Return the problem for a malformed request."""
     return Problem(verdict.NotRun(verdict.Reason.MALFORMED, detail))
 
 
 def render_default(
     status: str, message: str, traceback: str, version: str
 ) -> bytes:
-    """Give CherryPy's own errors (no such path, method) our form.
+    """Return CherryPy's own errors as problem documents.
 
-    They happen before a request is admitted, but for 500, which can strike
-    anywhere: there nobody can say whether the request ran.
+    Errors such as an unknown path or method occur before a request is
+    admitted, so it has not run.  An internal error (500) can occur at any
+    time, so the request may have run.
     """
     code = int(status.split()[0])
     response = cherrypy.serving.response
@@ -114,4 +115,4 @@
         given = verdict.MayHaveRun(
             verdict.Reason.OUTCOME_UNKNOWN, "internal error"
         )
-    return document(given, code)
+    return encode_document(given, code)
--- a/src/briarseam/entry/reports.py
+++ b/src/briarseam/entry/reports.py
@@ -1,7 +1,7 @@
-"""Reports that the agent must get even if it is away for a while.
+"""Queue of reports to the agent, which are retried while it is unavailable.
 
-Only reports that stay true however late they arrive may go this way: how
-an attempt ended for good, or that it is never sent.
+Only reports that stay true however late they arrive may be queued: the final
+result of an attempt, or that it is never going to be sent.
 """
 
 from __future__ import annotations
@@ -25,14 +25,15 @@
 
 
 class ReportQueue:
-    """Offers reports to the agent, in order, until it took each.
+    """Sends reports to the agent, in order, each until it is acknowledged.
 
     Parameters
     ----------
     client
         Connections to the agent.
     max_body_bytes
-        Largest answer kept for a replay; a longer one is cut.
+        Maximum size of an answer stored for a replay; a longer one is
+        truncated.
     """
 
     def __init__(
@@ -50,11 +51,11 @@
         )
 
     def start(self) -> None:
-        """Begin offering."""
+        """Start the thread."""
         self.thread.start()
 
     def stop(self, flush_s: float) -> None:
-        """Offer what is pending for up to ``flush_s`` seconds, then stop."""
+        """Wait up to ``flush_s`` seconds for an empty queue, then stop."""
         with self.changed:
             self.changed.wait_for(lambda: not self.pending, flush_s)
             self.stopping = True
@@ -63,27 +64,27 @@
             self.thread.join(STOP_JOIN_S)
 
     def add_end(self, run: messages.RunEnded) -> None:
-        """Take a report of how an attempt ended; returns at once."""
+        """Queue the report of an attempt's result, without blocking."""
         if len(run.body) > self.max_body_bytes:
-            kept = run.body[: self.max_body_bytes]
-            run = dataclasses.replace(run, body=kept, whole=False)
+            stored_body = run.body[: self.max_body_bytes]
+            run = dataclasses.replace(run, body=stored_body, whole=False)
         self.add(run)
 
     def add(self, message: codec.Message) -> None:
-        """Take a report; returns at once."""
+        """Queue a report, without blocking."""
         with self.changed:
             self.pending.append(message)
             self.changed.notify_all()
 
     def run(self) -> None:
-        """Offer until stopped."""
+        """Send queued reports until stopped."""
         while True:
             with self.changed:
                 self.changed.wait_for(lambda: self.pending or self.stopping)
                 if self.stopping:
                     return
                 message = self.pending[0]
-            if self.offer(message):
+            if self.send(message):
                 with self.changed:
                     if self.pending and self.pending[0] is message:
                         self.pending.popleft()
@@ -92,8 +93,8 @@
             with self.changed:
                 self.changed.wait_for(lambda: self.stopping, RETRY_S)
 
-    def offer(self, message: codec.Message) -> bool:
-        """Tell the agent once; tell whether it answered."""
+    def send(self, message: codec.Message) -> bool:
+        """Send a report once; return whether the agent answered."""
         try:
             self.client.call(message, TIMEOUT_S)
         except connection.WireError:
--- a/src/briarseam/entry/requests.py
+++ b/src/briarseam/entry/requests.py
@@ -1,4 +1,4 @@
-"""What callers send, validated before anything else sees it."""
+"""Validates the requests of callers."""
 
 from __future__ import annotations
 
@@ -16,16 +16,18 @@
 from briarseam.entry import server
 
 DIGEST_BYTES = 16
-MAX_NAME = 200
+MAX_NAME_LENGTH = 200
 DEFAULT_PRIORITY = 5
-MAX_PRIOR = 100_000
+MAX_PRIOR_TOKENS = 100_000
 BEARER = "Bearer "
-CONTINUES_HEADER = "Answer-Id"
+ANSWER_ID_HEADER = "Answer-Id"
 REQUEST_HEADER = "X-Request-Id"
-REQUEST_NAME_BYTES = 8
+REQUEST_ID_BYTES = 8
 
-Name = typing.Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME)]
-OptionalName = typing.Annotated[str, msgspec.Meta(max_length=MAX_NAME)]
+Name = typing.Annotated[
+    str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)
+]
+OptionalName = typing.Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
 
 
 class AnswerBody(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -34,22 +36,22 @@
     Attributes
     ----------
     model
-        Model to ask.
+        Model that answers the prompt.
     prompt
         The prompt's text.
     max_tokens
-        Most tokens of the answer.
+        Maximum number of tokens of the answer.
     deadline_ms
-        The first token is of no use after this.
+        Time in ms within which the first token must arrive to be of use.
     session
-        Name by which returning prompts find their kept cache.
+        Name that connects the prompts of a session with its kept cache.
     priority
-        0 high to 9 low.
+        From 0 (highest) to 9 (lowest).
     idempotent
         Whether the prompt may run again after a failure.
     prior
-        With the header ``Answer-Id``: the tokens that the caller has of
-        that answer, which is to be continued.
+        With the header ``Answer-Id``: the tokens of that answer which the
+        caller has already received, and after which it is continued.
     """
 
     model: Name
@@ -62,13 +64,13 @@
     )
     idempotent: bool = True
     prior: typing.Annotated[
-        tuple[str, ...], msgspec.Meta(max_length=MAX_PRIOR)
+        tuple[str, ...], msgspec.Meta(max_length=MAX_PRIOR_TOKENS)
     ] = ()
 
 
 @dataclasses.dataclass(frozen=True)
 class RawRequest:
-    """The parts of a caller's request that every call needs.
+    """The parts that all requests with a body have.
 
     Attributes
     ----------
@@ -77,9 +79,9 @@
     key
         Idempotency key, empty when absent.
     body
-        The bytes.
+        The request body.
     body_digest
-        blake2b-16 of them and of the path.
+        blake2b-16 of the path and the body.
     """
 
     token_digest: str
@@ -88,15 +90,15 @@
     body_digest: bytes
 
 
-def name_request() -> str:
-    """Name the current request and tell the caller its name.
+def assign_request_id() -> str:
+    """Assign an id to the current request and return it to the caller.
 
-    The caller quotes it to the operators, who find the request by it on
-    the time line, also when it was refused.
+    Operators find the request on the time line by this id, also if it was
+    refused.
     """
-    name = secrets.token_hex(REQUEST_NAME_BYTES)
-    cherrypy.response.headers[REQUEST_HEADER] = name
-    return name
+    request_id = secrets.token_hex(REQUEST_ID_BYTES)
+    cherrypy.response.headers[REQUEST_HEADER] = request_id
+    return request_id
 
 
 def check_framing() -> None:
@@ -126,7 +128,8 @@
     Raises
     ------
     problems.Problem
-        When one of them is missing, ambiguous or too large.
+        When the token or length is missing, or the body is ambiguous, too
+        large or incomplete.
     """
     check_framing()
     token_digest = read_token()
@@ -144,7 +147,7 @@
         raise problems.Problem(
             verdict.NotRun(
                 verdict.Reason.TOO_LARGE,
-                f"a body may have {max_body_bytes} bytes",
+                f"the body is larger than {max_body_bytes} bytes",
             )
         )
     body = cherrypy.request.rfile.read(length) if length else b""
@@ -159,14 +162,14 @@
 
 
 def digest_body(path: str, body: bytes) -> bytes:
-    """Return what a key is bound to: the path and the body."""
+    """Return the digest of path and body that a key is bound to."""
     digest = hashlib.blake2b(path.encode(), digest_size=DIGEST_BYTES)
     digest.update(b"\0" + body)
     return digest.digest()
 
 
 def digest_prompt(tokens: list[str]) -> bytes:
-    """Return what a prompt is known by, whatever its white space."""
+    """Return a prompt's digest, which is independent of its white space."""
     text = " ".join(tokens).encode()
     return hashlib.blake2b(text, digest_size=DIGEST_BYTES).digest()
 
@@ -177,7 +180,8 @@
     Raises
     ------
     problems.Problem
-        With the field and what was expected.
+        When the body is invalid; the detail names the field and what was
+        expected.
     """
     try:
         return msgspec.json.decode(body, type=AnswerBody)
@@ -186,7 +190,7 @@
 
 
 def check_json(body: bytes) -> None:
-    """Refuse a body that is no JSON."""
+    """Refuse a body that is not JSON."""
     try:
         msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -194,33 +198,35 @@
 
 
 def read_last_event_id() -> int:
-    """Return the first token offset the caller does not have."""
+    """Return the offset of the first token that the caller is missing."""
     text = cherrypy.request.headers.get("Last-Event-ID", "")
     if not text:
         return 0
     if not text.isdigit():
-        raise problems.malformed("Last-Event-ID is no token offset")
+        raise problems.malformed("Last-Event-ID is not a token offset")
     return int(text) + 1
 
 
-def read_continued(body: AnswerBody) -> str:
-    """Return the id of the answer that a prompt continues, else nothing.
+def read_continued_answer_id(body: AnswerBody) -> str:
+    """Return the id of the answer that a prompt continues, or "".
 
     Raises
     ------
     problems.Problem
-        When header and body do not fit together.
+        When the headers and the body contradict each other.
     """
-    answer_id = cherrypy.request.headers.get(CONTINUES_HEADER, "").strip()
+    answer_id = cherrypy.request.headers.get(ANSWER_ID_HEADER, "").strip()
     if bool(answer_id) != bool(body.prior):
-        raise problems.malformed("prior and Answer-Id go together")
+        raise problems.malformed("prior and Answer-Id must be sent together")
     if not answer_id:
         return ""
     if not body.idempotent:
-        raise problems.malformed("only an idempotent prompt is continued")
+        raise problems.malformed("only an idempotent prompt can be continued")
     if len(body.prior) >= body.max_tokens:
-        raise problems.malformed("prior has max_tokens tokens already")
-    last = read_last_event_id()
-    if last and last != len(body.prior):
-        raise problems.malformed("Last-Event-ID is not the last of prior")
+        raise problems.malformed("prior already has max_tokens tokens")
+    next_offset = read_last_event_id()
+    if next_offset and next_offset != len(body.prior):
+        raise problems.malformed(
+            "Last-Event-ID is not the offset of the last token of prior"
+        )
     return str(answer_id)
--- a/src/briarseam/entry/server.py
+++ b/src/briarseam/entry/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of an entry: CherryPy's, made strict about framing."""
+"""The HTTP server of an entry: CherryPy's, with strict framing checks."""
 
 from __future__ import annotations
 
@@ -28,47 +28,48 @@
 
 @dataclasses.dataclass(frozen=True)
 class FramingRules:
-    """What a server takes besides plain bodies with a length.
+    """What a server accepts besides bodies with a Content-Length.
 
     Attributes
     ----------
     allow_chunked
-        Whether bodies may come in chunks.
+        Whether bodies may have the chunked transfer coding.
     allow_underscores
-        Whether header names may have them; a WSGI application sees them
-        as dashes, so that two headers would become one.
+        Whether header names may contain underscores.  WSGI turns dashes
+        into underscores, so that two different headers would become one.
     """
 
     allow_chunked: bool = False
     allow_underscores: bool = False
 
 
-PLAIN_RULES = FramingRules()
+DEFAULT_RULES = FramingRules()
 
 
 class StrictHeaderReader(cheroot.server.HeaderReader):
-    """Marks requests whose framing two parsers could read differently.
-
-    The failure is request smuggling: a body that one hop ends by its
-    length and the next by its chunks hides a second request, which would
-    run under the first one's token.  It shows as a doubled length, a
-    length beside chunks, a folded line, or a repeated header that decides
-    who asks for what.  The mark makes the application refuse the request
-    with its usual document, and no byte after the headers is used.
+    """Marks requests whose framing two parsers could interpret differently.
+
+    This prevents request smuggling: if one hop ends a body by its length
+    and the next by its chunks, the body can hide a second request, which
+    would run under the first one's token.  Signs of it are a repeated
+    length, a length together with chunks, a folded line, or a repeated
+    header that identifies the caller or the request.  The mark makes the
+    application refuse the request with a problem document, and no byte
+    after the headers is read.
     """
 
-    rules = PLAIN_RULES
+    rules = DEFAULT_RULES
 
     def __call__(
         self,
         rfile: typing.Any,
         hdict: dict[bytes, bytes] | None = None,
     ) -> dict[bytes, bytes]:
-        """Read the headers; add the mark where they are ambiguous."""
-        lines = RecordingReader(rfile)
-        headers: dict[bytes, bytes] = super().__call__(lines, hdict)
+        """Read the headers; add the mark if they are ambiguous."""
+        reader = RecordingReader(rfile)
+        headers: dict[bytes, bytes] = super().__call__(reader, hdict)
         headers.pop(FRAMING_ERROR, None)
-        problem = find_framing_problem(lines.lines, self.rules)
+        problem = find_framing_problem(reader.lines, self.rules)
         if problem:
             headers[FRAMING_ERROR] = problem.encode()
             headers.pop(b"Content-Length", None)
@@ -77,7 +78,7 @@
 
 
 class RecordingReader:
-    """Passes lines on and remembers them."""
+    """Reads lines and records them."""
 
     def __init__(self, rfile: typing.Any) -> None:
         self.rfile = rfile
@@ -91,10 +92,10 @@
 
 
 def find_framing_problem(
-    lines: list[bytes], rules: FramingRules = PLAIN_RULES
+    lines: list[bytes], rules: FramingRules = DEFAULT_RULES
 ) -> str:
-    """Return what is ambiguous about header lines, empty if nothing."""
-    seen: dict[bytes, bytes] = {}
+    """Return what is ambiguous about header lines, or ""."""
+    headers_seen: dict[bytes, bytes] = {}
     for line in lines:
         if line[:1] in (b" ", b"\t"):
             return "folded header line"
@@ -104,49 +105,49 @@
         if name != name.strip():
             return "white space around a header name"
         if b"_" in name and not rules.allow_underscores:
-            # The application sees "_" and "-" as the same character.
+            # WSGI maps "_" and "-" to the same character.
             return "underscore in a header name"
         name = name.title()
-        if name in seen and name in SINGLE_HEADERS:
+        if name in headers_seen and name in SINGLE_HEADERS:
             return f"repeated header {name.decode('latin-1')}"
-        seen[name] = value.strip()
+        headers_seen[name] = value.strip()
         if name == b"Content-Length" and not value.strip().isdigit():
-            return "Content-Length is no number"
-    return find_coding_problem(seen, rules)
+            return "Content-Length is not a number"
+    return find_transfer_coding_problem(headers_seen, rules)
 
 
-def find_coding_problem(
+def find_transfer_coding_problem(
     headers: dict[bytes, bytes], rules: FramingRules
 ) -> str:
-    """Return what is wrong about a body's transfer coding, if anything."""
+    """Return what is wrong with a body's transfer coding, or ""."""
     coding = headers.get(b"Transfer-Encoding")
     if coding is None:
         return ""
     if not rules.allow_chunked:
         return "Transfer-Encoding is not accepted, send Content-Length"
     if b"Content-Length" in headers:
-        return "Content-Length beside Transfer-Encoding"
+        return "both Content-Length and Transfer-Encoding are present"
     if coding.lower() != b"chunked":
         return "unknown Transfer-Encoding"
     return ""
 
 
 class StrictRequest(cheroot.server.HTTPRequest):
-    """A request whose connection ends when its framing is ambiguous."""
+    """A request that closes its connection if its framing is ambiguous."""
 
     header_reader = StrictHeaderReader()
 
     def read_request_headers(self) -> bool:
-        """Read the headers; plan to close after an ambiguous request."""
+        """Read the headers; close the connection if they are ambiguous."""
         base: typing.Any = super()
-        understood: bool = base.read_request_headers()
+        is_valid: bool = base.read_request_headers()
         if FRAMING_ERROR in self.inheaders:
             self.close_connection = True
-        return understood
+        return is_valid
 
 
 class StrictConnection(cheroot.server.HTTPConnection):
-    """A connection of strict requests."""
+    """A connection whose requests are :class:`StrictRequest`."""
 
     RequestHandlerClass = StrictRequest
 
@@ -156,16 +157,16 @@
     application: typing.Callable[..., typing.Any],
     threads: int,
 ) -> cheroot.wsgi.Server:
-    """Return the server, not yet bound.
+    """Return a server that is not yet bound to its address.
 
     Parameters
     ----------
     listen
-        IP number and port.
+        IP address and port.
     application
         WSGI application.
     threads
-        Callers served at once.
+        Number of threads, and so of requests served concurrently.
     """
     server = cheroot.wsgi.Server(
         listen,
--- a/src/briarseam/entry/timeline_page.py
+++ b/src/briarseam/entry/timeline_page.py
@@ -21,14 +21,14 @@
 
 
 class TimelinePage:
-    """Asks the agent, which asks everybody.
+    """Fetches the events through the agent, which queries all processes.
 
     Parameters
     ----------
     teams
-        Whom the page answers.
+        The teams whose operators may read the page.
     agent
-        Link to the agent.
+        Calls to the agent.
     """
 
     exposed = True
@@ -46,18 +46,18 @@
         endpoint: str = "",
         limit: str = str(DEFAULT_LIMIT),
     ) -> bytes:
-        """Return the events about a request, path or endpoint, or all."""
+        """Return the events of a request, path or endpoint, or all events."""
         self.teams.check()
         if not limit.isascii() or not limit.isdigit():
-            raise problems.malformed("limit is no number")
+            raise problems.malformed("limit is not a number")
         fetch = messages.FetchEvents(
             events.Filter(request, path, endpoint),
             messages.Scope.EVERYWHERE,
             int(limit[:9]),
         )
         try:
-            found = self.agent.ask(fetch, (messages.Events,), TIMEOUT_S)
+            fetched = self.agent.query(fetch, (messages.Events,), TIMEOUT_S)
         except verdict.RefusalError as error:
             raise problems.Problem(error.given) from error
         cherrypy.response.headers["Content-Type"] = "application/json"
-        return msgspec.json.encode(found)
+        return msgspec.json.encode(fetched)
--- a/tests/entry/test_counting.py
+++ b/tests/entry/test_counting.py
@@ -9,7 +9,7 @@
 
 
 class Application:
-    """A WSGI application that says when it is called."""
+    """A WSGI application that counts its calls."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -21,7 +21,7 @@
 
 
 class Response:
-    """What a caller is told."""
+    """Records the status and headers of a response."""
 
     def __call__(self, status, headers, *exc_info):
         self.status = status
@@ -33,21 +33,21 @@
     return inflight.InFlight()
 
 
-def test_request_that_comes_as_the_entry_ends_is_refused(in_flight):
-    """An entry that is told to stop finds nothing in flight.  A call that
-    comes then was admitted, and its connection closed with the process
-    before the service had answered.
+def test_request_is_refused_once_the_entry_has_stopped(in_flight):
+    """A request that arrives after a stop has found none in flight must
+    not be admitted: the process exits, and closes the connection, before
+    the service has answered.
     """
     application, response = Application(), Response()
     counted = counting.CountingApplication(application, in_flight)
     assert in_flight.refuse_if_idle()
     body = counted({}, response)
-    told = json.loads(b"".join(body))
+    document = json.loads(b"".join(body))
     body.close()
     assert application.calls == 0
     assert response.status.startswith("503")
     assert response.headers["Connection"] == "close"
-    assert told["ran"] == "no"
+    assert document["ran"] == "no"
     assert in_flight.count == 0
 
 
--- a/tests/entry/test_framing.py
+++ b/tests/entry/test_framing.py
@@ -13,7 +13,7 @@
 
 
 def exchange(address, lines, body=b""):
-    """Send raw bytes; return everything until the server closes."""
+    """Send raw bytes; return all bytes until the server closes."""
     host, _, port = address.rpartition(":")
     head = "\r\n".join(["POST /v1/answers HTTP/1.1", *lines, "", ""])
     with socket.create_connection((host, int(port)), 5) as sock:
@@ -26,7 +26,7 @@
 
 
 def parse(data):
-    """Return status and JSON of the only response in the bytes."""
+    """Return the status and JSON of the bytes' only response."""
     head, _, body = data.partition(b"\r\n\r\n")
     assert data.count(b"HTTP/1.1 ") == 1, data
     return int(head.split()[1]), json.loads(body)
@@ -77,9 +77,9 @@
 def test_ambiguous_framing_is_refused_and_the_connection_closed(
     running, lines
 ):
-    """Somebody sends a request whose end two parsers would see at
-    different places, with a second request hidden behind it.  One clear
-    400 comes back, nothing ran, and the hidden request is never read.
+    """Guards against request smuggling: two parsers find the end of the
+    request at different places, and a second one is hidden behind it.  The
+    only response is a 400, nothing runs, and the second request is not read.
     """
     address = running.instances[0].address
     data = exchange(address, [HOST, AUTH, *lines], BODY + SMUGGLED)
@@ -90,7 +90,7 @@
 
 
 def test_a_body_without_length_is_refused(running):
-    """A caller sends a POST without Content-Length; it is told so."""
+    """A POST without Content-Length gets status 411."""
     address = running.instances[0].address
     lines = [HOST, AUTH, "Connection: close"]
     status, document = parse(exchange(address, lines))
@@ -98,9 +98,9 @@
 
 
 def test_an_oversize_body_is_refused_unread(running):
-    """A caller announces more than the settings allow and is slow to send
-    it.  The refusal comes at once: a server that first read the body, to
-    keep the connection, would hold a thread for as long as it takes.
+    """A body above the limit is refused by its Content-Length alone.  If
+    the server read it first, to keep the connection open, a slow caller
+    would occupy a thread for as long as it takes to send it.
     """
     address = running.instances[0].address
     lines = [HOST, AUTH, "Content-Length: 99999999"]
@@ -119,7 +119,7 @@
     ],
 )
 def test_broken_json_is_refused(running, body):
-    """A caller's body is no JSON object; the refusal says what is wrong."""
+    """A body that is not a JSON object is refused with a detail."""
     address = running.instances[0].address
     lines = [HOST, AUTH, f"Content-Length: {len(body)}", "Connection: close"]
     status, document = parse(exchange(address, lines, body))
@@ -128,7 +128,7 @@
 
 
 def test_an_unknown_path_has_a_problem_document(running):
-    """A caller mistypes a path and gets a problem document all the same."""
+    """An unknown path is answered by a problem document as well."""
     response = running.caller().open("GET", "/v1/nothing", None, {})
     assert response.status == 404
     assert response.headers["Content-Type"] == "application/problem+json"
--- a/tests/entry/test_refusals.py
+++ b/tests/entry/test_refusals.py
@@ -1,4 +1,4 @@
-"""What an entry may say when it cannot know."""
+"""Verdicts of an entry that can't know whether a request ran."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from briarseam.wire import codec
 
 
-class Gone:
-    """An agent that is not there, or fails."""
+class FailingClient:
+    """A client of an agent that is unavailable or sends a bad reply."""
 
     def __init__(self, reply: codec.Message | None) -> None:
         self.reply = reply
@@ -30,18 +30,18 @@
 
 class Reports:
     def add(self, message):
-        """Take nothing."""
+        """Discard the report."""
 
 
 REPLIES = pytest.mark.parametrize(
     "reply",
     [None, codec.Failed("error", "bug"), messages.Noted()],
-    ids=["away", "failed", "confused"],
+    ids=["unavailable", "failed", "unexpected-reply"],
 )
 
 
-def ask(reply, key: str) -> verdict.Verdict:
-    link = agent_link.AgentLink(Gone(reply), Reports())
+def request_admission(reply, key: str) -> verdict.Verdict:
+    link = agent_link.AgentLink(FailingClient(reply), Reports())
     call = messages.AdmitCall("", "renewals", "submit", key, b"", 100)
     with pytest.raises(verdict.RefusalError) as raised:
         link.admit_call(call)
@@ -49,13 +49,13 @@
 
 
 @REPLIES
-def test_key_is_unknown_while_its_records_cannot_be_asked(reply):
-    """A submission that was filed is filed anew.
+def test_request_with_a_key_may_have_run_without_an_answer_of_the_agent(reply):
+    """Guards against a submission that takes effect twice.
 
-    Its first answer was lost; the resend meets an entry whose agent is
-    away and is told "not run", so the caller takes a new key.
+    Its first answer is lost, and an entry whose agent is unavailable
+    answers the retry with "not run", so the caller uses a new key.
     """
-    given = ask(reply, caller.new_key())
+    given = request_admission(reply, caller.new_key())
     assert isinstance(given, verdict.MayHaveRun)
     assert given.retry_after_s
     assert "same key" in given.detail
@@ -63,48 +63,48 @@
 
 @REPLIES
 def test_request_without_a_key_did_not_run(reply):
-    assert isinstance(ask(reply, ""), verdict.NotRun)
+    assert isinstance(request_admission(reply, ""), verdict.NotRun)
 
 
-def test_true_refusal_of_a_key_stays_as_it_is():
+def test_definite_verdict_for_a_key_is_unchanged():
     given = verdict.Ran(verdict.Reason.ANSWER_GONE)
     assert refusals.for_keyed_request("key", given) is given
 
 
-def test_agent_that_may_be_out_of_date_does_not_deny_a_key(tmp_path):
-    """The same, at an agent that was just replaced.
+def test_stale_agent_does_not_say_that_a_key_has_not_run(tmp_path):
+    """The verdict for a key is "unknown" at an agent that is not current.
 
-    Until it is current it admits nothing and knows no key's records.
+    A replaced agent admits nothing and knows no key's records until then.
     """
     with deployment.Deployment(tmp_path) as running:
         instance = running.instances[0]
         reader = instance.agent.configuration
         reader.staleness_s = lambda: 1e9
         key = caller.new_key()
-        told = running.caller().call(
+        response = running.caller().call(
             deployment.SERVICE, deployment.CALL, {"key": key}, key
         )
         plain = running.caller().call(deployment.SERVICE, "look", {})
-    assert (told.status, told.body["ran"]) == (503, "unknown")
-    assert int(told.headers["Retry-After"]) >= 1
+    assert (response.status, response.body["ran"]) == (503, "unknown")
+    assert int(response.headers["Retry-After"]) >= 1
     assert plain.body["ran"] == "no"
 
 
-def test_service_taken_away_does_not_deny_a_key(tmp_path):
-    """A filed submission is sent again after its service was removed."""
+def test_removed_service_does_not_say_that_a_used_key_has_not_run(tmp_path):
+    """A submission is sent again after its service has been removed."""
     with deployment.Deployment(tmp_path) as running:
         key = caller.new_key()
         submission = (deployment.SERVICE, deployment.CALL, {"key": key}, key)
         waiting.until(lambda: running.caller().call(*submission).status == 200)
         running.publish({f"services/{deployment.SERVICE}": None})
         waiting.until(running.is_serving)
-        # The outcome is on the log a moment after the first answer.
+        # The outcome reaches the log shortly after the first answer.
         waiting.until(lambda: running.caller().call(*submission).status == 200)
-        fresh = caller.new_key()
-        told = running.caller().call(
-            deployment.SERVICE, deployment.CALL, {"key": fresh}, fresh
+        new_key = caller.new_key()
+        response = running.caller().call(
+            deployment.SERVICE, deployment.CALL, {"key": new_key}, new_key
         )
-    assert (told.status, told.body["ran"]) == (404, "no")
+    assert (response.status, response.body["ran"]) == (404, "no")
 
 
 def test_every_reason_has_a_status():
