--- a/src/briarseam/command/delays.py
+++ b/src/briarseam/command/delays.py
@@ -79,16 +79,16 @@
 def execute(args: argparse.Namespace) -> int:
     """Print the delays of all sends, or the refusals."""
     read = lines.read(log_files.documents(args.logs))
-    if read.unread:
+    if read.undecodable:
         print(
-            f"{read.unread} lines about requests could not be read",
+            f"{read.undecodable} lines about requests could not be read",
             file=sys.stderr,
         )
     if not read.lines:
         print("no line about a request", file=sys.stderr)
         return 1
     if args.by == SIZE:
-        classes = sizes.classes(read.lines)
+        classes = sizes.size_classes(read.lines)
         print_table(args, SIZE_HEADERS, classes, size_row)
         return 0
     joined = sends.join(read.lines)
--- a/src/briarseam/delays/lines.py
+++ b/src/briarseam/delays/lines.py
@@ -110,30 +110,30 @@
 
 
 @dataclasses.dataclass
-class Read:
+class RequestLines:
     """What was read of logs.
 
     Attributes
     ----------
     lines
         Lines about requests, in the order of their timestamps.
-    unread
+    undecodable
         Lines about requests that could not be decoded.
     """
 
     lines: list[Line]
-    unread: int = 0
+    undecodable: int = 0
 
 
-def read(documents: collections.abc.Iterable[str]) -> Read:
+def read(documents: collections.abc.Iterable[str]) -> RequestLines:
     """Return the lines about requests among documents of logs."""
-    found = Read([])
+    found = RequestLines([])
     for text in documents:
         if not any(mark in text for mark in MARKS):
             continue
         try:
             found.lines.append(decoder.decode(text))
         except msgspec.DecodeError:
-            found.unread += 1
+            found.undecodable += 1
     found.lines.sort(key=lambda line: line.timestamp)
     return found
--- a/src/briarseam/delays/sizes.py
+++ b/src/briarseam/delays/sizes.py
@@ -44,7 +44,7 @@
     refused: int
 
 
-def classes(read: collections.abc.Iterable[lines.Line]) -> list[SizeClass]:
+def size_classes(read: collections.abc.Iterable[lines.Line]) -> list[SizeClass]:
     """Return the classes of all kinds of request that have prompts."""
     by_route: dict[str, list[lines.RequestEnded]] = collections.defaultdict(
         list
--- a/tests/delays/test_lines.py
+++ b/tests/delays/test_lines.py
@@ -19,7 +19,7 @@
         lines.RequestSent,
         lines.RequestEnded,
     ]
-    assert read.unread == 0
+    assert read.undecodable == 0
 
 
 def test_lines_cut_off_or_without_a_field_are_counted():
@@ -29,7 +29,7 @@
     whole = json.loads(made.ended(2, "r", "e1:answered-200"))
     del whole["steps"]
     read = lines.read([made.sent(1, "r")[:-9], json.dumps(whole)])
-    assert (read.lines, read.unread) == ([], 2)
+    assert (read.lines, read.undecodable) == ([], 2)
 
 
 def test_a_path_that_names_an_event_is_not_taken_for_one():
--- a/tests/delays/test_sizes.py
+++ b/tests/delays/test_sizes.py
@@ -14,7 +14,7 @@
 def test_largest_prompts_that_are_refused_show_in_a_row_of_their_own():
     small = [ended(size) for size in range(1000, 1090, 10)]
     large = ended(20_000, "refused-overloaded")
-    first, second, third = sizes.classes([large, *small])
+    first, second, third = sizes.size_classes([large, *small])
     assert (first.size, first.least_tokens) == ("largest tenth", 20_000)
     assert (first.requests, first.answered, first.refused) == (1, 0, 1)
     assert (second.size, second.requests) == ("fifth below", 2)
@@ -22,7 +22,7 @@
 
 
 def test_kinds_of_request_are_told_apart_and_those_without_prompts_left_out():
-    found = sizes.classes(
+    found = sizes.size_classes(
         [ended(10, route="a"), ended(20, route="b"), ended(None, route="c")]
     )
     assert [(one.route, one.requests) for one in found] == [("a", 1), ("b", 1)]
