--- a/src/briarseam/delays/__init__.py
+++ b/src/briarseam/delays/__init__.py
@@ -1,1 +1,1 @@
-"""Where the time of requests goes, from the logs of all instances."""
+"""Analysis of request delays from the logs of all instances."""
--- a/src/briarseam/delays/lines.py
+++ b/src/briarseam/delays/lines.py
@@ -1,4 +1,4 @@
-"""The log lines that tell of a request's delays, validated."""
+"""Decoding and validation of the log lines about requests."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 if typing.TYPE_CHECKING:
     import collections.abc
 
-# Which lines are decoded at all: most others are of other kinds.
-MARKS = ('"request_sent"', '"request_ended"', '"request_refused"')
+# Only lines that contain one of these are decoded; most lines contain none.
+EVENT_MARKERS = ('"request_sent"', '"request_ended"', '"request_refused"')
 
 
 class RequestSent(
@@ -23,23 +23,24 @@
     Attributes
     ----------
     timestamp
-        Of the instance's clock.
+        Time by the clock of the instance.
     process
-        The instance.
+        Name of the instance.
     request
-        The request's id.
+        Id of the request.
     endpoint
-        The endpoint's name, with its birth where it is known.
+        Name of the endpoint, with the time of its start if that is known.
     requests_there
-        Requests known to be at the endpoint, over all instances.
+        Known requests of all instances at the endpoint.
     tokens_waiting_there
-        Prompt tokens known to wait there; ``None`` for a request without a
-        prompt, as the three below.
+        Known prompt tokens that wait at the endpoint; ``None`` for a request
+        without a prompt.
     tokens_held, tokens_fetched, tokens_to_read
-        Prompt tokens that the endpoint has, fetches and computes.
+        Prompt tokens that the endpoint holds, fetches and computes; 0 for a
+        request without a prompt.
     fetch_late_ms
-        Time after which what it fetches counts as late; 0 if it fetches
-        nothing.
+        Time after which the fetched tokens count as late, in ms; 0 if the
+        endpoint fetches none.
     """
 
     timestamp: datetime.datetime
@@ -64,15 +65,16 @@
     timestamp, process, request
         As of `RequestSent`.
     route
-        The kind of request.
+        Name of the route.
     steps
-        Each endpoint with what became of the send, in order.
+        Endpoint and outcome of each send, in order; other steps, such as
+        ``no-room``, name no endpoint.
     outcome
-        What the caller got.
+        Outcome for the caller.
     took_ms
-        Time from its arrival, in ms.
+        Time since the arrival of the request, in ms.
     memory_tokens
-        Memory of an engine that its prompt and answer may take, in tokens;
+        Engine memory that the prompt and answer may take, in tokens;
         ``None`` for a request without a prompt.
     """
 
@@ -94,9 +96,9 @@
     Attributes
     ----------
     timestamp, process, request
-        As of `RequestSent`; the id is empty where it could not be read.
+        As of `RequestSent`; the id is empty if it could not be read.
     reason
-        Word for the reason.
+        Code of the reason.
     """
 
     timestamp: datetime.datetime
@@ -111,14 +113,14 @@
 
 @dataclasses.dataclass
 class RequestLines:
-    """What was read of logs.
+    """Log lines about requests.
 
     Attributes
     ----------
     lines
-        Lines about requests, in the order of their timestamps.
+        Decoded lines, in the order of their timestamps.
     undecodable
-        Lines about requests that could not be decoded.
+        Number of lines that could not be decoded.
     """
 
     lines: list[Line]
@@ -126,14 +128,14 @@
 
 
 def read(documents: collections.abc.Iterable[str]) -> RequestLines:
-    """Return the lines about requests among documents of logs."""
-    found = RequestLines([])
+    """Return the lines about requests of JSON log lines."""
+    result = RequestLines([])
     for text in documents:
-        if not any(mark in text for mark in MARKS):
+        if not any(marker in text for marker in EVENT_MARKERS):
             continue
         try:
-            found.lines.append(decoder.decode(text))
+            result.lines.append(decoder.decode(text))
         except msgspec.DecodeError:
-            found.undecodable += 1
-    found.lines.sort(key=lambda line: line.timestamp)
-    return found
+            result.undecodable += 1
+    result.lines.sort(key=lambda line: line.timestamp)
+    return result
--- a/src/briarseam/delays/sends.py
+++ b/src/briarseam/delays/sends.py
@@ -1,4 +1,4 @@
-"""Joining log lines into sends and refusals."""
+"""Joins the log lines of each request into sends and refusals."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
     Key = tuple[str, str]
 
-FIRST_EVENT = re.compile(r" first=(\d+)ms$")
-ANSWERED = "answered-"
-REFUSED = "refused-"
+FIRST_EVENT_PATTERN = re.compile(r" first=(\d+)ms$")
+ANSWERED_PREFIX = "answered-"
+REFUSED_PREFIX = "refused-"
 
 
 @dataclasses.dataclass(frozen=True)
@@ -25,18 +25,19 @@
     Attributes
     ----------
     sent
-        What was known when it was sent.
+        Log line of the send, with what was known at the time.
     route
-        The kind of request; empty if its end is not in the logs.
+        Name of the route; empty if the request's end is not in the logs.
     answered
-        Whether the endpoint answered to the end.
+        Whether the endpoint answered completely.
     sent_s
-        When it was sent, in seconds since the epoch.
+        Time of the send, in seconds since the epoch.
     first_ms
-        Time to the first event; ``None`` if none came or none is expected.
+        Time to the first event, in ms; ``None`` if none was received or
+        none is expected.
     ended_s
-        When it had ended, in seconds since the epoch; ``None`` if that is
-        not in the logs.
+        Time of its end, in seconds since the epoch; ``None`` if that is not
+        in the logs.
     """
 
     sent: lines.RequestSent
@@ -49,18 +50,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Refusal:
-    """A request that got no answer of an endpoint.
+    """A request that no endpoint answered.
 
     Attributes
     ----------
     at_s
-        When, in seconds since the epoch.
+        Time of the refusal, in seconds since the epoch.
     request
-        The request's id.
+        Id of the request.
     route
-        The kind of request; empty if it was refused before it had one.
+        Name of the route; empty if the request was refused before it had
+        one.
     reason
-        Word for the reason.
+        Code of the reason.
     """
 
     at_s: float
@@ -71,19 +73,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Joined:
-    """All sends and refusals of some logs, each in order of time."""
+    """Sends and refusals, each in order of time."""
 
     sends: list[Send]
     refusals: list[Refusal]
 
 
 def join(read: collections.abc.Iterable[lines.Line]) -> Joined:
-    """Return the sends and refusals that lines in order tell of.
+    """Return the sends and refusals of log lines that are in order.
 
-    A request's lines are of one instance: a caller that asks again does so
-    under another id, but may use the same one at another instance.
+    Lines belong to the same request if their instance and their id are the
+    same: a caller may use an id at several instances, but a retry at the
+    same instance has another id.
     """
-    found = Joined([], [])
+    joined = Joined([], [])
     open_sends: dict[Key, list[lines.RequestSent]] = {}
     for line in read:
         key = (line.process, line.request)
@@ -92,10 +95,10 @@
                 open_sends.setdefault(key, []).append(line)
             case lines.RequestEnded():
                 sent = open_sends.pop(key, [])
-                found.sends.extend(ended_sends(sent, line))
-                found.refusals.extend(refusals_of(line))
+                joined.sends.extend(ended_sends(sent, line))
+                joined.refusals.extend(refusals_at_end(line))
             case lines.RequestRefused():
-                found.refusals.append(
+                joined.refusals.append(
                     Refusal(
                         line.timestamp.timestamp(),
                         line.request,
@@ -104,24 +107,24 @@
                     )
                 )
     for sent in open_sends.values():
-        found.sends.extend(map(unended_send, sent))
-    found.sends.sort(key=lambda send: send.sent_s)
-    return found
+        joined.sends.extend(map(unended_send, sent))
+    joined.sends.sort(key=lambda send: send.sent_s)
+    return joined
 
 
 def ended_sends(
     sent: list[lines.RequestSent], ended: lines.RequestEnded
 ) -> collections.abc.Iterator[Send]:
-    """Yield the sends of a request that ended, with their steps."""
+    """Yield the sends of a request that ended, with their outcomes."""
     steps = iter(ended.steps)
     ends = [line.timestamp for line in sent[1:]] + [ended.timestamp]
     for line, end in zip(sent, ends, strict=False):
         step = next_step(steps, line.endpoint)
-        first = FIRST_EVENT.search(step)
+        first = FIRST_EVENT_PATTERN.search(step)
         yield Send(
             sent=line,
             route=ended.route,
-            answered=step.startswith(ANSWERED),
+            answered=step.startswith(ANSWERED_PREFIX),
             sent_s=line.timestamp.timestamp(),
             first_ms=int(first[1]) if first else None,
             ended_s=end.timestamp(),
@@ -129,9 +132,10 @@
 
 
 def next_step(steps: collections.abc.Iterator[str], endpoint: str) -> str:
-    """Return what became of the next send to an endpoint, empty if unsaid.
+    """Return the outcome of the next send to an endpoint; empty if none.
 
-    Steps without an endpoint, as ``no-room``, are passed over.
+    Steps of no endpoint or of other endpoints, such as ``no-room``, are
+    skipped.
     """
     for step in steps:
         if step.startswith(f"{endpoint}:"):
@@ -151,14 +155,14 @@
     )
 
 
-def refusals_of(
+def refusals_at_end(
     ended: lines.RequestEnded,
 ) -> collections.abc.Iterator[Refusal]:
-    """Yield a request that ended as the refusal that it was, if so."""
-    if ended.outcome.startswith(REFUSED):
+    """Yield the refusal of a request that ended as refused."""
+    if ended.outcome.startswith(REFUSED_PREFIX):
         yield Refusal(
             ended.timestamp.timestamp(),
             ended.request,
             ended.route,
-            ended.outcome.removeprefix(REFUSED),
+            ended.outcome.removeprefix(REFUSED_PREFIX),
         )
--- a/src/briarseam/delays/sizes.py
+++ b/src/briarseam/delays/sizes.py
@@ -1,4 +1,4 @@
-"""How requests ended, by the size of their prompts."""
+"""Outcomes of requests by the size of their prompts."""
 
 from __future__ import annotations
 
@@ -12,27 +12,28 @@
 if typing.TYPE_CHECKING:
     import collections.abc
 
-LARGEST_TENTH = 0.9
-FIFTH_BELOW = 0.7
+LARGEST_TENTH_START = 0.9
+FIFTH_BELOW_START = 0.7
 
 
 @dataclasses.dataclass(frozen=True)
 class SizeClass:
-    """Requests of one kind whose prompts have about the same size.
+    """Requests of one route whose prompts are of similar size.
 
     Attributes
     ----------
     route
-        The kind of request.
+        Name of the route.
     size
-        Which part of the kind.
+        Name of the class among the requests of the route.
     least_tokens, most_tokens
-        Memory that a prompt and its answer may take, in tokens.
+        Least and most engine memory that a prompt and its answer may take,
+        in tokens.
     requests
-        How many ended.
+        Number of requests that ended.
     answered, refused
-        How many of these were answered by an endpoint to the end, and how
-        many were refused.
+        Number of these that an endpoint answered completely, and number of
+        those that were refused.
     """
 
     route: str
@@ -44,8 +45,10 @@
     refused: int
 
 
-def size_classes(read: collections.abc.Iterable[lines.Line]) -> list[SizeClass]:
-    """Return the classes of all kinds of request that have prompts."""
+def size_classes(
+    read: collections.abc.Iterable[lines.Line],
+) -> list[SizeClass]:
+    """Return the size classes of all routes whose requests have prompts."""
     by_route: dict[str, list[lines.RequestEnded]] = collections.defaultdict(
         list
     )
@@ -53,42 +56,42 @@
         if isinstance(line, lines.RequestEnded) and line.memory_tokens:
             by_route[line.route].append(line)
     return [
-        size_class(route, size, part)
+        size_class(route, size, ended)
         for route in sorted(by_route)
-        for size, part in parts(by_route[route])
-        if part
+        for size, ended in split_by_size(by_route[route])
+        if ended
     ]
 
 
-def parts(
+def split_by_size(
     ended: list[lines.RequestEnded],
 ) -> list[tuple[str, list[lines.RequestEnded]]]:
-    """Cut the requests of a kind by size, the largest first."""
+    """Return the requests of a route by size class, largest first."""
     ended = sorted(ended, key=lambda line: line.memory_tokens or 0)
-    tenth = round(LARGEST_TENTH * len(ended))
-    fifth = round(FIFTH_BELOW * len(ended))
+    tenth_start = round(LARGEST_TENTH_START * len(ended))
+    fifth_start = round(FIFTH_BELOW_START * len(ended))
     return [
-        ("largest tenth", ended[tenth:]),
-        ("fifth below", ended[fifth:tenth]),
-        ("others", ended[:fifth]),
+        ("largest tenth", ended[tenth_start:]),
+        ("fifth below", ended[fifth_start:tenth_start]),
+        ("others", ended[:fifth_start]),
     ]
 
 
 def size_class(
     route: str, size: str, ended: list[lines.RequestEnded]
 ) -> SizeClass:
-    """Return what describes one class; `ended` is in order of size."""
+    """Return a size class; `ended` is in order of size and not empty."""
     return SizeClass(
         route=route,
         size=size,
         least_tokens=ended[0].memory_tokens or 0,
         most_tokens=ended[-1].memory_tokens or 0,
         requests=len(ended),
-        answered=count(ended, sends.ANSWERED),
-        refused=count(ended, sends.REFUSED),
+        answered=count_outcomes(ended, sends.ANSWERED_PREFIX),
+        refused=count_outcomes(ended, sends.REFUSED_PREFIX),
     )
 
 
-def count(ended: list[lines.RequestEnded], outcome: str) -> int:
-    """Return how many outcomes begin with a word."""
-    return sum(line.outcome.startswith(outcome) for line in ended)
+def count_outcomes(ended: list[lines.RequestEnded], prefix: str) -> int:
+    """Return the number of outcomes that start with a prefix."""
+    return sum(line.outcome.startswith(prefix) for line in ended)
--- a/src/briarseam/delays/summary.py
+++ b/src/briarseam/delays/summary.py
@@ -1,4 +1,4 @@
-"""Sends and refusals in groups, with what describes each group."""
+"""Statistics of sends and refusals by group."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class By(enum.StrEnum):
-    """What groups are made of."""
+    """Property by which sends and refusals are grouped."""
 
     ROUTE = "route"
     SECOND = "second"
@@ -29,31 +29,35 @@
 
 @dataclasses.dataclass(frozen=True)
 class Group:
-    """Sends and refusals that have something in common.
+    """Statistics of the sends and refusals of one group.
 
     Attributes
     ----------
     name
-        Route, endpoint or first second of the group.
+        Route, endpoint or start of the time window, in seconds.
     sends
-        Sends to endpoints.
+        Number of sends to endpoints.
     unanswered
-        Those that the endpoint did not answer to the end.
+        Number of sends that the endpoint did not answer completely.
     first_p50_ms, first_p95_ms
-        Time to the first event, for sends that had one.
+        Median and 95th percentile of the time to the first event, over sends
+        that had one.
     fetch_due_p50_ms
-        Time after which fetched tokens count as late, for sends that fetch.
+        Median of the time after which fetched tokens count as late, over
+        sends that fetch.
     fetch_overdue
-        Sends whose first event came after that.
+        Number of sends whose first event came after their own such time.
     held, fetched, read
-        Prompt tokens of a send on average: held, fetched and computed.
+        Mean prompt tokens that the endpoint holds, fetches and computes for
+        a send.
     unseen_requests, unseen_tokens
-        Work at the endpoint beyond what was known, on average of the sends
-        that there was more for; tokens to compute without a first event.
+        Mean work at the endpoint beyond what was known, over the sends that
+        had such work: requests, and prompt tokens to compute of requests
+        without a first event.
     unseen_sends
-        Sends with a request unseen or more.
+        Number of sends with at least one unseen request.
     refused
-        Requests refused.
+        Number of requests refused.
     """
 
     name: str
@@ -74,18 +78,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Reason:
-    """Refusals for one reason.
+    """Refusals of one route for one reason.
 
     Attributes
     ----------
     reason
-        Word for it.
+        Code of the reason.
     route
-        The kind of request.
+        Name of the route.
     refused
-        How many.
+        Number of requests refused.
     first_s, last_s
-        When, in seconds since the first line.
+        Times of the first and last, in seconds since the first send or
+        refusal.
     example
         Id of the last request.
     """
@@ -100,7 +105,7 @@
 
 @dataclasses.dataclass
 class Members:
-    """What belongs to one group."""
+    """Sends and refusals of one group."""
 
     sends: list[sends.Send]
     unseen: list[unseen.Unseen]
@@ -109,16 +114,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Naming:
-    """How groups are named.
+    """Naming of groups.
 
     Attributes
     ----------
     by
-        What groups are made of.
+        Property by which sends and refusals are grouped.
     start_s
-        Time from which seconds are counted, in seconds since the epoch.
+        Start of the first time window, in seconds since the epoch.
     window_s
-        Length of a group by time, in seconds.
+        Length of a time window, in seconds.
     """
 
     by: By
@@ -136,7 +141,7 @@
                 return send.sent.endpoint
 
     def of_refusal(self, refusal: sends.Refusal) -> str | None:
-        """Return the name of a refusal's group; it has no endpoint."""
+        """Return the name of a refusal's group; ``None`` by endpoint."""
         match self.by:
             case By.ROUTE:
                 return refusal.route or UNKNOWN_ROUTE
@@ -146,48 +151,51 @@
                 return None
 
     def window(self, at_s: float) -> str:
-        """Return the second at which a time's window begins."""
-        since_s = at_s - self.start_s
-        return f"{since_s // self.window_s * self.window_s:g}"
+        """Return the start of the window of a time, in seconds."""
+        elapsed_s = at_s - self.start_s
+        return f"{elapsed_s // self.window_s * self.window_s:g}"
 
 
 def groups(joined: sends.Joined, by: By, window_s: float) -> list[Group]:
-    """Return the groups of sends and refusals, by name or time.
+    """Return statistics of each group, in order of time or name.
 
     Parameters
     ----------
     joined
         Sends and refusals.
     by
-        What groups are made of; refusals have no endpoint.
+        Property by which they are grouped; refusals have no endpoint.
     window_s
-        Length of a group by time, in seconds.
+        Length of a time window, in seconds.
     """
-    naming = Naming(by, beginning_s(joined), window_s)
-    found: dict[str, Members] = collections.defaultdict(
+    naming = Naming(by, first_time_s(joined), window_s)
+    by_name: dict[str, Members] = collections.defaultdict(
         lambda: Members([], [])
     )
-    unseen_work = unseen.find(joined.sends)
-    for send, missing in zip(joined.sends, unseen_work, strict=True):
-        members = found[naming.of_send(send)]
+    unseen_work = unseen.unseen_work(joined.sends)
+    for send, work in zip(joined.sends, unseen_work, strict=True):
+        members = by_name[naming.of_send(send)]
         members.sends.append(send)
-        members.unseen.append(missing)
+        members.unseen.append(work)
     for refusal in joined.refusals:
         name = naming.of_refusal(refusal)
         if name is not None:
-            found[name].refused += 1
-    return [summarize(name, found[name]) for name in sorted(found, key=order)]
+            by_name[name].refused += 1
+    return [
+        summarize(name, by_name[name])
+        for name in sorted(by_name, key=sort_key)
+    ]
 
 
-def beginning_s(joined: sends.Joined) -> float:
+def first_time_s(joined: sends.Joined) -> float:
     """Return the time of the first send or refusal."""
     times = [send.sent_s for send in joined.sends]
     times.extend(refusal.at_s for refusal in joined.refusals)
     return min(times, default=0.0)
 
 
-def order(name: str) -> tuple[float, str]:
-    """Return a key by which numbers stand in order before names."""
+def sort_key(name: str) -> tuple[float, str]:
+    """Return a sort key that puts numbers, in order, before names."""
     try:
         return float(name), ""
     except ValueError:
@@ -195,34 +203,36 @@
 
 
 def summarize(name: str, members: Members) -> Group:
-    """Return what describes a group."""
-    first = [one.first_ms for one in members.sends if one.first_ms is not None]
-    sent = [one.sent for one in members.sends]
-    prompts = [one for one in sent if one.tokens_waiting_there is not None]
-    due = [one.fetch_late_ms for one in prompts if one.tokens_fetched]
-    requests = [one.requests for one in members.unseen if one.requests > 0]
+    """Return the statistics of a group."""
+    first = [
+        send.first_ms for send in members.sends if send.first_ms is not None
+    ]
+    sent = [send.sent for send in members.sends]
+    prompts = [line for line in sent if line.tokens_waiting_there is not None]
+    due = [line.fetch_late_ms for line in prompts if line.tokens_fetched]
+    requests = [work.requests for work in members.unseen if work.requests > 0]
     return Group(
         name=name,
         sends=len(members.sends),
-        unanswered=sum(not one.answered for one in members.sends),
+        unanswered=sum(not send.answered for send in members.sends),
         first_p50_ms=quantile(first, MEDIAN),
         first_p95_ms=quantile(first, TAIL),
         fetch_due_p50_ms=quantile(due, MEDIAN),
         fetch_overdue=sum(map(is_overdue, members.sends)),
-        held=mean([one.tokens_held for one in prompts]),
-        fetched=mean([one.tokens_fetched for one in prompts]),
-        read=mean([one.tokens_to_read for one in prompts]),
+        held=mean([line.tokens_held for line in prompts]),
+        fetched=mean([line.tokens_fetched for line in prompts]),
+        read=mean([line.tokens_to_read for line in prompts]),
         unseen_sends=len(requests),
         unseen_requests=mean(requests),
         unseen_tokens=mean(
-            [one.tokens for one in members.unseen if one.tokens > 0]
+            [work.tokens for work in members.unseen if work.tokens > 0]
         ),
         refused=members.refused,
     )
 
 
 def is_overdue(send: sends.Send) -> bool:
-    """Return whether a send that fetches had its first event too late."""
+    """Return whether the first event came after the fetch was late."""
     return (
         send.sent.tokens_fetched > 0
         and send.first_ms is not None
@@ -231,7 +241,7 @@
 
 
 def quantile(values: list[int], share: float) -> float | None:
-    """Return a value that a share of all do not exceed, none of none."""
+    """Return the nearest-rank quantile; ``None`` without values."""
     if not values:
         return None
     ordered = sorted(values)
@@ -239,29 +249,31 @@
 
 
 def mean(values: list[int]) -> float | None:
-    """Return the mean, none of none."""
+    """Return the mean; ``None`` without values."""
     return statistics.fmean(values) if values else None
 
 
 def reasons(joined: sends.Joined) -> list[Reason]:
     """Return the refusals by reason and route, most frequent first."""
-    start_s = beginning_s(joined)
-    found: dict[tuple[str, str], list[sends.Refusal]] = (
+    start_s = first_time_s(joined)
+    by_reason: dict[tuple[str, str], list[sends.Refusal]] = (
         collections.defaultdict(list)
     )
     for refusal in joined.refusals:
-        found[refusal.reason, refusal.route or UNKNOWN_ROUTE].append(refusal)
+        by_reason[refusal.reason, refusal.route or UNKNOWN_ROUTE].append(
+            refusal
+        )
     return sorted(
         (
             Reason(
                 reason,
                 route,
                 len(refusals),
-                min(one.at_s for one in refusals) - start_s,
-                max(one.at_s for one in refusals) - start_s,
+                min(refusal.at_s for refusal in refusals) - start_s,
+                max(refusal.at_s for refusal in refusals) - start_s,
                 refusals[-1].request,
             )
-            for (reason, route), refusals in found.items()
+            for (reason, route), refusals in by_reason.items()
         ),
-        key=lambda one: (-one.refused, one.reason, one.route),
+        key=lambda reason: (-reason.refused, reason.reason, reason.route),
     )
--- a/src/briarseam/delays/unseen.py
+++ b/src/briarseam/delays/unseen.py
@@ -1,4 +1,4 @@
-"""Work at endpoints that was not known when a request was sent there."""
+"""Work at an endpoint that was unknown when a request was sent to it."""
 
 from __future__ import annotations
 
@@ -13,15 +13,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Unseen:
-    """What was at an endpoint beyond what its chooser knew.
+    """Work at an endpoint beyond what the sending instance knew.
 
     Attributes
     ----------
     requests
-        Requests; negative if some that it counted had ended.
+        Number of requests; negative if some that the instance counted had
+        already ended.
     tokens
-        Prompt tokens to compute of requests without a first event; 0 for a
-        request without a prompt, which does not look for them.
+        Prompt tokens to compute of requests without a first event; 0 if the
+        request sent has no prompt, as the instance then does not look up
+        waiting tokens.
     """
 
     requests: int
@@ -29,68 +31,72 @@
 
 
 @dataclasses.dataclass
-class Total:
-    """A sum that changes with time.
+class RunningTotal:
+    """A sum over time.
 
     Attributes
     ----------
     times
-        When it changed, in order.
+        Times at which it changed, in order.
     values
-        What it was from then on.
+        Sum from each of these times on.
     """
 
     times: list[float]
     values: list[int]
 
-    def before(self, at_s: float) -> int:
+    def value_before(self, at_s: float) -> int:
         """Return the sum just before a time."""
-        place = bisect.bisect_left(self.times, at_s)
-        return self.values[place - 1] if place else 0
+        index = bisect.bisect_left(self.times, at_s)
+        return self.values[index - 1] if index else 0
 
 
-def total(changes: list[tuple[float, int]]) -> Total:
+def running_total(changes: list[tuple[float, int]]) -> RunningTotal:
     """Return the running sum of changes."""
-    found = Total([], [])
+    result = RunningTotal([], [])
     value = 0
     for at_s, change in sorted(changes):
         value += change
-        found.times.append(at_s)
-        found.values.append(value)
-    return found
+        result.times.append(at_s)
+        result.values.append(value)
+    return result
 
 
-def find(all_sends: list[sends.Send]) -> list[Unseen]:
-    """Return for each send what was unseen at its endpoint.
+def unseen_work(all_sends: list[sends.Send]) -> list[Unseen]:
+    """Return the unseen work at the endpoint of each send.
 
     Sends whose end is not in the logs don't count as work at an endpoint:
-    their instance was lost, and when they ended is not known.
+    their instance was lost, and the time of their end is unknown.
     """
     running: dict[str, list[tuple[float, int]]] = collections.defaultdict(list)
     waiting: dict[str, list[tuple[float, int]]] = collections.defaultdict(list)
     for send in all_sends:
         endpoint = send.sent.endpoint
-        running[endpoint].extend(while_running(send))
-        waiting[endpoint].extend(while_waiting(send))
-    requests = {name: total(found) for name, found in running.items()}
-    tokens = {name: total(found) for name, found in waiting.items()}
+        running[endpoint].extend(running_changes(send))
+        waiting[endpoint].extend(waiting_changes(send))
+    requests = {
+        name: running_total(changes) for name, changes in running.items()
+    }
+    tokens = {
+        name: running_total(changes) for name, changes in waiting.items()
+    }
     return [
-        unseen_by(
+        unseen_at_send(
             send, requests[send.sent.endpoint], tokens[send.sent.endpoint]
         )
         for send in all_sends
     ]
 
 
-def while_running(send: sends.Send) -> list[tuple[float, int]]:
-    """Return a request more as it is sent and one less as it ends."""
+def running_changes(send: sends.Send) -> list[tuple[float, int]]:
+    """Return changes of the number of requests at the endpoint."""
     if send.ended_s is None:
         return []
     return [(send.sent_s, 1), (send.ended_s, -1)]
 
 
-def while_waiting(send: sends.Send) -> list[tuple[float, int]]:
-    """Return its tokens to compute as sent, and less at the first event."""
+def waiting_changes(send: sends.Send) -> list[tuple[float, int]]:
+    """Return changes of the tokens that wait until the first event."""
     if send.ended_s is None:
         return []
     until_s = send.ended_s
@@ -100,11 +106,13 @@
     return [(send.sent_s, tokens), (until_s, -tokens)]
 
 
-def unseen_by(send: sends.Send, requests: Total, tokens: Total) -> Unseen:
-    """Return what was at the endpoint of a send beyond what it knew."""
+def unseen_at_send(
+    send: sends.Send, requests: RunningTotal, tokens: RunningTotal
+) -> Unseen:
+    """Return the work at the endpoint of a send that was unknown then."""
     sent = send.sent
     known = sent.tokens_waiting_there
     return Unseen(
-        requests.before(send.sent_s) - sent.requests_there,
-        0 if known is None else tokens.before(send.sent_s) - known,
+        requests.value_before(send.sent_s) - sent.requests_there,
+        0 if known is None else tokens.value_before(send.sent_s) - known,
     )
--- a/tests/delays/test_unseen.py
+++ b/tests/delays/test_unseen.py
@@ -7,15 +7,15 @@
 from briarseam.delays import unseen
 
 
-def find(*texts):
-    return unseen.find(sends.join(lines.read(texts).lines).sends)
+def unseen_work(*texts):
+    return unseen.unseen_work(sends.join(lines.read(texts).lines).sends)
 
 
-def test_work_of_another_instance_that_was_not_told_is_unseen():
-    """Two instances choose the same engine within 30 ms, as neither knows
-    of the other's prompt, and the second waits for the first one's reading.
+def test_unreported_work_of_another_instance_is_unseen():
+    """Two instances choose the same engine within 30 ms, before either knows
+    the other's prompt; the second prompt waits until the first is computed.
     """
-    found = find(
+    found = unseen_work(
         made.sent_prompt(1, "r1", process="a"),
         made.sent_prompt(1.03, "r2", process="b"),
         made.ended(3, "r1", "e1:answered-200 first=100ms", process="a"),
@@ -24,8 +24,8 @@
     assert found == [unseen.Unseen(0, 0), unseen.Unseen(1, 900)]
 
 
-def test_work_that_was_known_is_not_unseen():
-    found = find(
+def test_known_work_is_not_unseen():
+    found = unseen_work(
         made.sent_prompt(1, "r1"),
         made.sent_prompt(
             1.03, "r2", requests_there=1, tokens_waiting_there=900
@@ -36,8 +36,8 @@
     assert found[1] == unseen.Unseen(0, 0)
 
 
-def test_a_prompt_stops_waiting_at_its_first_event_and_counts_until_its_end():
-    found = find(
+def test_prompt_waits_until_its_first_event_and_counts_until_its_end():
+    found = unseen_work(
         made.sent_prompt(1, "r1"),
         made.ended(3, "r1", "e1:answered-200 first=100ms"),
         made.sent_prompt(2, "r2"),
@@ -46,8 +46,8 @@
     assert found[1:] == [unseen.Unseen(1, 0), unseen.Unseen(0, 0)]
 
 
-def test_work_at_another_endpoint_and_of_a_lost_instance_counts_not():
-    found = find(
+def test_work_at_another_endpoint_or_of_a_lost_instance_is_not_counted():
+    found = unseen_work(
         made.sent(1, "r1", "e2"),
         made.ended(3, "r1", "e2:answered-200"),
         made.sent(1, "lost"),
@@ -56,6 +56,6 @@
     assert found[-1] == unseen.Unseen(0, 0)
 
 
-def test_work_that_was_counted_too_long_is_negative():
-    (found,) = find(made.sent(2, "r", requests_there=2))
+def test_work_that_already_ended_is_negative():
+    (found,) = unseen_work(made.sent(2, "r", requests_there=2))
     assert found.requests == -2
