--- a/tests/delays/made.py
+++ b/tests/delays/made.py
@@ -1,4 +1,4 @@
-"""Log lines as instances write them, for tests of delays."""
+"""Builders of log lines as instances write them."""
 
 from __future__ import annotations
 
@@ -17,33 +17,37 @@
 
 
 def line(at_s: float, event: str, request: str, **fields) -> str:
-    """Return a line; `at_s` is below a minute."""
-    document = {
+    """Return a log line; `at_s` is less than 60."""
+    common = {
         "request": request,
         "event": event,
         "level": "info",
         "timestamp": f"2026-01-01T00:00:{at_s:09.6f}Z",
         "process": "a",
     }
-    return json.dumps(document | fields)
+    return json.dumps(common | fields)
 
 
 def sent(at_s: float, request: str, endpoint: str = "e1", **fields) -> str:
-    """Return the line of a request without a prompt, sent to an endpoint."""
-    known = {"time_left_ms": 5000, "requests_there": 0, "endpoints_age_ms": 9}
+    """Return the line of a send of a request without a prompt."""
+    defaults = {
+        "time_left_ms": 5000,
+        "requests_there": 0,
+        "endpoints_age_ms": 9,
+    }
     return line(
-        at_s, "request_sent", request, endpoint=endpoint, **(known | fields)
+        at_s, "request_sent", request, endpoint=endpoint, **(defaults | fields)
     )
 
 
 def sent_prompt(at_s: float, request: str, **fields) -> str:
-    """Return the line of a prompt sent to an endpoint."""
+    """Return the line of a send of a request with a prompt."""
     return sent(at_s, request, **(PROMPT | fields))
 
 
 def ended(at_s: float, request: str, *steps: str, **fields) -> str:
     """Return the line of a request that ended."""
-    known = {
+    defaults = {
         "route": "ask",
         "service": "s",
         "configuration": 1,
@@ -51,10 +55,10 @@
         "outcome": "answered-200",
         "took_ms": 1,
     }
-    return line(at_s, "request_ended", request, **(known | fields))
+    return line(at_s, "request_ended", request, **(defaults | fields))
 
 
 def refused(at_s: float, request: str, reason: str, **fields) -> str:
-    """Return the line of a request that was refused without a route."""
-    known = {"host_path": "/x", "reason": reason, "ran": "no", "detail": ""}
-    return line(at_s, "request_refused", request, **(known | fields))
+    """Return the line of a request that was refused before it had a route."""
+    defaults = {"host_path": "/x", "reason": reason, "ran": "no", "detail": ""}
+    return line(at_s, "request_refused", request, **(defaults | fields))
--- a/tests/delays/test_lines.py
+++ b/tests/delays/test_lines.py
@@ -7,7 +7,7 @@
 from briarseam.delays import lines
 
 
-def test_lines_of_instances_are_put_in_order_and_others_passed_over():
+def test_request_lines_are_sorted_and_others_skipped():
     read = lines.read(
         [
             made.ended(2, "r", "e1:answered-200"),
@@ -22,16 +22,17 @@
     assert read.undecodable == 0
 
 
-def test_lines_cut_off_or_without_a_field_are_counted():
-    """An instance is killed as it writes, and an older one in the logs
-    wrote no steps.  The table tells how much it leaves out.
+def test_truncated_and_incomplete_lines_are_counted():
+    """An instance that is killed while it writes leaves a truncated line,
+    and one of an older version may omit fields.  Without the count, the
+    table would leave them out unnoticed.
     """
-    whole = json.loads(made.ended(2, "r", "e1:answered-200"))
-    del whole["steps"]
-    read = lines.read([made.sent(1, "r")[:-9], json.dumps(whole)])
+    incomplete = json.loads(made.ended(2, "r", "e1:answered-200"))
+    del incomplete["steps"]
+    read = lines.read([made.sent(1, "r")[:-9], json.dumps(incomplete)])
     assert (read.lines, read.undecodable) == ([], 2)
 
 
-def test_a_path_that_names_an_event_is_not_taken_for_one():
+def test_event_name_in_another_field_is_not_an_event():
     text = made.line(1, "caller_gone", "r", detail='"request_sent"')
     assert lines.read([text]).lines == []
--- a/tests/delays/test_sends.py
+++ b/tests/delays/test_sends.py
@@ -10,9 +10,9 @@
     return sends.join(lines.read(texts).lines)
 
 
-def test_each_send_of_a_request_has_its_own_step_and_end():
-    """The first endpoint rejects the request and the second answers it.  A
-    delay of the second is not to show at the first.
+def test_each_send_of_a_request_has_its_own_outcome_and_end():
+    """The first endpoint rejects the request and the second answers it; a
+    delay of the second must not be attributed to the first.
     """
     joined = join(
         made.sent(1, "r", "e1"),
@@ -34,7 +34,7 @@
     assert joined.refusals == []
 
 
-def test_two_sends_to_the_same_endpoint_are_told_apart():
+def test_sends_to_the_same_endpoint_are_distinguished():
     joined = join(
         made.sent(1, "r"),
         made.sent(2, "r"),
@@ -48,7 +48,7 @@
     assert [send.first_ms for send in joined.sends] == [None, 7]
 
 
-def test_the_same_id_at_two_instances_is_two_requests():
+def test_same_id_at_two_instances_is_two_requests():
     joined = join(
         made.sent(1, "r", process="a"),
         made.sent(1.5, "r", process="b"),
@@ -57,7 +57,7 @@
     assert [send.ended_s is None for send in joined.sends] == [True, False]
 
 
-def test_send_of_an_instance_that_was_killed_has_no_end():
+def test_send_of_a_killed_instance_has_no_end():
     (send,) = join(made.sent(1, "r")).sends
     assert (send.route, send.answered, send.ended_s) == ("", False, None)
 
@@ -68,7 +68,8 @@
         made.ended(2, "r2", "no-room", outcome="refused-overloaded"),
     )
     assert [
-        (one.request, one.route, one.reason) for one in joined.refusals
+        (refusal.request, refusal.route, refusal.reason)
+        for refusal in joined.refusals
     ] == [
         ("r1", "", "unauthenticated"),
         ("r2", "ask", "overloaded"),
--- a/tests/delays/test_sizes.py
+++ b/tests/delays/test_sizes.py
@@ -11,7 +11,7 @@
     return lines.decoder.decode(text)
 
 
-def test_largest_prompts_that_are_refused_show_in_a_row_of_their_own():
+def test_refusals_of_the_largest_prompts_have_their_own_class():
     small = [ended(size) for size in range(1000, 1090, 10)]
     large = ended(20_000, "refused-overloaded")
     first, second, third = sizes.size_classes([large, *small])
@@ -21,8 +21,11 @@
     assert (third.size, third.answered, third.refused) == ("others", 7, 0)
 
 
-def test_kinds_of_request_are_told_apart_and_those_without_prompts_left_out():
-    found = sizes.size_classes(
+def test_routes_are_separate_and_those_without_prompts_left_out():
+    classes = sizes.size_classes(
         [ended(10, route="a"), ended(20, route="b"), ended(None, route="c")]
     )
-    assert [(one.route, one.requests) for one in found] == [("a", 1), ("b", 1)]
+    assert [(one.route, one.requests) for one in classes] == [
+        ("a", 1),
+        ("b", 1),
+    ]
--- a/tests/delays/test_summary.py
+++ b/tests/delays/test_summary.py
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def joined():
-    """A slow store: prompts that fetch have their first event late."""
+    """Sends and refusals, one of which has a late fetch from a slow store."""
     texts = [
         made.sent(1, "r1"),
         made.ended(1.1, "r1", "e1:failed", route="book"),
@@ -34,14 +34,14 @@
     return sends.join(lines.read(texts).lines)
 
 
-def named(joined, by, window_s=2.0):
+def groups_by_name(joined, by, window_s=2.0):
     return {
         group.name: group for group in summary.groups(joined, by, window_s)
     }
 
 
-def test_routes_tell_what_prompts_waited_for(joined):
-    found = named(joined, summary.By.ROUTE)
+def test_group_of_a_route_has_delays_and_tokens(joined):
+    found = groups_by_name(joined, summary.By.ROUTE)
     assert list(found) == ["(unknown)", "ask", "book"]
     ask = found["ask"]
     assert (ask.sends, ask.unanswered, ask.refused) == (3, 0, 2)
@@ -53,7 +53,7 @@
 
 
 def test_routes_without_prompts_have_no_tokens(joined):
-    book = named(joined, summary.By.ROUTE)["book"]
+    book = groups_by_name(joined, summary.By.ROUTE)["book"]
     assert (book.sends, book.unanswered) == (1, 1)
     assert (book.first_p50_ms, book.held, book.fetched, book.read) == (
         None,
@@ -63,8 +63,8 @@
     )
 
 
-def test_seconds_stand_in_order_from_the_first_send(joined):
-    found = named(joined, summary.By.SECOND)
+def test_time_windows_are_in_order_from_the_first_send(joined):
+    found = groups_by_name(joined, summary.By.SECOND)
     assert [(name, one.sends, one.refused) for name, one in found.items()] == [
         ("0", 2, 0),
         ("2", 2, 1),
@@ -73,24 +73,27 @@
     ]
 
 
-def test_windows_have_the_length_that_was_asked(joined):
-    assert list(named(joined, summary.By.SECOND, 0.5))[:2] == ["0", "1"]
+def test_time_windows_have_the_given_length(joined):
+    assert list(groups_by_name(joined, summary.By.SECOND, 0.5))[:2] == [
+        "0",
+        "1",
+    ]
 
 
 def test_endpoints_have_no_refusals(joined):
-    found = named(joined, summary.By.ENDPOINT)
+    found = groups_by_name(joined, summary.By.ENDPOINT)
     assert [(name, one.sends, one.refused) for name, one in found.items()] == [
         ("e1", 3, 0),
         ("e2", 1, 0),
     ]
 
 
-def test_refusals_by_reason_name_one_to_look_at(joined):
+def test_refusals_by_reason_name_an_example(joined):
     first, second = summary.reasons(joined)
     assert first == summary.Reason("overloaded", "ask", 2, 4.0, 6.0, "r7")
     assert (second.reason, second.route) == ("unauthenticated", "(unknown)")
 
 
-def test_nothing_gives_no_groups():
+def test_no_sends_give_no_groups():
     assert summary.groups(sends.Joined([], []), summary.By.ROUTE, 2.0) == []
     assert summary.reasons(sends.Joined([], [])) == []
