--- a/tests/delays/test_summary.py
+++ b/tests/delays/test_summary.py
@@ -41,15 +41,15 @@
 
 
 def test_group_of_a_route_has_delays_and_tokens(joined):
-    found = groups_by_name(joined, summary.By.ROUTE)
-    assert list(found) == ["(unknown)", "ask", "book"]
-    ask = found["ask"]
+    groups = groups_by_name(joined, summary.By.ROUTE)
+    assert list(groups) == ["(unknown)", "ask", "book"]
+    ask = groups["ask"]
     assert (ask.sends, ask.unanswered, ask.refused) == (3, 0, 2)
     assert (ask.first_p50_ms, ask.first_p95_ms) == (600, 1500)
     assert (ask.fetch_due_p50_ms, ask.fetch_overdue) == (400, 1)
     assert (ask.fetched, ask.read) == (pytest.approx(14_000 / 3), 500)
     assert (ask.unseen_sends, ask.unseen_requests) == (1, 1)
-    assert found["(unknown)"].refused == 1
+    assert groups["(unknown)"].refused == 1
 
 
 def test_routes_without_prompts_have_no_tokens(joined):
@@ -64,8 +64,10 @@
 
 
 def test_time_windows_are_in_order_from_the_first_send(joined):
-    found = groups_by_name(joined, summary.By.SECOND)
-    assert [(name, one.sends, one.refused) for name, one in found.items()] == [
+    groups = groups_by_name(joined, summary.By.SECOND)
+    assert [
+        (name, group.sends, group.refused) for name, group in groups.items()
+    ] == [
         ("0", 2, 0),
         ("2", 2, 1),
         ("4", 0, 1),
@@ -81,8 +83,10 @@
 
 
 def test_endpoints_have_no_refusals(joined):
-    found = groups_by_name(joined, summary.By.ENDPOINT)
-    assert [(name, one.sends, one.refused) for name, one in found.items()] == [
+    groups = groups_by_name(joined, summary.By.ENDPOINT)
+    assert [
+        (name, group.sends, group.refused) for name, group in groups.items()
+    ] == [
         ("e1", 3, 0),
         ("e2", 1, 0),
     ]
