--- a/src/briarseam/platform/answers.py
+++ b/src/briarseam/platform/answers.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class LookupQuestion:
+class LookupQuery:
     """Who asks for addresses.
 
     Attributes
@@ -40,24 +40,26 @@
     zone: str
 
 
-def encode_verdict(given: verdict.Verdict) -> refusing.Refusal:
+def encode_verdict(request_verdict: verdict.Verdict) -> refusing.Refusal:
     """Return the answer for a request that got none from an endpoint."""
     headers = [("Content-Type", JSON)]
-    if given.retry_after_s is not None:
-        headers.append((names.RETRY_AFTER, f"{given.retry_after_s:.3f}"))
+    if request_verdict.retry_after_s is not None:
+        headers.append(
+            (names.RETRY_AFTER, f"{request_verdict.retry_after_s:.3f}")
+        )
     body = msgspec.json.encode(
         {
-            "ran": verdict.ran_word(given),
-            "reason": given.reason.value,
-            "detail": given.detail,
+            "ran": verdict.ran_word(request_verdict),
+            "reason": request_verdict.reason.value,
+            "detail": request_verdict.detail,
         }
     )
-    return refusing.Refusal(status_of(given), tuple(headers), body)
+    return refusing.Refusal(status_of(request_verdict), tuple(headers), body)
 
 
-def status_of(given: verdict.Verdict) -> int:
+def status_of(request_verdict: verdict.Verdict) -> int:
     """Return the status for a verdict; 503 and 429 promise "not run"."""
-    match given:
+    match request_verdict:
         case verdict.NotRun(reason=reason):
             return STATUS_OF_REASON.get(reason, NOT_RUN_STATUS)
         case verdict.MayHaveRun(reason=verdict.Reason.DEADLINE):
@@ -66,16 +68,16 @@
             return UNKNOWN_STATUS
 
 
-def decode_lookup(target: str) -> LookupQuestion | None:
+def decode_lookup(target: str) -> LookupQuery | None:
     """Return the question for addresses, ``None`` if it is another one."""
     # Cut by hand: the library raises for targets that look like a broken
     # address, as "//[" does.
-    path, _, text = target.partition("#")[0].partition("?")
+    path, _, query = target.partition("#")[0].partition("?")
     if path != names.RESOLVE_PATH:
         return None
-    query = urllib.parse.parse_qs(text)
-    return LookupQuestion(
-        region=query.get("region", [""])[0], zone=query.get("zone", [""])[0]
+    fields = urllib.parse.parse_qs(query)
+    return LookupQuery(
+        region=fields.get("region", [""])[0], zone=fields.get("zone", [""])[0]
     )
 
 
--- a/src/briarseam/platform/cache.py
+++ b/src/briarseam/platform/cache.py
@@ -18,11 +18,11 @@
 
 MS = 1000.0
 # Beyond the wait that was asked for; an answer takes some ms.
-SLACK_S = 0.6
+RESPONSE_SLACK_S = 0.6
 LIST_TIMEOUT_S = 2.0
 OK = 200
 OK_BELOW = 300
-DROPPED = "-"
+REMOVED_SIGN = "-"
 
 
 class WireEvent(msgspec.Struct, array_like=True):
@@ -90,7 +90,7 @@
         StoreUnavailableError
             When it does not answer properly.
         """
-        wire = self.read(
+        wire = self.get(
             f"http://{address}{names.CACHE_LIST_PATH}",
             {},
             LIST_TIMEOUT_S,
@@ -98,7 +98,7 @@
         )
         parts = tuple(
             store_index.PartEvent(row.salt, row.part, row.tokens)
-            for row in self.rows(address, wire.held, WirePart)
+            for row in self.decode_rows(address, wire.held, WirePart)
         )
         return store_index.Content(wire.epoch, wire.next, parts, wire.born)
 
@@ -112,33 +112,35 @@
         StoreUnavailableError
             When it does not answer properly.
         """
-        wire = self.read(
+        wire = self.get(
             f"http://{address}{names.CACHE_EVENTS_PATH}?since={since}",
             {names.WAIT_MS: str(int(wait_s * MS))},
-            wait_s + SLACK_S,
+            wait_s + RESPONSE_SLACK_S,
             WireEvents,
         )
         events = tuple(
             store_index.PartEvent(
-                row.salt, row.part, 0 if row.sign == DROPPED else row.tokens
+                row.salt,
+                row.part,
+                0 if row.sign == REMOVED_SIGN else row.tokens,
             )
-            for row in self.rows(address, wire.events, WireEvent)
+            for row in self.decode_rows(address, wire.events, WireEvent)
         )
         return store_index.Changes(
             wire.epoch, wire.next, wire.lost, events, wire.born
         )
 
-    def rows(
+    def decode_rows(
         self,
         address: str,
         rows: list[msgspec.Raw],
         kind: type[decoding.Decoded],
     ) -> list[decoding.Decoded]:
         """Return those rows of a store's answer that can be read."""
-        note = functools.partial(
+        record_malformed = functools.partial(
             self.tally.note, malformed.Kind.CACHE_ROW, address
         )
-        return decoding.decode_rows(rows, kind, note)
+        return decoding.decode_rows(rows, kind, record_malformed)
 
     def free(
         self,
@@ -160,7 +162,7 @@
                 f"http://{address}{names.CACHE_FREE_PATH}",
                 body=msgspec.json.encode(body),
                 headers={"Content-Type": "application/json"},
-                timeout=SLACK_S,
+                timeout=RESPONSE_SLACK_S,
             )
         except urllib3.exceptions.HTTPError as error:
             raise store_watch.StoreUnavailableError(str(error)) from error
@@ -169,7 +171,7 @@
                 f"freeing was answered {response.status}"
             )
 
-    def read(
+    def get(
         self,
         url: str,
         headers: dict[str, str],
--- a/src/briarseam/platform/configuration.py
+++ b/src/briarseam/platform/configuration.py
@@ -10,7 +10,7 @@
 from briarseam.weights import goals
 
 MS = 1000.0
-REPEATS = {
+REPEAT_BY_KIND = {
     "safe": model.Repeat.SAFE,
     "unsafe": model.Repeat.ONCE,
     "stream": model.Repeat.STREAM,
@@ -134,7 +134,7 @@
 
 def route_of(wire: WireRoute) -> model.Route:
     """Return a route in the project's terms."""
-    repeat = REPEATS.get(wire.kind)
+    repeat = REPEAT_BY_KIND.get(wire.kind)
     if repeat is None:
         raise decoding.MalformedError(
             f"route {wire.name}: unknown kind {wire.kind!r}"
--- a/src/briarseam/platform/decoding.py
+++ b/src/briarseam/platform/decoding.py
@@ -13,19 +13,19 @@
 
 # Numbers from elsewhere are summed here and told to other instances, whose
 # messages carry 64 bits; a larger one would end the heartbeats.
-MOST = 2**53
+MAX_NUMBER = 2**53
 # Largest number of tokens of one request or part; models take some millions.
-MOST_TOKENS = 10**9
+MAX_TOKENS = 10**9
 # A socket takes no timeout beyond 2**31 ms.
-MOST_MS = 1e9
+MAX_MS = 1e9
 # Longest name, id or availability zone of an entry; they are logged.
-MOST_CHARACTERS = 200
+MAX_CHARACTERS = 200
 
-Number = typing.Annotated[int, msgspec.Meta(ge=0, le=MOST)]
-Tokens = typing.Annotated[int, msgspec.Meta(ge=0, le=MOST_TOKENS)]
-Millis = typing.Annotated[float, msgspec.Meta(ge=0, le=MOST_MS)]
-Text = typing.Annotated[str, msgspec.Meta(max_length=MOST_CHARACTERS)]
-Factor = typing.Annotated[float, msgspec.Meta(ge=0, le=float(MOST))]
+Number = typing.Annotated[int, msgspec.Meta(ge=0, le=MAX_NUMBER)]
+Tokens = typing.Annotated[int, msgspec.Meta(ge=0, le=MAX_TOKENS)]
+Millis = typing.Annotated[float, msgspec.Meta(ge=0, le=MAX_MS)]
+Text = typing.Annotated[str, msgspec.Meta(max_length=MAX_CHARACTERS)]
+Factor = typing.Annotated[float, msgspec.Meta(ge=0, le=float(MAX_NUMBER))]
 Decoded = typing.TypeVar("Decoded")
 
 # What the decoders of this package raise, and nothing else.
@@ -79,13 +79,13 @@
     # them one by one takes several times as long.
     with contextlib.suppress(MalformedError):
         return decode_list(b"[" + b",".join(rows) + b"]", kind)
-    found: list[Decoded] = []
+    decoded: list[Decoded] = []
     for row in rows:
         try:
-            found.append(decode(bytes(row), kind))
+            decoded.append(decode(bytes(row), kind))
         except MalformedError as error:
             on_malformed(error)
-    return found
+    return decoded
 
 
 def check_address(text: str) -> str:
@@ -110,7 +110,7 @@
     """
     if not text.isascii() or not text.isprintable() or text != text.strip():
         raise MalformedError("the id can't stand in a header")
-    if not 0 < len(text) <= MOST_CHARACTERS:
+    if not 0 < len(text) <= MAX_CHARACTERS:
         raise MalformedError("the id is empty or too long")
     return text
 
@@ -121,10 +121,10 @@
     if not digits.isascii() or not digits.isdigit():
         return None
     # Python refuses to read numbers of some thousand digits.
-    if len(digits) > len(str(MOST)):
+    if len(digits) > len(str(MAX_NUMBER)):
         return None
     number = int(digits)
-    return number if number <= MOST else None
+    return number if number <= MAX_NUMBER else None
 
 
 def header_number(text: str | None) -> float | None:
@@ -135,4 +135,4 @@
         number = float(text)
     except ValueError:
         return None
-    return number if 0 <= number <= MOST_MS else None
+    return number if 0 <= number <= MAX_MS else None
--- a/src/briarseam/platform/engines.py
+++ b/src/briarseam/platform/engines.py
@@ -18,7 +18,7 @@
 CALL_TIMEOUT_S = 0.8
 OK = 200
 OP_VERSION = "version"
-MODES = {
+SWAP_MODES = {
     orders.Mode.FINISH: "queue",
     orders.Mode.EVICT: "evict",
     orders.Mode.RETAIN: "retain",
@@ -44,7 +44,7 @@
     born: decoding.Number = starts.UNKNOWN_MS
 
 
-def ignore(start: starts.Start) -> None:
+def ignore_start(start: starts.Start) -> None:
     """Tell nobody of a start."""
 
 
@@ -63,7 +63,7 @@
     def __init__(
         self,
         tally: malformed.Tally | None = None,
-        on_start: typing.Callable[[starts.Start], None] = ignore,
+        on_start: typing.Callable[[starts.Start], None] = ignore_start,
     ) -> None:
         self.tally = tally or malformed.Tally()
         self.on_start = on_start
@@ -119,7 +119,7 @@
             "op": OP_VERSION,
             "model": order.model,
             "version": order.version,
-            "swapMode": MODES[order.mode],
+            "swapMode": SWAP_MODES[order.mode],
             "holder": order.leader,
             "fence": order.fence,
             "expected": order.orders_taken,
--- a/src/briarseam/platform/framing.py
+++ b/src/briarseam/platform/framing.py
@@ -33,21 +33,21 @@
     """
     if len(body) < POSITIONS.size:
         raise decoding.MalformedError("the body has no positions")
-    found: list[bytes] = []
-    place = POSITIONS.size
-    while place + LENGTH.size <= len(body):
-        (length,) = LENGTH.unpack_from(body, place)
-        end = place + LENGTH.size + length
+    items: list[bytes] = []
+    position = POSITIONS.size
+    while position + LENGTH.size <= len(body):
+        (length,) = LENGTH.unpack_from(body, position)
+        end = position + LENGTH.size + length
         if end > len(body):
             break
-        found.append(body[place + LENGTH.size : end])
-        place = end
-    if place < len(body) and not found:
+        items.append(body[position + LENGTH.size : end])
+        position = end
+    if position < len(body) and not items:
         raise decoding.MalformedError("the first record is cut short")
-    return found
+    return items
 
 
-def keyed_record(data: bytes) -> records.KeyedRecord:
+def decode_keyed(data: bytes) -> records.KeyedRecord:
     """Return a keyed topic's record: a length, the key, the value.
 
     Raises
--- a/src/briarseam/platform/requests.py
+++ b/src/briarseam/platform/requests.py
@@ -48,8 +48,8 @@
         names.TIME_LEFT_MS,
     )
 )
-CACHE_HEADERS = "kv-"
-KEY_SCHEME = "bearer "
+CACHE_HEADER_PREFIX = "kv-"
+BEARER_PREFIX = "bearer "
 
 
 def decode_call(method: str, target: str, headers: Headers) -> calls.Call:
@@ -79,7 +79,7 @@
         headers=tuple(
             (name, value)
             for name, value in headers
-            if is_handed_on(name.lower())
+            if is_forwarded(name.lower())
         ),
         key=decode_key(by_name.get(names.AUTHORIZATION.lower(), "")),
         time_left_s=None if time_left_ms is None else time_left_ms / MS,
@@ -88,19 +88,19 @@
     )
 
 
-def is_handed_on(name: str) -> bool:
+def is_forwarded(name: str) -> bool:
     """Tell whether a caller's header, in lower case, is handed on."""
     return (
         name not in CONNECTION_HEADERS
         and name not in SYSTEM_HEADERS
-        and not name.startswith(CACHE_HEADERS)
+        and not name.startswith(CACHE_HEADER_PREFIX)
     )
 
 
 def decode_key(text: str) -> str:
     """Return the key of a caller's credentials, empty if there is none."""
-    if text.lower().startswith(KEY_SCHEME):
-        return text[len(KEY_SCHEME) :].strip()
+    if text.lower().startswith(BEARER_PREFIX):
+        return text[len(BEARER_PREFIX) :].strip()
     return ""
 
 
@@ -144,7 +144,7 @@
         told to peers in messages that carry 64 bits.
     """
     tokens = int(text)
-    if not 0 <= tokens <= decoding.MOST_TOKENS:
+    if not 0 <= tokens <= decoding.MAX_TOKENS:
         raise ValueError("no number of tokens")
     return tokens
 
@@ -155,8 +155,8 @@
     """Return the headers with which a call goes to an endpoint."""
     headers: dict[str, str] = {}
     for name, value in call.headers:
-        known = headers.get(name)
-        headers[name] = value if known is None else f"{known}, {value}"
+        previous = headers.get(name)
+        headers[name] = value if previous is None else f"{previous}, {value}"
     expected = starts.parse(instructions.endpoint)
     headers[names.EXPECT_ENDPOINT] = expected.name
     if instructions.time_left_s is not None:
@@ -170,11 +170,11 @@
         headers[names.PRIORITY] = str(instructions.priority)
     if instructions.last_event_id is not None:
         headers[names.LAST_EVENT_ID] = instructions.last_event_id
-    headers.update(encode_cache(instructions))
+    headers.update(encode_cache_headers(instructions))
     return headers
 
 
-def encode_cache(instructions: calls.Instructions) -> dict[str, str]:
+def encode_cache_headers(instructions: calls.Instructions) -> dict[str, str]:
     """Return the headers about KV cache and weights."""
     headers: dict[str, str] = {}
     if instructions.salt:
@@ -182,13 +182,13 @@
     if instructions.version is not None:
         headers[names.EXPECT_VERSION] = str(instructions.version)
     if any(instructions.fetch_from):
-        headers[names.CACHE_FETCH] = encode_places(instructions.fetch_from)
+        headers[names.CACHE_FETCH] = join_addresses(instructions.fetch_from)
     if any(instructions.save_to):
-        headers[names.CACHE_SAVE] = encode_places(instructions.save_to)
+        headers[names.CACHE_SAVE] = join_addresses(instructions.save_to)
     return headers
 
 
-def encode_places(addresses: typing.Sequence[str]) -> str:
+def join_addresses(addresses: typing.Sequence[str]) -> str:
     """Return one address for each part of a prompt."""
     return ",".join(address or NO_ADDRESS for address in addresses)
 
--- a/src/briarseam/platform/store.py
+++ b/src/briarseam/platform/store.py
@@ -27,14 +27,14 @@
 # What a long poll may take beyond its waiting time: a store that is slowed
 # sixtyfold answers within a quarter of a second.
 POLL_SLACK_S = 0.8
-CONNECTIONS = 8
+MAX_CONNECTIONS = 8
 OK = 200
 GONE = 410
 CONFLICT = 409
 PRECONDITION_FAILED = 412
 # "Nothing was done", in the words of the interface.
-REFUSED = frozenset({429, 503, 507})
-PAGE_LIMIT = 1000
+NOT_EXECUTED_STATUSES = frozenset({429, 503, 507})
+MAX_PAGES = 1000
 log = structlog.get_logger("briarseam.platform")
 
 
@@ -58,7 +58,7 @@
     ----------
     calls
         Calls since the start.
-    named_era
+    latest_era
         The latest that an answer named; ``None`` before the first.
     """
 
@@ -67,7 +67,7 @@
     ) -> None:
         self.tally = tally or malformed.Tally()
         self.calls = 0
-        self.named_era: int | None = None
+        self.latest_era: int | None = None
         self.lock = threading.Lock()
         self.move_to(address)
 
@@ -78,7 +78,7 @@
         self.pool = urllib3.HTTPConnectionPool(
             host,
             int(port),
-            maxsize=CONNECTIONS,
+            maxsize=MAX_CONNECTIONS,
             retries=False,
             socket_options=sockets.OPTIONS,
         )
@@ -97,37 +97,39 @@
         found: list[records.KeyedRecord] = []
         start: int | None = None
         after = ""
-        for _page in range(PAGE_LIMIT):
+        for _page in range(MAX_PAGES):
             query = {"topic": topic, "part": "0"}
             if after:
                 query["after"] = after
             response = self.call("GET", names.NEWEST_PATH, query)
-            page = self.decoded(response, store_answers.Newest)
+            page = self.decode_body(response, store_answers.Newest)
             end = records.in_era(self.era_of(response), page.end)
             start = end if start is None else start
             if records.era_of(end) != records.era_of(start):
                 raise records.StoreUnavailableError(
                     f"the store was restored between two pages of {topic}"
                 )
-            whole = self.page_records(topic, page)
-            found += whole
+            readable = self.decode_page(topic, page)
+            found += readable
             # The next page begins behind the last key that can be read; a
             # page without one would be read again and again.
-            last = whole[-1].key if whole else after
+            last = readable[-1].key if readable else after
             if not page.has_more or last == after:
                 break
             after = last
         return records.KeyedBatch(tuple(found), start or 0)
 
-    def page_records(
+    def decode_page(
         self, topic: str, page: store_answers.Newest
     ) -> list[records.KeyedRecord]:
         """Return the records of a page that can be read."""
-        note = functools.partial(
+        record_malformed = functools.partial(
             self.tally.note, malformed.Kind.STORE_RECORD, topic
         )
         found: list[records.KeyedRecord] = []
-        for item in decoding.decode_rows(page.items, store_answers.Item, note):
+        for item in decoding.decode_rows(
+            page.items, store_answers.Item, record_malformed
+        ):
             try:
                 with malformed.raised_as_malformed():
                     value = base64.b64decode(item.value, validate=True)
@@ -189,13 +191,13 @@
             raise records.StoreUnavailableError(
                 f"malformed answer: {error}"
             ) from error
-        found = tuple(self.record(topic, data) for data in split)
+        found = tuple(self.decode_record(topic, data) for data in split)
         return records.KeyedBatch(found, start + len(found))
 
-    def record(self, topic: str, data: bytes) -> records.KeyedRecord:
+    def decode_record(self, topic: str, data: bytes) -> records.KeyedRecord:
         """Return a record, or what stands for one that can't be read."""
         try:
-            return framing.keyed_record(data)
+            return framing.decode_keyed(data)
         except decoding.MalformedError as error:
             self.tally.note(malformed.Kind.STORE_RECORD, topic, error)
             return records.UNREADABLE
@@ -249,7 +251,7 @@
             raise records.SupersededError(
                 f"the store was restored since the end of {topic} was read"
             )
-        return self.decoded(response, store_answers.Appended).offset
+        return self.decode_body(response, store_answers.Appended).offset
 
     def join(
         self,
@@ -280,7 +282,7 @@
             }
         )
         response = self.call("POST", names.JOIN_PATH, {}, body=body)
-        share = self.decoded(response, store_answers.Share)
+        share = self.decode_body(response, store_answers.Share)
         return records.GroupShare(
             records.in_era(self.era_of(response), share.generation),
             frozenset((name, part) for name, part, _offset in share.parts),
@@ -328,27 +330,27 @@
             raise records.StoreUnavailableError(
                 f"{type(error).__name__}: {error}", may_have_run=True
             ) from error
-        era = named_era(response)
+        era = response_era(response)
         if era is not None:
-            self.note_era(era)
+            self.record_era(era)
         if response.status in accepted:
             return response
         raise records.StoreUnavailableError(
             f"{path} answered {response.status}",
-            may_have_run=response.status not in REFUSED,
+            may_have_run=response.status not in NOT_EXECUTED_STATUSES,
         )
 
     @property
     def era(self) -> int:
         """Return the latest era that an answer named; 0 before the first."""
-        return self.named_era or 0
+        return self.latest_era or 0
 
     def era_of(self, response: urllib3.BaseHTTPResponse) -> int:
         """Return the era of an answer; the known one if it names none."""
-        era = named_era(response)
+        era = response_era(response)
         return self.era if era is None else era
 
-    def note_era(self, era: int) -> None:
+    def record_era(self, era: int) -> None:
         """Take note of an answer's era.
 
         Raises
@@ -357,17 +359,17 @@
             When the answer is from before the store was restored.
         """
         with self.lock:
-            known, self.named_era = self.named_era, max(era, self.era)
-        if known is None or era == known:
+            previous, self.latest_era = self.latest_era, max(era, self.era)
+        if previous is None or era == previous:
             return
-        if era < known:
+        if era < previous:
             raise records.StoreUnavailableError(
-                f"an answer of era {era} came in era {known}",
+                f"an answer of era {era} came in era {previous}",
                 may_have_run=True,
             )
-        log.warning("store_restored", era=era, former_era=known)
+        log.warning("store_restored", era=era, former_era=previous)
 
-    def decoded(
+    def decode_body(
         self,
         response: urllib3.BaseHTTPResponse,
         kind: type[decoding.Decoded],
@@ -381,6 +383,6 @@
             ) from error
 
 
-def named_era(response: urllib3.BaseHTTPResponse) -> int | None:
+def response_era(response: urllib3.BaseHTTPResponse) -> int | None:
     """Return the era that an answer names; ``None`` if it names none."""
     return decoding.header_integer(response.headers.get(names.STORE_ERA))
--- a/tests/platform/damage.py
+++ b/tests/platform/damage.py
@@ -114,7 +114,7 @@
         case bool():
             return True
         case int() | float():
-            return math.isfinite(value) and abs(value) <= decoding.MOST
+            return math.isfinite(value) and abs(value) <= decoding.MAX_NUMBER
         case dict():
             return all(map(is_sane, value.values()))
         case list() | tuple():
--- a/tests/platform/test_decoders.py
+++ b/tests/platform/test_decoders.py
@@ -152,7 +152,7 @@
     feed = following.OperatorFeed(
         documents.OperatorDocuments(), lambda found: None
     )
-    newest = CONFIGURATION | {"version": decoding.MOST}
+    newest = CONFIGURATION | {"version": decoding.MAX_NUMBER}
     feed.apply_changes(
         [
             records.KeyedRecord("version/m", goal or None),
@@ -161,5 +161,5 @@
             records.KeyedRecord("config", json.dumps(newest).encode()),
         ]
     )
-    assert feed.current().configuration.version == decoding.MOST
+    assert feed.current().configuration.version == decoding.MAX_NUMBER
     assert feed.goals.newest["z"].version == 4
