--- a/src/briarseam/platform/__init__.py
+++ b/src/briarseam/platform/__init__.py
@@ -1,6 +1,6 @@
 """Adapter to the users' platform: names, formats and calls, no decisions.
 
-Every name of the platform's wire stands in this package alone.  What comes
-in is decoded once into the project's own types, and what goes out is
-encoded from them.
+The names of the platform's wire formats are defined in this package only.
+Input is decoded once into the project's own types, and output is encoded
+from them.
 """
--- a/src/briarseam/platform/answers.py
+++ b/src/briarseam/platform/answers.py
@@ -1,4 +1,4 @@
-"""Encoding the system's own answers: addresses, readiness, refusals."""
+"""Encodes the system's own answers: addresses, readiness, refusals."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 from briarseam.platform import names
 
 JSON = "application/json"
-# Only these say for good that a request is wrong as it stands.
+# Only these reasons concern the request itself; refusals for any other reason
+# are answered with NOT_RUN_STATUS.
 STATUS_OF_REASON = {
     verdict.Reason.MALFORMED: 400,
     verdict.Reason.UNAUTHENTICATED: 401,
@@ -28,12 +29,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class LookupQuery:
-    """Who asks for addresses.
+    """Query for the addresses of instances.
 
     Attributes
     ----------
     region, zone
-        Where the caller is.
+        Location of the caller; empty if it is not given.
     """
 
     region: str
@@ -41,7 +42,7 @@
 
 
 def encode_verdict(request_verdict: verdict.Verdict) -> refusing.Refusal:
-    """Return the answer for a request that got none from an endpoint."""
+    """Return the answer to a request that no endpoint answered."""
     headers = [("Content-Type", JSON)]
     if request_verdict.retry_after_s is not None:
         headers.append(
@@ -58,7 +59,7 @@
 
 
 def status_of(request_verdict: verdict.Verdict) -> int:
-    """Return the status for a verdict; 503 and 429 promise "not run"."""
+    """Return the status of a verdict; 503 and 429 mean "not run"."""
     match request_verdict:
         case verdict.NotRun(reason=reason):
             return STATUS_OF_REASON.get(reason, NOT_RUN_STATUS)
@@ -69,9 +70,9 @@
 
 
 def decode_lookup(target: str) -> LookupQuery | None:
-    """Return the question for addresses, ``None`` if it is another one."""
-    # Cut by hand: the library raises for targets that look like a broken
-    # address, as "//[" does.
+    """Return the lookup query; ``None`` if the target is another call."""
+    # Split without urllib, which raises for targets that look like an invalid
+    # address, such as "//[".
     path, _, query = target.partition("#")[0].partition("?")
     if path != names.RESOLVE_PATH:
         return None
@@ -82,10 +83,10 @@
 
 
 def encode_addresses(addresses: typing.Sequence[str], ttl_s: float) -> bytes:
-    """Return the answer to a question for addresses."""
+    """Return the answer to a lookup query."""
     return msgspec.json.encode({"addresses": list(addresses), "ttlS": ttl_s})
 
 
 def is_readiness(target: str) -> bool:
-    """Tell whether a request asks if this instance is ready."""
+    """Return whether the target is the readiness check."""
     return target.partition("?")[0] == names.READY_PATH
--- a/src/briarseam/platform/cache.py
+++ b/src/briarseam/platform/cache.py
@@ -1,4 +1,4 @@
-"""Calls to stores of kept KV cache."""
+"""Client for stores of kept KV cache."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 from briarseam.platform import names
 
 MS = 1000.0
-# Beyond the wait that was asked for; an answer takes some ms.
+# Response time that is allowed beyond the requested wait; a store answers
+# within a few ms.
 RESPONSE_SLACK_S = 0.6
 LIST_TIMEOUT_S = 2.0
 OK = 200
@@ -26,7 +27,7 @@
 
 
 class WireEvent(msgspec.Struct, array_like=True):
-    """One change; the tokens are those stored now."""
+    """One change; ``tokens`` is the number stored after it."""
 
     number: int
     sign: typing.Literal["+", "-"]
@@ -37,18 +38,18 @@
 
 
 class WireEvents(msgspec.Struct):
-    """Changes; each row is decoded by itself."""
+    """Changes; rows are decoded separately."""
 
     epoch: decoding.Number
     next: decoding.Number
     lost: bool = False
     events: list[msgspec.Raw] = []
-    # Unix time of the store's start, in ms; left out by older ones.
+    # Unix time of the store's start, in ms; older stores omit it.
     born: decoding.Number = starts.UNKNOWN_MS
 
 
 class WirePart(msgspec.Struct, array_like=True):
-    """One whole part."""
+    """A part that is stored completely."""
 
     salt: str
     part: str
@@ -57,23 +58,24 @@
 
 
 class WireList(msgspec.Struct):
-    """Whole parts; each row is decoded by itself."""
+    """Completely stored parts; rows are decoded separately."""
 
     epoch: decoding.Number
     next: decoding.Number
     held: list[msgspec.Raw] = []
-    # Unix time of the store's start, in ms; left out by older ones.
+    # Unix time of the store's start, in ms; older stores omit it.
     born: decoding.Number = starts.UNKNOWN_MS
 
 
 class CacheStoreClient:
-    """Calls stores of KV cache; thread-safe.
+    """Client for stores of KV cache; thread-safe.
 
     Parameters
     ----------
     tally
-        Notes rows that can't be read.  A store's other rows hold: to
-        forget all that it keeps would have every prompt read again.
+        Records malformed rows.  The other rows of a store stay valid:
+        discarding its whole content would make engines process every
+        prompt again.
     """
 
     def __init__(self, tally: malformed.Tally | None = None) -> None:
@@ -83,12 +85,12 @@
         )
 
     def content(self, address: str) -> store_index.Content:
-        """Return all that a store keeps whole.
+        """Return all parts that a store holds completely.
 
         Raises
         ------
         StoreUnavailableError
-            When it does not answer properly.
+            If the store gives no valid answer.
         """
         wire = self.get(
             f"http://{address}{names.CACHE_LIST_PATH}",
@@ -105,12 +107,12 @@
     def changes(
         self, address: str, since: int, wait_s: float
     ) -> store_index.Changes:
-        """Return changes from a number on, waiting for the first.
+        """Return the changes from a number on; wait for the first.
 
         Raises
         ------
         StoreUnavailableError
-            When it does not answer properly.
+            If the store gives no valid answer.
         """
         wire = self.get(
             f"http://{address}{names.CACHE_EVENTS_PATH}?since={since}",
@@ -136,7 +138,7 @@
         rows: list[msgspec.Raw],
         kind: type[decoding.Decoded],
     ) -> list[decoding.Decoded]:
-        """Return those rows of a store's answer that can be read."""
+        """Return the well-formed rows of a store's answer."""
         record_malformed = functools.partial(
             self.tally.note, malformed.Kind.CACHE_ROW, address
         )
@@ -148,12 +150,12 @@
         epoch: int,
         parts: typing.Sequence[tuple[str, str]],
     ) -> None:
-        """Free parts at once, if the store has not started anew.
+        """Free parts at once, unless the store has restarted.
 
         Raises
         ------
         StoreUnavailableError
-            When it does not confirm that.
+            If the store does not confirm it.
         """
         body = {"parts": [list(part) for part in parts], "epoch": epoch}
         try:
@@ -168,7 +170,7 @@
             raise store_watch.StoreUnavailableError(str(error)) from error
         if not OK <= response.status < OK_BELOW:
             raise store_watch.StoreUnavailableError(
-                f"freeing was answered {response.status}"
+                f"request to free parts returned status {response.status}"
             )
 
     def get(
@@ -178,14 +180,14 @@
         timeout_s: float,
         kind: type[decoding.Decoded],
     ) -> decoding.Decoded:
-        """Return the decoded answer to a question."""
+        """Return the decoded answer to a GET request."""
         try:
             response = self.pool.request(
                 "GET", url, headers=headers, timeout=timeout_s
             )
             if response.status != OK:
                 raise store_watch.StoreUnavailableError(
-                    f"answered {response.status}"
+                    f"store returned status {response.status}"
                 )
             return decoding.decode(response.data, kind)
         except urllib3.exceptions.HTTPError as error:
--- a/src/briarseam/platform/call_codec.py
+++ b/src/briarseam/platform/call_codec.py
@@ -1,4 +1,4 @@
-"""The border to callers and endpoints as forwarding sees it."""
+"""The codec of calls that forwarding uses."""
 
 from __future__ import annotations
 
--- a/src/briarseam/platform/configuration.py
+++ b/src/briarseam/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decoding the operators' documents: configuration and weight versions."""
+"""Decodes the operators' documents: configuration and weight goals."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
     "safe": model.Repeat.SAFE,
     "unsafe": model.Repeat.ONCE,
     "stream": model.Repeat.STREAM,
-    # Requests that carry a caller's own key; without a claim log behind
-    # them they are treated as those that run at most once.
+    # Requests with an idempotency key of the caller.  There is no claim log
+    # here, so they are sent at most once.
     "keyed": model.Repeat.ONCE,
 }
 
 
 class WireShare(msgspec.Struct):
-    """One part of a route's split."""
+    """Share of a service in the traffic of a route."""
 
     service: str
     weight: decoding.Factor = 1.0
 
 
 class WireRoute(msgspec.Struct, rename="camel"):
-    """A route as the operators write it."""
+    """A route in the operators' format."""
 
     name: str
     host: str
@@ -41,19 +41,19 @@
     traffic_split: list[WireShare] = []
     max_attempts: decoding.Number = 1
     anonymous: bool = False
-    # Says that requests carry prompt parts; nothing has to stick.
+    # Requests carry prompt parts; they need not go to the same endpoint.
     sticky: bool = False
     resumable: bool = False
 
 
 class WireModel(msgspec.Struct):
-    """A model of an engine service."""
+    """A model that a service of engines offers."""
 
     name: str
 
 
 class WireEngine(msgspec.Struct, rename="camel"):
-    """What a service of model engines tells of its engines."""
+    """Properties of the engines of a service."""
 
     slots: decoding.Number = 1
     kv_capacity_tokens: decoding.Number = 0
@@ -63,7 +63,7 @@
 
 
 class WireService(msgspec.Struct, rename="camel"):
-    """A service; a store of KV cache where it has ``kvStoreAddr``."""
+    """A service; a store of KV cache if ``kvStoreAddr`` is set."""
 
     name: str
     health_path: str = ""
@@ -78,7 +78,7 @@
 
 
 class WireTenant(msgspec.Struct, rename="camel"):
-    """An organisation and its keys."""
+    """An organisation and its API keys."""
 
     name: str
     api_keys: list[str] = []
@@ -87,7 +87,7 @@
 
 
 class WireLimits(msgspec.Struct, rename="camel"):
-    """Bounds on what a caller may send."""
+    """Limits on requests of callers."""
 
     max_header_bytes: decoding.Number = 16384
     max_body_bytes: decoding.Number = 4194304
@@ -96,7 +96,7 @@
 
 
 class WireConfiguration(msgspec.Struct):
-    """The whole configuration."""
+    """The configuration document."""
 
     version: decoding.Number
     routes: list[WireRoute] = []
@@ -106,14 +106,14 @@
 
 
 class WireVersion(msgspec.Struct):
-    """New weights of a model."""
+    """The weight version that a model must have."""
 
     model: str
     version: decoding.Number
 
 
 def decode_configuration(data: bytes) -> model.Configuration:
-    """Return the configuration that the operators wrote.
+    """Return the configuration in a document of the operators.
 
     Raises
     ------
@@ -133,7 +133,7 @@
 
 
 def route_of(wire: WireRoute) -> model.Route:
-    """Return a route in the project's terms."""
+    """Convert a route to the project's type."""
     repeat = REPEAT_BY_KIND.get(wire.kind)
     if repeat is None:
         raise decoding.MalformedError(
@@ -160,7 +160,7 @@
 
 
 def service_of(wire: WireService) -> model.Service:
-    """Return a service in the project's terms."""
+    """Convert a service to the project's type."""
     engine = None
     if wire.engine is not None:
         engine = model.EngineTraits(
@@ -192,7 +192,7 @@
 def organisations_of(
     tenants: list[WireTenant] | None,
 ) -> dict[str, model.Organisation] | None:
-    """Return the organisations by key; ``None`` when none are configured."""
+    """Return the organisations by API key; ``None`` if none are configured."""
     if tenants is None:
         return None
     by_key: dict[str, model.Organisation] = {}
@@ -205,7 +205,7 @@
 
 
 def limits_of(wire: WireLimits) -> model.CallerLimits:
-    """Return the bounds on callers in the project's terms."""
+    """Convert the limits on callers to the project's type."""
     return model.CallerLimits(
         header_bytes=wire.max_header_bytes,
         body_bytes=wire.max_body_bytes,
@@ -215,12 +215,12 @@
 
 
 def is_weight_goal(key: str) -> bool:
-    """Tell whether a key of the operators' topic names weights."""
+    """Return whether a key of the operators' topic is a weight goal."""
     return key.startswith(names.VERSION_KEY_PREFIX)
 
 
 def decode_weight_goal(data: bytes) -> goals.WeightGoal:
-    """Return which weights the operators want of a model.
+    """Return the weight goal in a document of the operators.
 
     Raises
     ------
--- a/src/briarseam/platform/decoding.py
+++ b/src/briarseam/platform/decoding.py
@@ -1,4 +1,4 @@
-"""Errors and helpers of decoding what the platform sends."""
+"""Errors, bounds and helpers for decoding data of the platform."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from briarseam import malformed
 from briarseam.settings import address as addresses
 
-# Numbers from elsewhere are summed here and told to other instances, whose
-# messages carry 64 bits; a larger one would end the heartbeats.
+# Received numbers are summed and published to other instances in messages
+# that carry 64 bits; a larger number would stop the heartbeats.
 MAX_NUMBER = 2**53
-# Largest number of tokens of one request or part; models take some millions.
+# Per request or part; models accept a few million tokens.
 MAX_TOKENS = 10**9
-# A socket takes no timeout beyond 2**31 ms.
+# Sockets accept no timeout above 2**31 ms.
 MAX_MS = 1e9
-# Longest name, id or availability zone of an entry; they are logged.
+# Bound for the names, ids and zones in entries, which are logged.
 MAX_CHARACTERS = 200
 
 Number = typing.Annotated[int, msgspec.Meta(ge=0, le=MAX_NUMBER)]
@@ -28,29 +28,29 @@
 Factor = typing.Annotated[float, msgspec.Meta(ge=0, le=float(MAX_NUMBER))]
 Decoded = typing.TypeVar("Decoded")
 
-# What the decoders of this package raise, and nothing else.
+# The only error that the decoders of this package raise.
 MalformedError = malformed.MalformedError
 
 
 def decode(data: bytes, kind: type[Decoded]) -> Decoded:
-    """Return a JSON document as a wire structure.
+    """Decode a JSON document into a wire structure.
 
     Raises
     ------
     MalformedError
-        With the field that is wrong.
+        Names the invalid field.
     """
     with malformed.raised_as_malformed():
         return msgspec.json.decode(data, type=kind)
 
 
 def decode_list(data: bytes, kind: type[Decoded]) -> list[Decoded]:
-    """Return a JSON list of wire structures of one kind.
+    """Decode a JSON list of wire structures of one kind.
 
     Raises
     ------
     MalformedError
-        With the first place that is wrong.
+        Names the first invalid element.
     """
     rows = types.GenericAlias(list, (kind,))
     with malformed.raised_as_malformed():
@@ -64,19 +64,19 @@
     kind: type[Decoded],
     on_malformed: typing.Callable[[MalformedError], None],
 ) -> list[Decoded]:
-    """Return the rows of a document that have their documented form.
+    """Return the well-formed rows of a document.
 
     Parameters
     ----------
     rows
-        The rows, not yet decoded.
+        Encoded rows.
     kind
-        Of each row.
+        Type of each row.
     on_malformed
-        Called with the error of each row that is left out.
+        Called with the error of each row that is skipped.
     """
-    # Lists have tens of thousands of rows, mostly all well-formed; decoding
-    # them one by one takes several times as long.
+    # Lists have tens of thousands of rows, and most lists have no malformed
+    # row; decoding row by row takes several times as long.
     with contextlib.suppress(MalformedError):
         return decode_list(b"[" + b",".join(rows) + b"]", kind)
     decoded: list[Decoded] = []
@@ -89,38 +89,38 @@
 
 
 def check_address(text: str) -> str:
-    """Return an address without spaces around it, if it is ``ip:port``.
+    """Return an ``ip:port`` address without surrounding whitespace.
 
     Raises
     ------
     MalformedError
-        If it is none.
+        If the text is not such an address.
     """
     with malformed.raised_as_malformed():
         return str(addresses.parse(text))
 
 
 def check_id(text: str) -> str:
-    """Return an endpoint's id as it is, if it can stand in a header.
+    """Return an endpoint's id if it is valid in a header.
 
     Raises
     ------
     MalformedError
-        If it can't; a line break in it would begin another header.
+        If it is not; a line break in an id would start another header.
     """
     if not text.isascii() or not text.isprintable() or text != text.strip():
-        raise MalformedError("the id can't stand in a header")
+        raise MalformedError("id is not valid in a header")
     if not 0 < len(text) <= MAX_CHARACTERS:
-        raise MalformedError("the id is empty or too long")
+        raise MalformedError("id is empty or too long")
     return text
 
 
 def header_integer(text: str | None) -> int | None:
-    """Return a header's whole number, ``None`` when absent or none."""
+    """Return the integer in a header; ``None`` if absent or invalid."""
     digits = "" if text is None else text.strip()
     if not digits.isascii() or not digits.isdigit():
         return None
-    # Python refuses to read numbers of some thousand digits.
+    # Python refuses to convert numbers with thousands of digits.
     if len(digits) > len(str(MAX_NUMBER)):
         return None
     number = int(digits)
@@ -128,7 +128,7 @@
 
 
 def header_number(text: str | None) -> float | None:
-    """Return a header's number, ``None`` when absent or no number."""
+    """Return the number in a header; ``None`` if absent or invalid."""
     if text is None:
         return None
     try:
--- a/src/briarseam/platform/documents.py
+++ b/src/briarseam/platform/documents.py
@@ -1,4 +1,4 @@
-"""The operators' topic as the project's configuration reader sees it."""
+"""The decoder of operators' documents that the configuration reader uses."""
 
 from __future__ import annotations
 
@@ -14,5 +14,5 @@
     is_weight_goal = staticmethod(configuration.is_weight_goal)
 
     def is_configuration(self, key: str) -> bool:
-        """Tell whether a key names the configuration."""
+        """Return whether a key is that of the configuration."""
         return key == names.CONFIGURATION_KEY
--- a/src/briarseam/platform/endpoints.py
+++ b/src/briarseam/platform/endpoints.py
@@ -1,4 +1,4 @@
-"""Decoding the entries that endpoints keep of themselves."""
+"""Decodes the entries that endpoints publish about themselves."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from briarseam.discovery import starts
 from briarseam.platform import decoding
 
-# An entry in another state is not of an endpoint as we know them.
+# An entry in any other state is malformed.
 State = typing.Literal["ready", "draining"]
 LEAVING: State = "draining"
 
@@ -25,8 +25,8 @@
 class WireEndpoint(msgspec.Struct):
     """An endpoint's entry; the key of the record is its name.
 
-    An entry without one of the first fields comes from another writer, and
-    what it says must not be guessed.
+    The fields without defaults are required: an entry that lacks one was
+    not written by an endpoint, and guessed values could misroute requests.
     """
 
     service: decoding.Text
@@ -34,19 +34,19 @@
     zone: decoding.Text
     slots: decoding.Number
     state: State
-    # Grows with each write.
+    # Increases with each write.
     seq: int = 0
-    # Time for which it goes on being slow after its start.
+    # Remaining time of the slow phase after the start.
     cold_remaining_ms: float | None = msgspec.field(
         default=None, name="coldRemainingMs"
     )
     models: list[WireModelVersion] = []
-    # Unix time of the endpoint's start, in ms; left out by older ones.
+    # Unix time of the endpoint's start, in ms; older endpoints omit it.
     born: decoding.Number = starts.UNKNOWN_MS
 
 
 def decode_endpoint(key: str, data: bytes) -> model.Endpoint:
-    """Return an endpoint from its entry.
+    """Decode an endpoint's entry.
 
     Raises
     ------
--- a/src/briarseam/platform/engines.py
+++ b/src/briarseam/platform/engines.py
@@ -1,4 +1,4 @@
-"""Calls to engines and stores of KV cache that are no callers' requests."""
+"""Client for the reports of engines and the orders to them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from briarseam.platform import names
 from briarseam.weights import orders
 
-# Reports need no slot and are answered in some ms.
+# Reports need no slot and are answered within a few ms.
 CALL_TIMEOUT_S = 0.8
 OK = 200
 OP_VERSION = "version"
@@ -33,31 +33,30 @@
 
 
 class WireReport(msgspec.Struct):
-    """What an engine reports of itself."""
+    """An engine's report of its state."""
 
     models: list[WireModel] = []
-    # Whether an order is being carried out; no measure of load.
+    # Whether an order is in progress; unrelated to load.
     busy: bool = False
-    # Orders accepted since the engine's start.
+    # Number of orders accepted since the engine's start.
     seq: decoding.Number = 0
-    # Unix time of the engine's start, in ms; left out by older ones.
+    # Unix time of the engine's start, in ms; older engines omit it.
     born: decoding.Number = starts.UNKNOWN_MS
 
 
 def ignore_start(start: starts.Start) -> None:
-    """Tell nobody of a start."""
+    """Ignore a start; the default of ``on_start``."""
 
 
 class EngineClient:
-    """Calls engines; thread-safe.
+    """Client for engines; thread-safe.
 
     Parameters
     ----------
     tally
-        Notes reports that can't be read.
+        Records malformed reports.
     on_start
-        Called with the start that answered where it is not the expected
-        one.
+        Called with the start that answered if it is not the expected one.
     """
 
     def __init__(
@@ -72,17 +71,17 @@
         )
 
     def report(self, address: str, endpoint: str) -> orders.Report:
-        """Return what an engine reports.
+        """Return an engine's report.
 
         Raises
         ------
         EngineUnavailableError
-            When it does not answer properly, or is another one now.
+            If there is no valid answer, or another start answers.
         """
         response = self.call("GET", address, names.REPORT_PATH, endpoint)
         if response.status != OK:
             raise orders.EngineUnavailableError(
-                f"the report answered {response.status}"
+                f"report returned status {response.status}"
             )
         try:
             wire = decoding.decode(response.data, WireReport)
@@ -97,24 +96,24 @@
         )
 
     def check_start(self, endpoint: str, born_ms: int) -> None:
-        """Raise for a report of another start than the expected one.
+        """Raise if a report is not from the expected start of an engine.
 
-        Guard: an engine that started again under its name takes calls that
-        were meant for the start before.  Its weights and its number of
-        orders must not be noted as the other's.
+        Guard: an engine that restarts under its name answers calls that are
+        addressed to its former start.  Its weights and its number of orders
+        must not be recorded for the former start.
         """
         expected = starts.parse(endpoint)
         if born_ms in (starts.UNKNOWN_MS, expected.born_ms):
             return
         self.on_start(starts.Start(expected.name, born_ms))
         raise orders.EngineUnavailableError(
-            f"the start of {born_ms} answered for {endpoint}"
+            f"start at {born_ms} ms answered for {endpoint}"
         )
 
     def order(
         self, address: str, endpoint: str, order: orders.VersionOrder
     ) -> orders.Outcome:
-        """Order new weights; tell what is known to have become of it."""
+        """Send an order for new weights and return its outcome."""
         body = {
             "op": OP_VERSION,
             "model": order.model,
@@ -142,7 +141,7 @@
             case 412:
                 return orders.Superseded()
             case status:
-                return orders.Refused(f"the order was answered {status}")
+                return orders.Refused(f"order returned status {status}")
 
     def call(
         self,
@@ -152,7 +151,7 @@
         endpoint: str,
         body: bytes | None = None,
     ) -> urllib3.BaseHTTPResponse:
-        """Make one call to the engine that is expected at an address."""
+        """Call the engine that is expected at an address."""
         headers = {names.EXPECT_ENDPOINT: starts.parse(endpoint).name}
         if body is not None:
             headers["Content-Type"] = "application/json"
--- a/src/briarseam/platform/framing.py
+++ b/src/briarseam/platform/framing.py
@@ -1,4 +1,4 @@
-"""How records stand one behind the other in the metadata store's bodies."""
+"""Framing of records in request and response bodies of the metadata store."""
 
 from __future__ import annotations
 
@@ -13,26 +13,27 @@
     import collections.abc
 
 LENGTH = struct.Struct(">I")
-# Where the topic ends and where it begins; a read has both before its records.
+# End and first offset of the topic; precede the records in a read's body.
 POSITIONS = struct.Struct(">QQ")
 
 
 def join_records(items: collections.abc.Iterable[bytes]) -> bytes:
-    """Return the body of an append, each record behind its length."""
+    """Return the body of an append: each record, preceded by its length."""
     return b"".join(LENGTH.pack(len(item)) + item for item in items)
 
 
 def split_records(body: bytes) -> list[bytes]:
-    """Return the whole records of a read's body, behind its positions.
+    """Return the complete records of a read's body.
 
     Raises
     ------
     MalformedError
-        If the body breaks off before the end of its first record.  Taken
-        for one without records, it would be asked for again at once.
+        If the body ends within the positions or the first record.  Taken
+        as a body without records, it would make the reader repeat the read
+        without a pause.
     """
     if len(body) < POSITIONS.size:
-        raise decoding.MalformedError("the body has no positions")
+        raise decoding.MalformedError("body has no positions")
     items: list[bytes] = []
     position = POSITIONS.size
     while position + LENGTH.size <= len(body):
@@ -43,20 +44,20 @@
         items.append(body[position + LENGTH.size : end])
         position = end
     if position < len(body) and not items:
-        raise decoding.MalformedError("the first record is cut short")
+        raise decoding.MalformedError("first record is truncated")
     return items
 
 
 def decode_keyed(data: bytes) -> records.KeyedRecord:
-    """Return a keyed topic's record: a length, the key, the value.
+    """Decode a record of a keyed topic: length of the key, key, value.
 
     Raises
     ------
     MalformedError
-        If the key can't be read.
+        If the key is truncated or not UTF-8.
     """
     if not data or len(data) < 1 + data[0]:
-        raise decoding.MalformedError("the key is cut short")
+        raise decoding.MalformedError("key is truncated")
     end = 1 + data[0]
     with malformed.raised_as_malformed():
         key = data[1:end].decode()
@@ -64,6 +65,6 @@
 
 
 def encode_keyed(key: str, value: bytes | None) -> bytes:
-    """Return the bytes of a keyed topic's record."""
+    """Encode a record of a keyed topic."""
     name = key.encode()
     return bytes([len(name)]) + name + (value or b"")
--- a/src/briarseam/platform/names.py
+++ b/src/briarseam/platform/names.py
@@ -1,25 +1,25 @@
-"""Names of headers, paths and topics on the platform's wire."""
+"""Names of headers, paths and topics of the platform's wire formats."""
 
 from __future__ import annotations
 
 import typing
 
-# Headers of requests, set by callers.
+# Request headers that callers set.
 REQUEST_ID: typing.Final = "Request-Id"
-# Time that the caller still waits, not a point in time.
+# Remaining time that the caller waits, not a point in time.
 TIME_LEFT_MS: typing.Final = "Deadline-Ms"
 AUTHORIZATION: typing.Final = "Authorization"
 MODEL: typing.Final = "Model"
-# Prompt tokens and the largest number of output tokens.
+# Number of prompt tokens and maximum number of output tokens.
 TOKEN_COUNTS: typing.Final = "Token-Usage"
-# The prompt's parts in order; no hash over the prompt.
+# Parts of the prompt in order; not a hash of the prompt.
 PROMPT_PARTS: typing.Final = "Prefix-Hash"
 LAST_EVENT_ID: typing.Final = "Last-Event-Id"
 
-# In all answers of the store; rises when it returns from an older copy.
+# In all answers of the store; increases when it is restored from a backup.
 STORE_ERA: typing.Final = "Store-Era"
 
-# Headers of requests, set by the system alone.
+# Request headers that only the system sets.
 EXPECT_ENDPOINT: typing.Final = "Expect-Instance"
 EXPECT_VERSION: typing.Final = "Expect-Version"
 ORGANISATION: typing.Final = "Tenant"
@@ -33,17 +33,17 @@
 PIN: typing.Final = "Pin-Ms"
 RESERVATION: typing.Final = "Hold"
 
-# Headers of answers.
+# Response headers.
 NOT_EXECUTED: typing.Final = "Not-Executed"
 SIGNATURE: typing.Final = "Response-Signature"
 RETRY_AFTER: typing.Final = "Retry-After"
 WEIGHT_VERSION: typing.Final = "Weight-Versions"
 
-# Calls that callers and the platform make.
+# Calls of callers and of the platform.
 READY_PATH: typing.Final = "/briarseam/readyz"
 RESOLVE_PATH: typing.Final = "/briarseam/resolve"
 
-# Calls at endpoints and stores of KV cache.
+# Calls to endpoints and stores of KV cache.
 REPORT_PATH: typing.Final = "/briarseam/report"
 ORDER_PATH: typing.Final = "/briarseam/order"
 CACHE_EVENTS_PATH: typing.Final = "/briarseam/kv-events"
@@ -51,15 +51,15 @@
 CACHE_FREE_PATH: typing.Final = "/briarseam/kv-free"
 WAIT_MS: typing.Final = "Wait-Ms"
 
-# Calls at the metadata store.
+# Calls to the metadata store.
 APPEND_PATH: typing.Final = "/briarseam/log-append"
 READ_PATH: typing.Final = "/briarseam/log-read"
 NEWEST_PATH: typing.Final = "/briarseam/log-newest"
 JOIN_PATH: typing.Final = "/briarseam/log-join"
 LEAVE_PATH: typing.Final = "/briarseam/log-leave"
 
-# Topics.  Those of the system's own begin with "keyed." where the newest
-# record of each key is to be kept.
+# Topics.  The store keeps the newest record of each key in topics whose name
+# begins with "keyed.".
 OPERATOR_TOPIC: typing.Final = "keyed.op"
 ENDPOINTS_TOPIC: typing.Final = "keyed.servers"
 MEMBERS_TOPIC: typing.Final = "keyed.briarseam-members"
--- a/src/briarseam/platform/requests.py
+++ b/src/briarseam/platform/requests.py
@@ -1,4 +1,4 @@
-"""Decoding callers' requests and encoding them for endpoints."""
+"""Decodes callers' requests and encodes them for endpoints."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 
 Headers = typing.Sequence[tuple[str, str]]
 
-# Headers that concern one connection only, and those that are made anew.
+# Headers that apply to one connection only, and those that are generated
+# again for each connection.
 CONNECTION_HEADERS = frozenset(
     {
         "connection",
@@ -31,8 +32,8 @@
         "upgrade",
     }
 )
-# Headers that the system sets.  From a caller they would let it pass for
-# another organisation, reach another one's KV cache, or take up memory.
+# Headers that the system sets.  A caller that could set them could act as
+# another organisation, access its KV cache, or reserve memory.
 SYSTEM_HEADERS = frozenset(
     name.lower()
     for name in (
@@ -53,19 +54,19 @@
 
 
 def decode_call(method: str, target: str, headers: Headers) -> calls.Call:
-    """Return a caller's request.
+    """Decode a caller's request.
 
     Parameters
     ----------
     method, target
         From the request line.
     headers
-        In the order in which they came.
+        In the order in which they were received.
 
     Raises
     ------
     MalformedCallError
-        If what a request to a model must say is malformed.
+        If the prompt headers of a request to a model are malformed.
     """
     by_name = {name.lower(): value for name, value in headers}
     time_left_ms = decoding.header_number(
@@ -89,7 +90,7 @@
 
 
 def is_forwarded(name: str) -> bool:
-    """Tell whether a caller's header, in lower case, is handed on."""
+    """Return whether a caller's header (in lower case) is forwarded."""
     return (
         name not in CONNECTION_HEADERS
         and name not in SYSTEM_HEADERS
@@ -98,14 +99,14 @@
 
 
 def decode_key(text: str) -> str:
-    """Return the key of a caller's credentials, empty if there is none."""
+    """Return the key in a caller's credentials; empty if there is none."""
     if text.lower().startswith(BEARER_PREFIX):
         return text[len(BEARER_PREFIX) :].strip()
     return ""
 
 
 def decode_prompt(by_name: typing.Mapping[str, str]) -> calls.Prompt | None:
-    """Return what a request says of its prompt, if it is for a model."""
+    """Return a request's prompt; ``None`` if it is not for a model."""
     model = by_name.get(names.MODEL.lower())
     parts = by_name.get(names.PROMPT_PARTS.lower())
     if model is None or parts is None:
@@ -129,30 +130,30 @@
 
 
 def decode_part(text: str) -> calls.PromptPart:
-    """Return a part of a prompt from ``ID:TOKENS``."""
+    """Decode a part of a prompt, ``ID:TOKENS``."""
     name, _, tokens = text.strip().partition(":")
     return calls.PromptPart(name, decode_tokens(tokens))
 
 
 def decode_tokens(text: str) -> int:
-    """Return a number of tokens.
+    """Decode a number of tokens.
 
     Raises
     ------
     ValueError
-        If it is none, or more than any prompt has: work is summed, and
-        told to peers in messages that carry 64 bits.
+        If it is invalid or exceeds ``MAX_TOKENS``: numbers of tokens are
+        summed and published to peers in messages that carry 64 bits.
     """
     tokens = int(text)
     if not 0 <= tokens <= decoding.MAX_TOKENS:
-        raise ValueError("no number of tokens")
+        raise ValueError("number of tokens out of range")
     return tokens
 
 
 def encode_headers(
     call: calls.Call, instructions: calls.Instructions
 ) -> dict[str, str]:
-    """Return the headers with which a call goes to an endpoint."""
+    """Return the headers of a call to an endpoint."""
     headers: dict[str, str] = {}
     for name, value in call.headers:
         previous = headers.get(name)
@@ -160,7 +161,7 @@
     expected = starts.parse(instructions.endpoint)
     headers[names.EXPECT_ENDPOINT] = expected.name
     if instructions.time_left_s is not None:
-        # Rounded down: an endpoint must not be given more than is left.
+        # Rounded down: an endpoint must not work beyond the deadline.
         headers[names.TIME_LEFT_MS] = str(
             max(1, int(instructions.time_left_s * MS))
         )
@@ -175,7 +176,7 @@
 
 
 def encode_cache_headers(instructions: calls.Instructions) -> dict[str, str]:
-    """Return the headers about KV cache and weights."""
+    """Return the headers for KV cache and weight version."""
     headers: dict[str, str] = {}
     if instructions.salt:
         headers[names.CACHE_SALT] = instructions.salt
@@ -189,12 +190,12 @@
 
 
 def join_addresses(addresses: typing.Sequence[str]) -> str:
-    """Return one address for each part of a prompt."""
+    """Join the addresses of stores, one for each part of a prompt."""
     return ",".join(address or NO_ADDRESS for address in addresses)
 
 
 def decode_answer(status: int, headers: Headers) -> calls.AnswerHead:
-    """Return status and headers of an endpoint's answer."""
+    """Decode status and headers of an endpoint's answer."""
     by_name = {name.lower(): value for name, value in headers}
     version = by_name.get(names.WEIGHT_VERSION.lower())
     return calls.AnswerHead(
@@ -205,7 +206,7 @@
             if name.lower() not in CONNECTION_HEADERS
         ),
         call_id=by_name.get(names.REQUEST_ID.lower(), ""),
-        # 421 says by itself that another endpoint has this address now.
+        # 421 means that another endpoint now has this address.
         not_run=names.NOT_EXECUTED.lower() in by_name or status == 421,
         signed=names.SIGNATURE.lower() in by_name,
         retry_after_s=decoding.header_number(
--- a/src/briarseam/platform/store.py
+++ b/src/briarseam/platform/store.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's metadata store."""
+"""Client for the platform's metadata store."""
 
 from __future__ import annotations
 
@@ -20,46 +20,46 @@
 from briarseam.platform import store_answers
 
 MS = 1000.0
-# A call is answered in some ms; a second is twenty times what a store
-# under load takes and still leaves time for another try.
+# Calls are answered within a few ms; a store under load takes 50 ms.  The
+# timeout leaves time for another try.
 CALL_TIMEOUT_S = 1.5
 CONNECT_TIMEOUT_S = 0.8
-# What a long poll may take beyond its waiting time: a store that is slowed
-# sixtyfold answers within a quarter of a second.
+# Response time that is allowed beyond the wait of a long poll: a store that
+# is slowed down sixtyfold answers within 0.25 s.
 POLL_SLACK_S = 0.8
 MAX_CONNECTIONS = 8
 OK = 200
 GONE = 410
 CONFLICT = 409
 PRECONDITION_FAILED = 412
-# "Nothing was done", in the words of the interface.
+# The platform defines these statuses as "nothing was done".
 NOT_EXECUTED_STATUSES = frozenset({429, 503, 507})
 MAX_PAGES = 1000
 log = structlog.get_logger("briarseam.platform")
 
 
 class StoreClient:
-    """Calls the platform's metadata store; thread-safe.
+    """Client for the platform's metadata store; thread-safe.
 
-    Library retries stay off: a write whose answer was lost may have been
-    done, and only its writer can tell what to do about it.
+    The retries of the HTTP library are disabled: a write whose answer was
+    lost may have taken effect, and only its writer can decide what to do.
 
-    Offsets and generations that it takes and returns carry the store's era,
-    as of :func:`briarseam.feeds.records.in_era`.
+    All offsets and generations include the store's era, see
+    :func:`briarseam.feeds.records.in_era`.
 
     Parameters
     ----------
     address
         ``ip:port``.
     tally
-        Notes records that can't be read.
+        Records malformed records.
 
     Attributes
     ----------
     calls
-        Calls since the start.
+        Number of calls since the start.
     latest_era
-        The latest that an answer named; ``None`` before the first.
+        Latest era in an answer; ``None`` before the first one.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         self.move_to(address)
 
     def move_to(self, address: str) -> None:
-        """Call the store at another address from now on."""
+        """Use another address for all further calls."""
         host, _, port = address.rpartition(":")
         self.address = address
         self.pool = urllib3.HTTPConnectionPool(
@@ -86,13 +86,14 @@
     def newest(self, topic: str) -> records.KeyedBatch:
         """Return the newest record of each key of a topic.
 
-        The pages are no snapshot, so reading on begins where the first
-        page ended: a change between two pages is then seen again.
+        The pages are not a consistent snapshot.  The returned position is
+        therefore the end of the topic at the first page: changes between
+        pages are read again.
 
         Raises
         ------
         StoreUnavailableError
-            When the store does not answer properly.
+            If the store gives no valid answer.
         """
         found: list[records.KeyedRecord] = []
         start: int | None = None
@@ -107,12 +108,12 @@
             start = end if start is None else start
             if records.era_of(end) != records.era_of(start):
                 raise records.StoreUnavailableError(
-                    f"the store was restored between two pages of {topic}"
+                    f"store was restored between two pages of {topic}"
                 )
             readable = self.decode_page(topic, page)
             found += readable
-            # The next page begins behind the last key that can be read; a
-            # page without one would be read again and again.
+            # The next page begins after the last valid key.  A page without
+            # one ends the read: it would be repeated endlessly.
             last = readable[-1].key if readable else after
             if not page.has_more or last == after:
                 break
@@ -122,7 +123,7 @@
     def decode_page(
         self, topic: str, page: store_answers.Newest
     ) -> list[records.KeyedRecord]:
-        """Return the records of a page that can be read."""
+        """Return the valid records of a page."""
         record_malformed = functools.partial(
             self.tally.note, malformed.Kind.STORE_RECORD, topic
         )
@@ -144,25 +145,25 @@
     def read_keyed(
         self, topic: str, start: int, wait_s: float
     ) -> records.KeyedBatch:
-        """Return changes of a keyed topic from an offset on.
+        """Return the changes of a keyed topic from an offset on.
 
         Parameters
         ----------
         topic
             A keyed topic.
         start
-            First offset wanted, in its era.
+            First offset to read, with its era.
         wait_s
-            Longest wait for a first record, in seconds.
+            Maximum wait for the first record, in seconds.
 
         Raises
         ------
         RecordsExpiredError
-            When records from there on are no longer kept.
+            If records from that offset on are no longer retained.
         StoreRestoredError
-            When the offset is of an earlier era.
+            If the offset belongs to another era.
         StoreUnavailableError
-            When the store does not answer properly.
+            If the store gives no valid answer.
         """
         query = {
             "topic": topic,
@@ -180,8 +181,8 @@
         era = self.era_of(response)
         if era != records.era_of(start):
             raise records.StoreRestoredError(
-                f"{topic} was read in era {records.era_of(start)} of the "
-                f"store, which is in era {era}"
+                f"position in {topic} is of era {records.era_of(start)}, "
+                f"but the store is in era {era}"
             )
         if response.status == GONE:
             raise records.RecordsExpiredError(f"{topic} from {start}")
@@ -195,7 +196,7 @@
         return records.KeyedBatch(found, start + len(found))
 
     def decode_record(self, topic: str, data: bytes) -> records.KeyedRecord:
-        """Return a record, or what stands for one that can't be read."""
+        """Return a record; ``records.UNREADABLE`` if it is malformed."""
         try:
             return framing.decode_keyed(data)
         except decoding.MalformedError as error:
@@ -203,12 +204,12 @@
             return records.UNREADABLE
 
     def put(self, topic: str, key: str, value: bytes | None) -> None:
-        """Write the newest record of a key; ``None`` drops the key.
+        """Write the newest record of a key; ``None`` removes the key.
 
         Raises
         ------
         StoreUnavailableError
-            When the store does not confirm the write.
+            If the store does not confirm the write.
         """
         self.append(topic, (framing.encode_keyed(key, value),))
 
@@ -222,17 +223,18 @@
         topic
             The topic.
         items
-            Records, appended all or none.
+            Records, appended atomically.
         at
-            Only if the partition ends at this offset, in its era.
+            If given, append only if the partition ends at this offset, which
+            includes its era.
 
         Raises
         ------
         SupersededError
-            When the partition ends elsewhere, or the offset turns out to be
-            of an earlier era; the records may have been appended then.
+            If the partition ends elsewhere.  Also if the offset turns out
+            to be of another era; the records may have been appended then.
         StoreUnavailableError
-            When the store does not confirm the write.
+            If the store does not confirm the write.
         """
         query = {"topic": topic, "part": "0"}
         if at is not None:
@@ -249,7 +251,7 @@
             raise records.SupersededError(f"{topic} does not end at {at}")
         if at is not None and self.era_of(response) != records.era_of(at):
             raise records.SupersededError(
-                f"the store was restored since the end of {topic} was read"
+                f"store was restored after the end of {topic} was read"
             )
         return self.decode_body(response, store_answers.Appended).offset
 
@@ -261,14 +263,15 @@
         ttl_s: float,
         generation: int,
     ) -> records.GroupShare:
-        """Join a group or stay in it; return what the member holds.
+        """Join a group or renew the membership; return the assigned share.
 
-        A generation of an earlier era means nothing to the store.
+        A generation of an earlier era is sent as 0, since the store does not
+        know it.
 
         Raises
         ------
         StoreUnavailableError
-            When the store does not answer properly.
+            If the store gives no valid answer.
         """
         body = msgspec.json.encode(
             {
@@ -294,7 +297,7 @@
         Raises
         ------
         StoreUnavailableError
-            When the store does not answer properly.
+            If the store gives no valid answer.
         """
         body = msgspec.json.encode({"group": group, "member": member})
         self.call(
@@ -311,12 +314,12 @@
         timeout_s: float = CALL_TIMEOUT_S,
         accepted: tuple[int, ...] = (OK,),
     ) -> urllib3.BaseHTTPResponse:
-        """Return the response of one call, its status an accepted one."""
+        """Make one call and return its response if the status is accepted."""
         self.calls += 1
         url = f"{path}?{urllib.parse.urlencode(query)}" if query else path
         headers = {"Content-Type": "application/json"} if body else {}
-        # A store that trickles its answer must not hold the caller longer
-        # than one that is silent.
+        # A store that sends its answer slowly must not block the caller longer
+        # than one that does not answer.
         timeout = urllib3.Timeout(
             connect=min(CONNECT_TIMEOUT_S, timeout_s), read=timeout_s
         )
@@ -342,21 +345,21 @@
 
     @property
     def era(self) -> int:
-        """Return the latest era that an answer named; 0 before the first."""
+        """Latest era in an answer; 0 before the first one."""
         return self.latest_era or 0
 
     def era_of(self, response: urllib3.BaseHTTPResponse) -> int:
-        """Return the era of an answer; the known one if it names none."""
+        """Return the era of an answer; the latest one if it has none."""
         era = response_era(response)
         return self.era if era is None else era
 
     def record_era(self, era: int) -> None:
-        """Take note of an answer's era.
+        """Record the era of an answer.
 
         Raises
         ------
         StoreUnavailableError
-            When the answer is from before the store was restored.
+            If the answer is from before the store was restored.
         """
         with self.lock:
             previous, self.latest_era = self.latest_era, max(era, self.era)
@@ -364,7 +367,7 @@
             return
         if era < previous:
             raise records.StoreUnavailableError(
-                f"an answer of era {era} came in era {previous}",
+                f"answer of era {era} received in era {previous}",
                 may_have_run=True,
             )
         log.warning("store_restored", era=era, former_era=previous)
@@ -374,7 +377,7 @@
         response: urllib3.BaseHTTPResponse,
         kind: type[decoding.Decoded],
     ) -> decoding.Decoded:
-        """Return a response's body as a wire structure."""
+        """Decode a response's body into a wire structure."""
         try:
             return decoding.decode(response.data, kind)
         except decoding.MalformedError as error:
@@ -384,5 +387,5 @@
 
 
 def response_era(response: urllib3.BaseHTTPResponse) -> int | None:
-    """Return the era that an answer names; ``None`` if it names none."""
+    """Return the era in an answer; ``None`` if it has none."""
     return decoding.header_integer(response.headers.get(names.STORE_ERA))
--- a/src/briarseam/platform/store_answers.py
+++ b/src/briarseam/platform/store_answers.py
@@ -14,7 +14,7 @@
 
 
 class Newest(msgspec.Struct, rename="camel"):
-    """One page of newest records; each is decoded by itself."""
+    """One page of newest records; each is decoded separately."""
 
     items: list[msgspec.Raw] = []
     has_more: bool = False
@@ -22,14 +22,14 @@
 
 
 class Appended(msgspec.Struct):
-    """Where appended records lie."""
+    """Offset of the first appended record, and the end of the partition."""
 
     offset: int = 0
     end: int = 0
 
 
 class Share(msgspec.Struct):
-    """What a member of a group holds: topic, partition, offset."""
+    """Partitions assigned to a group member: topic, partition, offset."""
 
     generation: int
     parts: list[tuple[str, int, int]] = []
