--- a/tests/platform/cache_store.py
+++ b/tests/platform/cache_store.py
@@ -1,4 +1,4 @@
-"""Stand-in for a store of KV cache on the users' platform."""
+"""Stand-in for a store of KV cache of the users' platform."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class CacheStore(stand_in.StandIn[switches.Switches]):
-    """Keeps parts in memory until it starts again.
+    """Store that holds parts in memory until it restarts.
 
     Parameters
     ----------
     born
-        Unix time of this start in milliseconds; ``None`` for a store that
-        does not say.
+        Start time as Unix time in milliseconds; ``None`` for a store that
+        does not report it.
     epoch
-        Of this start.
+        Epoch of this start.
     """
 
     def __init__(self, born: int | None, epoch: int = 1) -> None:
@@ -32,7 +32,7 @@
         self.lock = threading.Lock()
 
     def restart(self, born: int | None, epoch: int) -> None:
-        """Start again at the same address, empty."""
+        """Restart at the same address, empty."""
         with self.lock:
             self.born = born
             self.epoch = epoch
@@ -40,30 +40,30 @@
             self.held = {}
 
     def put(self, salt: str, part: str, tokens: int) -> None:
-        """Take in a part as a whole."""
+        """Store a complete part."""
         with self.lock:
             self.held[salt, part] = tokens
             number = len(self.events)
             self.events.append((number, "+", salt, part, tokens, MODEL))
 
     def answer(self, request: http_messages.Request) -> http_messages.Response:
-        """Answer what is asked of the parts."""
+        """Answer a request for events or for the list of parts."""
         with self.lock:
-            said: dict[str, object] = {
+            content: dict[str, object] = {
                 "epoch": self.epoch,
                 "next": len(self.events),
             }
             if self.born is not None:
-                said["born"] = self.born
+                content["born"] = self.born
             match request.path:
                 case ("briarseam", "kv-events"):
                     since = request.number("since", 0)
-                    said |= {"lost": False, "events": self.events[since:]}
+                    content |= {"lost": False, "events": self.events[since:]}
                 case ("briarseam", "kv-list"):
-                    said["held"] = [
+                    content["held"] = [
                         (*key, tokens, MODEL)
                         for key, tokens in self.held.items()
                     ]
                 case _:
                     return stand_in.no_such_call(request)
-        return http_messages.json_response(200, said)
+        return http_messages.json_response(200, content)
--- a/tests/platform/conftest.py
+++ b/tests/platform/conftest.py
@@ -7,25 +7,25 @@
 
 @pytest.fixture
 def system(tmp_path):
-    """One instance with two plain endpoints and two engines, started."""
-    made = systems.System(tmp_path)
+    """A started instance with two plain endpoints and two engines."""
+    system = systems.System(tmp_path)
     try:
-        made.add_worker("plain-1", "portal")
-        made.add_worker("plain-2", "portal")
-        made.add_worker("engine-1", "engines")
-        made.add_worker("engine-2", "engines")
-        made.configure()
-        made.start()
-        yield made
+        system.add_worker("plain-1", "portal")
+        system.add_worker("plain-2", "portal")
+        system.add_worker("engine-1", "engines")
+        system.add_worker("engine-2", "engines")
+        system.configure()
+        system.start()
+        yield system
     finally:
-        made.close()
+        system.close()
 
 
 @pytest.fixture
 def cold_system(tmp_path):
-    """One instance that was not started, before an empty store."""
-    made = systems.System(tmp_path)
+    """An instance that is not started, with an empty store."""
+    system = systems.System(tmp_path)
     try:
-        yield made
+        yield system
     finally:
-        made.close()
+        system.close()
--- a/tests/platform/damage.py
+++ b/tests/platform/damage.py
@@ -1,4 +1,4 @@
-"""Documents a little or wholly wrong, and what may come of decoding them."""
+"""Strategies for malformed documents, and checks of decoded results."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from briarseam.platform import decoding
 
-quick = hypothesis.settings(
+QUICK = hypothesis.settings(
     max_examples=150,
     deadline=None,
     derandomize=True,
@@ -41,8 +41,8 @@
 )
 
 
-def places(document, path=()):
-    """Yield where something stands in a document."""
+def paths_in(document, path=()):
+    """Yield the path of each value in a document."""
     yield path
     if isinstance(document, dict):
         inner = document.items()
@@ -51,17 +51,17 @@
     else:
         return
     for key, value in inner:
-        yield from places(value, (*path, key))
+        yield from paths_in(value, (*path, key))
 
 
-def changed(document, path, change):
-    """Return a copy with one place changed, or left out."""
+def replace_at(document, path, change):
+    """Return a copy with one value replaced or removed."""
     if not path:
         return change(document)
     copy = dict(document) if isinstance(document, dict) else list(document)
     key, *rest = path
     if rest:
-        copy[key] = changed(copy[key], rest, change)
+        copy[key] = replace_at(copy[key], rest, change)
         return copy
     try:
         copy[key] = change(copy[key])
@@ -70,65 +70,69 @@
     return copy
 
 
-def leave_out(_value):
+def remove(_value):
     raise LookupError
 
 
-def damaged(document):
-    """Return a strategy of documents' bytes, a little or wholly wrong."""
-    paths = strategies.sampled_from(list(places(document)))
-    whole = json.dumps(document).encode()
+def damaged_documents(document):
+    """Return a strategy for encoded documents with partial or full damage."""
+    paths = strategies.sampled_from(list(paths_in(document)))
+    encoded = json.dumps(document).encode()
     replaced = strategies.builds(
-        lambda path, value: changed(document, path, lambda _old: value),
+        lambda path, value: replace_at(document, path, lambda _old: value),
         paths,
         values,
     ).map(as_json)
-    without = paths.filter(bool).map(
-        lambda path: as_json(changed(document, path, leave_out))
+    removed = paths.filter(bool).map(
+        lambda path: as_json(replace_at(document, path, remove))
     )
     nested = strategies.builds(
         lambda depth, opening: b'{"x":' + opening * depth,
         strategies.sampled_from(DEPTHS),
         strategies.sampled_from([b"[", b'{"x":']),
     )
-    cut = strategies.integers(0, len(whole)).map(lambda end: whole[:end])
-    spoiled = strategies.builds(
-        lambda place, byte: whole[:place] + byte + whole[place + 1 :],
-        strategies.integers(0, len(whole) - 1),
+    truncated = strategies.integers(0, len(encoded)).map(
+        lambda end: encoded[:end]
+    )
+    overwritten = strategies.builds(
+        lambda position, byte: (
+            encoded[:position] + byte + encoded[position + 1 :]
+        ),
+        strategies.integers(0, len(encoded) - 1),
         strategies.binary(min_size=1, max_size=2),
     )
-    anything = strategies.binary(max_size=50) | values.map(as_json)
-    return replaced | without | nested | cut | spoiled | anything
+    arbitrary = strategies.binary(max_size=50) | values.map(as_json)
+    return replaced | removed | nested | truncated | overwritten | arbitrary
 
 
 def as_json(value):
-    """Return bytes as a careless writer would, with NaN and surrogates."""
+    """Encode a value without checks, with NaN and surrogates."""
     return json.dumps(value, ensure_ascii=False).encode(
         "utf-8", "surrogatepass"
     )
 
 
-def is_sane(value):
-    """Tell whether a decoded number can be summed, sent and waited for."""
+def is_bounded(value):
+    """Return whether all numbers in a decoded value are finite and bounded."""
     match value:
         case bool():
             return True
         case int() | float():
             return math.isfinite(value) and abs(value) <= decoding.MAX_NUMBER
         case dict():
-            return all(map(is_sane, value.values()))
+            return all(map(is_bounded, value.values()))
         case list() | tuple():
-            return all(map(is_sane, value))
+            return all(map(is_bounded, value))
         case _ if hasattr(value, "__dataclass_fields__"):
             return all(
-                is_sane(getattr(value, name))
+                is_bounded(getattr(value, name))
                 for name in value.__dataclass_fields__
             )
     return True
 
 
-def decoded(decode, *arguments):
-    """Return a decoder's result, ``None`` where it says malformed."""
+def decode_or_none(decode, *arguments):
+    """Return a decoder's result; ``None`` if the input is malformed."""
     try:
         return decode(*arguments)
     except decoding.MalformedError:
--- a/tests/platform/engine.py
+++ b/tests/platform/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a worker with a model whose weights can be changed."""
+"""Stand-in for an engine whose model weights can be changed."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 class Engine(workers.Worker):
-    """Takes orders to load weights, one at a time.
+    """Engine that executes orders to load weights, one at a time.
 
     Parameters
     ----------
     id
-        The id of this incarnation.
+        Name of the engine.
     model
         Name of its model.
     drain_s
-        What its runs take to end; an order that lets them finish waits so
-        long.
+        Time until its runs end; an order that lets them finish waits for
+        it.
     load_s
-        What a load of weights takes.
+        Time to load weights.
     born
-        As of any worker.
+        Start time, as for :class:`worker.Worker`.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
 
     def answer(self, request: http_messages.Request) -> http_messages.Response:
         """Answer one request."""
-        if not self.is_meant(request):
+        if not self.is_addressed(request):
             return http_messages.Response(421)
         if request.path == REPORT_PATH:
             return self.report()
@@ -56,7 +56,7 @@
         return super().answer(request)
 
     def report(self) -> http_messages.Response:
-        """Tell the weights and whether an order is under way."""
+        """Report the weights and whether an order is in progress."""
         with self.lock:
             return http_messages.json_response(
                 200,
@@ -69,22 +69,22 @@
             )
 
     def order(self, body: dict) -> http_messages.Response:
-        """Take an order unless one is under way or it names other counts."""
+        """Accept an order unless one is in progress or its count differs."""
         with self.lock:
             if self.busy or body["expected"] != len(self.orders):
                 return http_messages.json_response(409, {})
             self.orders.append(body)
             self.busy = True
-        waits_s = self.drain_s if body["swapMode"] == "queue" else 0.0
+        drain_s = self.drain_s if body["swapMode"] == "queue" else 0.0
         timer = threading.Timer(
-            waits_s + self.load_s, self.loaded, (body["version"],)
+            drain_s + self.load_s, self.finish_load, (body["version"],)
         )
         timer.daemon = True
         timer.start()
         return http_messages.json_response(202, {})
 
-    def loaded(self, version: int) -> None:
-        """Have new weights."""
+    def finish_load(self, version: int) -> None:
+        """Switch to the new weights."""
         with self.lock:
             self.version = version
             self.busy = False
--- a/tests/platform/metadata_store.py
+++ b/tests/platform/metadata_store.py
@@ -1,8 +1,8 @@
 """Stand-in for the platform's metadata store: a log with keyed topics.
 
-It can return from an older copy of itself: what was written since is gone,
-offsets and generations count on from the copy's, and the era in the header
-of all answers rises by one.
+It can be restored from a backup: later writes are lost, offsets and
+generations continue from those of the backup, and the era in the header of
+all answers increases by one.
 """
 
 from __future__ import annotations
@@ -34,9 +34,9 @@
     Attributes
     ----------
     late_writes
-        So many of the next appends get no answer, and are done later.
+        Number of next appends that get no answer and take effect later.
     late_ms
-        How much later.
+        Delay until they take effect.
     """
 
     late_writes: switches.Count = 0
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass
 class Group:
-    """Members of a group and when each was last heard."""
+    """Members of a group and when each membership expires."""
 
     generation: int = 0
     members: dict[str, float] = dataclasses.field(default_factory=dict)
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Copy:
-    """What lay on the store at some moment."""
+    """A backup of the store."""
 
     topics: dict[str, list[bytes]]
     first: dict[str, int]
@@ -62,7 +62,7 @@
 
 
 class MetadataStore(stand_in.StandIn[Switches]):
-    """Keeps topics of one partition in memory."""
+    """Store that holds topics of one partition in memory."""
 
     def __init__(self, listen: str = "127.0.0.1:0") -> None:
         super().__init__(Switches(), listen)
@@ -74,30 +74,30 @@
         self.era = 1
 
     def write(self, topic: str, key: str, document: object) -> None:
-        """Write a keyed record as the operator or an endpoint does."""
+        """Write a keyed record; ``None`` removes the key."""
         value = b"" if document is None else msgspec.json.encode(document)
         self.write_raw(topic, key, value)
 
     def write_raw(self, topic: str, key: str, value: bytes) -> None:
-        """Write a keyed record's bytes."""
+        """Write a keyed record with an encoded value."""
         name = key.encode()
         with self.lock:
             self.topics[topic].append(bytes([len(name)]) + name + value)
 
     def forget(self, topic: str) -> None:
-        """Forget a topic's history; the newest of each key stay."""
+        """Drop a topic's history; the newest record of each key stays."""
         with self.lock:
             self.first[topic] = len(self.topics[topic])
 
     def copy(self) -> Copy:
-        """Return a copy of all that lies here."""
+        """Return a backup of the store."""
         with self.lock:
             return copy.deepcopy(
                 Copy(dict(self.topics), dict(self.first), dict(self.groups))
             )
 
     def restore(self, old: Copy) -> None:
-        """Return from a copy; what was written since is gone."""
+        """Restore a backup; later writes are lost."""
         old = copy.deepcopy(old)
         with self.lock:
             self.topics = collections.defaultdict(list, old.topics)
@@ -115,7 +115,7 @@
         return {key: value for key, value in found.items() if value}
 
     def answer(self, request: http_messages.Request) -> http_messages.Response:
-        """Answer one call, and name the era."""
+        """Answer one call, with the era in a header."""
         answered = self.answer_call(request)
         headers = (*answered.headers, (ERA_HEADER, str(self.era)))
         return dataclasses.replace(answered, headers=headers)
@@ -156,7 +156,7 @@
     def append_all(
         self, request: http_messages.Request, found: list[bytes]
     ) -> http_messages.Response:
-        """Append records if the condition of the call holds."""
+        """Append records if the call's expected end matches."""
         with self.lock:
             records = self.topics[request.query["topic"]]
             end = len(records)
@@ -168,7 +168,7 @@
         )
 
     def read(self, request: http_messages.Request) -> http_messages.Response:
-        """Return records, waiting for a first one."""
+        """Return records; wait for the first one."""
         topic = request.query["topic"]
         start = request.number("from", 0)
         until = time.monotonic() + request.number("waitMs", 0) / 1000
@@ -206,7 +206,7 @@
         )
 
     def join(self, body: dict) -> http_messages.Response:
-        """Join a group of one partition; the first member holds it."""
+        """Join a group; its one partition is assigned to the first member."""
         now = time.monotonic()
         with self.lock:
             group = self.groups[body["group"]]
--- a/tests/platform/restarted_engine.py
+++ b/tests/platform/restarted_engine.py
@@ -1,7 +1,7 @@
-"""An engine that starts again, in an instance that is wired as it serves.
+"""An engine that restarts, known to an instance with its real wiring.
 
-What is remembered of an endpoint (`THINGS`) by the way in which its restart
-shows first (`WAYS`).
+`STATE_KINDS` are the kinds of state that an instance keeps for an endpoint,
+`RESTART_SIGNALS` the ways in which it can detect a restart first.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 SALT = "drafts/1/"
 PARTS = [("aa", 600)]
 WORK = loads.Load(requests=3, memory_tokens=1000)
-PATIENCE_S = 15
+TIMEOUT_S = 15
 
 
 class Case:
-    """An instance that knows one engine; its threads are not started."""
+    """An instance that knows one engine, without its threads."""
 
     def __init__(self, system) -> None:
         self.worker = system.stack.enter_context(
@@ -52,7 +52,7 @@
         self.registry.apply_all([self.entry()])
 
     def entry(self, **changes: object) -> records.KeyedRecord:
-        """Return the engine's entry as it would write it now."""
+        """Return the engine's current entry."""
         document = {
             "service": "engines",
             "address": self.worker.address,
@@ -66,30 +66,28 @@
         return records.KeyedRecord(NAME, msgspec.json.encode(document))
 
     def id(self) -> str:
-        """Return the start that requests would go to."""
+        """Return the id of the start that requests would be sent to."""
         (endpoint,) = self.registry.serving("engines")
         return endpoint.id
 
     def connect(self) -> urllib3.connection.HTTPConnection:
-        """Return an open connection that says nothing."""
+        """Return an open, silent connection."""
         host, port = self.listener.getsockname()
         connection = urllib3.connection.HTTPConnection(host, port)
         connection.connect()
         return connection
 
 
-# What is remembered of an endpoint: how it comes to be known of a start, and
-# whether it is.
-
-
 @dataclasses.dataclass(frozen=True)
-class Thing:
-    note: typing.Callable[[compose.Node, str, Case], object]
-    knows: typing.Callable[[compose.Node, str], bool]
+class StateKind:
+    """State of an endpoint: how it is recorded, and whether it is known."""
+
+    record: typing.Callable[[compose.Node, str, Case], object]
+    is_known: typing.Callable[[compose.Node, str], bool]
 
 
 def loads_of_peer(endpoint: str) -> bytes:
-    """Return what a peer with work at one endpoint tells."""
+    """Return the section of a peer with work at one endpoint."""
     peer = loads.Loads()
     peer.add(endpoint, WORK)
     return peer.provide()
@@ -115,26 +113,26 @@
     return node.pool.acquire_idle(endpoint, "127.0.0.1:1") is not None
 
 
-THINGS = {
-    "weights by a report": Thing(
+STATE_KINDS = {
+    "weights by a report": StateKind(
         lambda node, id, case: node.weights.known_weights.record_version(
             id, systems.MODEL, 7
         ),
         knows_weights,
     ),
-    "weights by a peer": Thing(
+    "weights by a peer": StateKind(
         lambda node, id, case: node.weights.known_weights.consume(
             "peer", packed([], [(id, systems.MODEL, 7)], [])
         ),
         knows_weights,
     ),
-    "change of weights by a peer": Thing(
+    "change of weights by a peer": StateKind(
         lambda node, id, case: node.weights.known_weights.consume(
             "peer", packed([id], [], [])
         ),
         lambda node, id: node.weights.known_weights.is_changing(id),
     ),
-    "prompts that it has read": Thing(
+    "prompts in its cache": StateKind(
         lambda node, id, case: node.chooser.residency.record(
             id, SALT, PARTS, 0
         ),
@@ -142,56 +140,53 @@
             node.chooser.residency.held_tokens(id, SALT, PARTS) > 0
         ),
     ),
-    "own work": Thing(
+    "own work": StateKind(
         lambda node, id, case: node.chooser.loads.add(id, WORK), knows_work
     ),
-    "work of a peer": Thing(
+    "work of a peer": StateKind(
         lambda node, id, case: node.chooser.loads.consume(
             "peer", loads_of_peer(id)
         ),
         knows_work,
     ),
-    "work of a cell": Thing(
+    "work of a cell": StateKind(
         lambda node, id, case: node.cell_loads.consume(
             "peer", packed(("far", 1, [row(id)]))
         ),
         knows_work,
     ),
-    "being left alone": Thing(
+    "avoidance after a failure": StateKind(
         lambda node, id, case: node.chooser.avoid(id),
         lambda node, id: id in node.chooser.avoided,
     ),
-    "kept connection": Thing(
+    "kept connection": StateKind(
         lambda node, id, case: node.pool.release(
             id, "127.0.0.1:1", case.connect(), "timeout=60"
         ),
         take_connection,
     ),
 }
-# These would stay for good under a start that is over; the others end by
-# themselves, with a request, a peer's next word, or after some seconds.
-LASTING = (
+# State that would stay forever under the id of a former start.  The other
+# kinds end with a request, with a peer's next update, or within seconds.
+PERSISTENT_STATE = (
     "weights by a report",
     "weights by a peer",
-    "prompts that it has read",
+    "prompts in its cache",
     "kept connection",
 )
 
 
-# How a restart shows first.
-
-
 def by_entry(case):
     case.registry.apply_changes([case.entry()])
 
 
 def by_newest_entries(case):
-    """The changes between are no longer kept, so all is read anew."""
+    """Intermediate changes have expired, so all entries are read again."""
     case.registry.apply_all([case.entry()])
 
 
 def by_entry_after_an_outage(case):
-    """Its entry ran out while the store was away."""
+    """The engine's entry expired while the store was unavailable."""
     case.registry.store_lost()
     case.registry.apply_changes([records.KeyedRecord(NAME, None)])
     case.registry.apply_changes([case.entry()])
@@ -204,7 +199,7 @@
 
 
 def by_peer(case):
-    """A peer that gives orders has seen it in a report."""
+    """A peer that gives orders has seen the new start in a report."""
     peer = registries.EndpointRegistry(case.registry.decode, lambda ids: None)
     peer.apply_all([case.entry(born=OLD_BORN)])
     seen = restarts.Restarts(peer)
@@ -212,7 +207,7 @@
     case.node.restarts.consume("peer", seen.provide())
 
 
-WAYS = {
+RESTART_SIGNALS = {
     "entry": by_entry,
     "newest entries": by_newest_entries,
     "entry after an outage": by_entry_after_an_outage,
@@ -221,7 +216,7 @@
 }
 
 
-def restart(case, way):
+def restart(case, signal):
     case.worker.restart(NEW_BORN)
-    WAYS[way](case)
+    RESTART_SIGNALS[signal](case)
     assert case.id() == NEW
--- a/tests/platform/system.py
+++ b/tests/platform/system.py
@@ -1,4 +1,4 @@
-"""One instance on loopback before stand-ins of the platform."""
+"""An instance on loopback with stand-ins for the platform."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 HOST = "kitchens.example"
 KEY = "key-of-north"
 MODEL = "drafts"
-PATIENCE_S = 10
+TIMEOUT_S = 10
 
 ROUTES = [
     {
@@ -63,7 +63,7 @@
 
 
 def configuration(version: int = 1, **changes: object) -> dict:
-    """Return a configuration as the operators write it."""
+    """Return a configuration document of the operators."""
     return {
         "version": version,
         "routes": ROUTES,
@@ -83,7 +83,7 @@
 
 
 class System:
-    """One instance, its store and its endpoints."""
+    """An instance, its store and its endpoints."""
 
     def __init__(self, folder) -> None:
         self.stack = contextlib.ExitStack()
@@ -103,7 +103,7 @@
     def add(
         self, worker: workers.Worker, service: str, weights: int | None = None
     ) -> workers.Worker:
-        """Take an endpoint in and write its entry."""
+        """Start a prepared endpoint and write its entry."""
         self.stack.enter_context(worker)
         self.workers[worker.id] = worker
         self.write_entry(worker.id, service, weights=weights)
@@ -133,27 +133,27 @@
         """Write a configuration."""
         self.store.write("keyed.op", "config", configuration(**changes))
 
-    def begin(self) -> compose.Node:
-        """Start the instance, which may know nothing yet."""
+    def launch(self) -> compose.Node:
+        """Start the instance without waiting for it."""
         self.node = compose.Node(self.settings())
         self.stack.callback(self.node.stop)
         self.node.start()
         return self.node
 
     def start(self) -> compose.Node:
-        """Start the instance and wait until it knows its endpoints."""
-        self.begin()
+        """Start the instance; wait until it knows all endpoints."""
+        self.launch()
         waiting.until(
             lambda: (
                 self.node.is_ready()
                 and len(self.node.feeds.registry.all()) == len(self.workers)
             ),
-            PATIENCE_S,
+            TIMEOUT_S,
         )
         return self.node
 
-    def begin_another(self, name: str, zone: str = "hall-a") -> compose.Node:
-        """Start a second instance, which may know nothing yet."""
+    def launch_another(self, name: str, zone: str = "hall-a") -> compose.Node:
+        """Start another instance without waiting for it."""
         node = compose.Node(self.settings(name, zone))
         self.stack.callback(node.stop)
         node.start()
@@ -179,7 +179,7 @@
         return serving.load(str(path))
 
     def url(self, place: str, path: str) -> str:
-        """Return the URL of a path at one of the instance's addresses."""
+        """Return the URL of a path at one of the instance's listeners."""
         address = getattr(self.node.settings.listen, place)
         return f"http://{address}{path}"
 
@@ -214,5 +214,5 @@
         return self.call(path, **(prompt | headers))
 
     def close(self) -> None:
-        """Stop everything."""
+        """Stop the instance and all stand-ins."""
         self.stack.close()
--- a/tests/platform/test_answer_decoders.py
+++ b/tests/platform/test_answer_decoders.py
@@ -1,4 +1,4 @@
-"""Whatever a store answers is read, or the store counts as away."""
+"""Fuzzed answers of stores are decoded or raise the documented error."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Answer:
-    """What a call returned."""
+    """Response of a call."""
 
     status = 200
     headers: typing.ClassVar = {}
@@ -35,7 +35,7 @@
 
 
 class AnsweredStore(stores.StoreClient):
-    """A client of the metadata store whose calls are all answered alike."""
+    """Client of the metadata store with one answer to all calls."""
 
     def __init__(self, data):
         super().__init__("127.0.0.1:1")
@@ -46,7 +46,7 @@
 
 
 class AnsweredPool:
-    """A pool whose requests are all answered alike."""
+    """Connection pool with one answer to all requests."""
 
     def __init__(self, data):
         self.data = data
@@ -55,18 +55,18 @@
         return Answer(self.data)
 
 
-@damage.quick
-@hypothesis.given(damage.damaged(NEWEST))
-def test_any_page_of_records_is_read_or_the_store_counts_as_away(data):
+@damage.QUICK
+@hypothesis.given(damage.damaged_documents(NEWEST))
+def test_any_page_of_records_is_decoded_or_an_error(data):
     try:
         AnsweredStore(data).newest("keyed.op")
     except records.StoreUnavailableError:
         return
 
 
-@damage.quick
+@damage.QUICK
 @hypothesis.given(strategies.binary(max_size=80))
-def test_any_body_of_records_is_read_or_the_store_counts_as_away(data):
+def test_any_body_of_records_is_decoded_or_an_error(data):
     try:
         batch = AnsweredStore(data).read_keyed("keyed.op", 3, 0.0)
     except records.StoreUnavailableError:
@@ -74,9 +74,9 @@
     assert batch.next == 3 + len(batch.records)
 
 
-@damage.quick
+@damage.QUICK
 @hypothesis.given(strategies.lists(strategies.binary(max_size=20)))
-def test_any_record_keeps_its_place_and_hides_no_other(items):
+def test_any_record_keeps_its_offset_and_the_next_is_read(items):
     good = framing.encode_keyed("good", b"1")
     framed = framing.join_records([*items, good])
     store = AnsweredStore(framing.POSITIONS.pack(0, 0) + framed)
@@ -85,8 +85,8 @@
     assert batch.records[-1] == records.KeyedRecord("good", b"1")
 
 
-def unavailable_or(call, data):
-    """Return what a store's answer says, ``None`` if it says nothing."""
+def call_or_none(call, data):
+    """Return a call's result; ``None`` if the store is unavailable."""
     client = cache.CacheStoreClient()
     client.pool = AnsweredPool(data)
     try:
@@ -95,34 +95,34 @@
         return None
 
 
-@damage.quick
-@hypothesis.given(damage.damaged(EVENTS))
-def test_any_changes_of_a_store_are_read_or_it_counts_as_away(data):
-    found = unavailable_or(
+@damage.QUICK
+@hypothesis.given(damage.damaged_documents(EVENTS))
+def test_any_changes_of_a_cache_store_are_decoded_or_an_error(data):
+    result = call_or_none(
         lambda client: client.changes("127.0.0.1:1", 0, 0.0), data
     )
-    assert damage.is_sane(found)
+    assert damage.is_bounded(result)
 
 
-@damage.quick
-@hypothesis.given(damage.damaged(LIST))
-def test_any_list_of_a_store_is_read_or_it_counts_as_away(data):
-    found = unavailable_or(lambda client: client.content("127.0.0.1:1"), data)
-    assert damage.is_sane(found)
+@damage.QUICK
+@hypothesis.given(damage.damaged_documents(LIST))
+def test_any_list_of_a_cache_store_is_decoded_or_an_error(data):
+    result = call_or_none(lambda client: client.content("127.0.0.1:1"), data)
+    assert damage.is_bounded(result)
 
 
-@damage.quick
+@damage.QUICK
 @hypothesis.given(damage.values, strategies.integers(0, 2))
-def test_no_good_row_is_lost_among_bad_ones(row, place):
+def test_valid_rows_are_kept_among_malformed_ones(row, place):
     rows = list(EVENTS["events"])
     rows.insert(place, row)
     data = json.dumps({"epoch": 1, "next": 4, "events": rows}).encode()
     if "NaN" in data.decode() or "Infinity" in data.decode():
-        # No JSON, so nothing can be told apart in it.
+        # Not valid JSON, so the rows can't be separated.
         return
     if "\\ud8" in data.decode():
         return
-    found = unavailable_or(
+    result = call_or_none(
         lambda client: client.changes("127.0.0.1:1", 0, 0.0), data
     )
-    assert {event.part for event in found.events} >= {"a", "b"}
+    assert {event.part for event in result.events} >= {"a", "b"}
--- a/tests/platform/test_cache.py
+++ b/tests/platform/test_cache.py
@@ -1,4 +1,4 @@
-"""Rows of stores' lists and events that can't be read."""
+"""Malformed rows in the lists and events of cache stores."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from briarseam.platform import cache
 
 BAD_ROWS = [
-    pytest.param(7, id="no row"),
+    pytest.param(7, id="not a row"),
     pytest.param([], id="empty"),
     pytest.param({"part": "a"}, id="an object"),
     pytest.param([1, "?", "s", "a", 5, "m"], id="unknown sign"),
     pytest.param([1, "+", None, "a", 5, "m"], id="salt null"),
-    pytest.param([1, "+", "s", "a", "5", "m"], id="tokens a text"),
+    pytest.param([1, "+", "s", "a", "5", "m"], id="tokens as text"),
     pytest.param([1, "+", "s", "a", -5, "m"], id="tokens below zero"),
     pytest.param([1, "+", "s", "a", 10**30, "m"], id="tokens beyond 64 bits"),
 ]
 
 
 class Answer:
-    """What a call to a store returned."""
+    """Response of a store."""
 
     status = 200
 
@@ -41,11 +41,11 @@
 
 
 @pytest.mark.parametrize("bad", BAD_ROWS)
-def test_change_that_cannot_be_read_does_not_hide_the_others(client, bad):
-    """One row of a store's changes can't be read.
+def test_malformed_change_does_not_hide_the_others(client, bad):
+    """Guards against treating a store with one malformed row as unavailable.
 
-    The store counted as gone and all it keeps was forgotten, at each read
-    anew: all prompts were read again.
+    Its whole content would be discarded at each read, and engines would
+    process all prompts again.
     """
     good = [2, "+", "s", "b", 100, "m"]
     client.answers = [
@@ -61,11 +61,11 @@
     [
         pytest.param([], id="empty"),
         pytest.param(["s", "a"], id="too short"),
-        pytest.param(["s", 7, 5, "m"], id="part a number"),
+        pytest.param(["s", 7, 5, "m"], id="part is a number"),
         pytest.param(["s", "a", -5, "m"], id="tokens below zero"),
     ],
 )
-def test_part_that_cannot_be_read_does_not_hide_the_others(client, bad):
+def test_malformed_part_does_not_hide_the_others(client, bad):
     client.answers = [
         Answer({"epoch": 1, "next": 3, "held": [bad, ["s", "b", 100, "m"]]})
     ]
@@ -73,7 +73,7 @@
     assert content.parts == (store_index.PartEvent("s", "b", 100),)
 
 
-def test_row_with_a_value_more_is_taken(client):
+def test_row_with_an_extra_value_is_accepted(client):
     client.answers = [
         Answer({"epoch": 1, "next": 3, "held": [["s", "b", 100, "m", "x"]]})
     ]
@@ -81,8 +81,8 @@
     assert content.parts == (store_index.PartEvent("s", "b", 100),)
 
 
-def test_answer_nested_too_deeply_is_no_answer(client):
-    """Reading it ended the thread that follows the store, for ever."""
+def test_answer_nested_too_deeply_is_an_error(client):
+    """Guards against an error that ends the thread following the store."""
     answer = Answer({})
     answer.data = b'{"epoch":1,"next":1,"x":' + b"[" * 100_000
     client.answers = [answer]
--- a/tests/platform/test_decoders.py
+++ b/tests/platform/test_decoders.py
@@ -1,4 +1,4 @@
-"""Whatever is written, decoding ends in a result or in ``MalformedError``."""
+"""Decoding fuzzed input returns a result or raises ``MalformedError``."""
 
 from __future__ import annotations
 
@@ -85,55 +85,55 @@
     ],
     ids=["endpoint", "configuration", "goal"],
 )
-def test_documents_decode_as_they_are(decode, document):
-    assert damage.is_sane(decode(json.dumps(document).encode()))
+def test_valid_documents_are_decoded(decode, document):
+    assert damage.is_bounded(decode(json.dumps(document).encode()))
 
 
-@damage.quick
-@hypothesis.given(damage.damaged(ENTRY))
-def test_any_entry_is_an_endpoint_or_malformed(data):
-    found = damage.decoded(endpoints.decode_endpoint, "a", data)
-    assert damage.is_sane(found)
+@damage.QUICK
+@hypothesis.given(damage.damaged_documents(ENTRY))
+def test_any_entry_is_decoded_or_malformed(data):
+    found = damage.decode_or_none(endpoints.decode_endpoint, "a", data)
+    assert damage.is_bounded(found)
 
 
-@damage.quick
+@damage.QUICK
 @hypothesis.given(strategies.text(max_size=300))
-def test_any_key_of_an_entry_can_stand_in_a_header_or_is_malformed(key):
+def test_any_entry_key_is_valid_in_a_header_or_malformed(key):
     data = json.dumps(ENTRY).encode()
-    found = damage.decoded(endpoints.decode_endpoint, key, data)
+    found = damage.decode_or_none(endpoints.decode_endpoint, key, data)
     assert found is None or (key.isascii() and key.isprintable())
 
 
-@damage.quick
-@hypothesis.given(damage.damaged(CONFIGURATION))
-def test_any_configuration_is_one_or_malformed(data):
-    assert damage.is_sane(
-        damage.decoded(configuration.decode_configuration, data)
+@damage.QUICK
+@hypothesis.given(damage.damaged_documents(CONFIGURATION))
+def test_any_configuration_is_decoded_or_malformed(data):
+    assert damage.is_bounded(
+        damage.decode_or_none(configuration.decode_configuration, data)
     )
 
 
-@damage.quick
-@hypothesis.given(damage.damaged(GOAL))
-def test_any_goal_is_one_or_malformed(data):
-    assert damage.is_sane(
-        damage.decoded(configuration.decode_weight_goal, data)
+@damage.QUICK
+@hypothesis.given(damage.damaged_documents(GOAL))
+def test_any_goal_is_decoded_or_malformed(data):
+    assert damage.is_bounded(
+        damage.decode_or_none(configuration.decode_weight_goal, data)
     )
 
 
-@damage.quick
-@hypothesis.given(damage.damaged(REPORT))
-def test_any_report_is_one_or_malformed(data):
-    found = damage.decoded(decoding.decode, data, engines.WireReport)
+@damage.QUICK
+@hypothesis.given(damage.damaged_documents(REPORT))
+def test_any_report_is_decoded_or_malformed(data):
+    found = damage.decode_or_none(decoding.decode, data, engines.WireReport)
     if found is not None:
-        assert damage.is_sane(
+        assert damage.is_bounded(
             [found.seq, *(row.version for row in found.models)]
         )
 
 
-@damage.quick
-@hypothesis.given(damage.damaged(ENTRY), strategies.integers(0, 3))
-def test_no_good_entry_is_lost_among_bad_ones(data, place):
-    """Entries of another writer lie anywhere among those of endpoints."""
+@damage.QUICK
+@hypothesis.given(damage.damaged_documents(ENTRY), strategies.integers(0, 3))
+def test_valid_entries_are_kept_among_malformed_ones(data, place):
+    """A malformed entry stands at any position among valid entries."""
     known = registry.EndpointRegistry(
         endpoints.decode_endpoint, lambda ids: None, clocks.ManualClock()
     )
@@ -145,10 +145,12 @@
     assert ids - {"other"} == {"good-0", "good-1", "good-2"}
 
 
-@damage.quick
-@hypothesis.given(damage.damaged(CONFIGURATION), damage.damaged(GOAL))
-def test_no_good_document_is_lost_among_bad_ones(data, goal):
-    """What can't be read lies before newer documents that can."""
+@damage.QUICK
+@hypothesis.given(
+    damage.damaged_documents(CONFIGURATION), damage.damaged_documents(GOAL)
+)
+def test_valid_documents_are_applied_after_malformed_ones(data, goal):
+    """Malformed documents stand before newer, valid ones."""
     feed = following.OperatorFeed(
         documents.OperatorDocuments(), lambda found: None
     )
--- a/tests/platform/test_endpoints.py
+++ b/tests/platform/test_endpoints.py
@@ -1,4 +1,4 @@
-"""What endpoints say of themselves."""
+"""Entries of endpoints."""
 
 from __future__ import annotations
 
@@ -23,18 +23,19 @@
     return endpoints.decode_endpoint("i-1", data)
 
 
-def test_entry_names_the_start_of_its_endpoint():
+def test_entry_identifies_the_start_of_its_endpoint():
     assert decode(born=5).start == starts.Start("i-1", 5)
 
 
-def test_entry_of_an_endpoint_that_does_not_say_when_it_started():
+def test_entry_without_start_time_has_an_unknown_start():
     assert decode().start == starts.Start("i-1", starts.UNKNOWN_MS)
 
 
 @pytest.mark.parametrize("born", [-1, 5.5, True, "5", None, [5], 2**60])
-def test_entry_whose_birth_is_no_time_is_malformed(born):
-    """An entry comes from another writer.  A birth far ahead would make
-    all true entries of the endpoint look outdated for good.
+def test_entry_with_an_invalid_start_time_is_malformed(born):
+    """Guards against a start time that is far in the future.
+
+    It would make all later entries of the endpoint look outdated.
     """
     with pytest.raises(decoding.MalformedError):
         decode(born=born)
--- a/tests/platform/test_engines.py
+++ b/tests/platform/test_engines.py
@@ -10,7 +10,7 @@
 
 
 class Answer:
-    """What an engine answered."""
+    """Response of an engine."""
 
     status = 200
 
@@ -19,7 +19,7 @@
 
 
 class AnsweredClient(engines.EngineClient):
-    """A client whose calls are all answered alike."""
+    """Client with one answer to all calls."""
 
     def __init__(self, data, tally):
         super().__init__(tally)
@@ -39,7 +39,7 @@
     return client.report("127.0.0.1:1", "engine-1")
 
 
-def test_report_is_read(counted):
+def test_valid_report_is_decoded(counted):
     assert report(REPORT, counted) == orders.Report({"m": 2}, False, 3)
     assert counted == []
 
@@ -47,8 +47,8 @@
 @pytest.mark.parametrize(
     "data",
     [
-        pytest.param(REPORT[:-1], id="cut short"),
-        pytest.param(REPORT.replace(b"3", b'"3"'), id="seq a text"),
+        pytest.param(REPORT[:-1], id="truncated"),
+        pytest.param(REPORT.replace(b"3", b'"3"'), id="seq as text"),
         pytest.param(REPORT.replace(b"2", b"-2"), id="version below zero"),
         pytest.param(
             REPORT.replace(b"2", b"9" * 30), id="version beyond 64 bits"
@@ -56,11 +56,11 @@
         pytest.param(b'{"x":' + b"[" * 100_000, id="nested deeply"),
     ],
 )
-def test_report_that_cannot_be_read_is_none_and_counts(counted, data):
-    """An engine tells weights with a number beyond 64 bits.
+def test_malformed_report_is_rejected_and_counted(counted, data):
+    """Guards against accepting a weight version beyond 64 bits.
 
-    It was taken in and told to peers; no message carried it, and the
-    heartbeats of this instance ended.
+    It would be published to peers, but no message can carry it, so the
+    heartbeats of this instance would stop.
     """
     with pytest.raises(orders.EngineUnavailableError):
         report(data, counted)
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""An instance before records that other writers left in its topics."""
+"""Malformed records of other writers in the topics of an instance."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 from briarseam.testing import waiting
 
-# Deeper than any parser of this process goes.
+# Nested more deeply than the parsers of this process accept.
 NESTED = b'{"x":' + b"[" * 100_000
 BAD = [b"{}", b"\xff\xfe", b'"ready"', NESTED, b'{"service":"portal"}']
-PATIENCE_S = 10
+TIMEOUT_S = 10
 
 
 def count(system, kind):
-    """Return how often the metrics address tells a kind as malformed."""
+    """Return the metric of malformed items of one kind."""
     page = system.http.request("GET", system.url("metrics", "/metrics")).data
     for line in page.decode().splitlines():
         if line.startswith("briarseam_malformed_total") and kind in line:
@@ -28,11 +28,11 @@
     return {found.id for found in system.node.feeds.registry.all()}
 
 
-def test_bad_records_hide_no_good_one_and_are_counted(system):
-    """Other writers leave records in all topics that an instance follows.
+def test_malformed_records_are_skipped_and_counted(system):
+    """Guards against dropping the records after a malformed one in a read.
 
-    What lay behind the first of them in a read was never taken in: new
-    endpoints got no requests, and leaving ones went on getting some.
+    New endpoints would get no requests, and leaving ones would still get
+    some.
     """
     for number, value in enumerate(BAD):
         for topic in ("servers", "op", "briarseam-members"):
@@ -42,7 +42,7 @@
     system.add_worker("plain-3", "portal")
     system.write_entry("plain-1", "portal", "draining")
     system.write_entry("plain-2", "portal", "draining")
-    waiting.until(lambda: "plain-3" in known(system), PATIENCE_S)
+    waiting.until(lambda: "plain-3" in known(system), TIMEOUT_S)
     answer = system.call("/status/x", "GET")
     assert answer.status == 200
     assert answer.data == b"plain-3 did it"
@@ -50,24 +50,24 @@
     assert count(system, '"endpoint"') >= len(BAD)
     assert count(system, '"operator-document"') == 2
     waiting.until(
-        lambda: count(system, '"registration"') >= len(BAD), PATIENCE_S
+        lambda: count(system, '"registration"') >= len(BAD), TIMEOUT_S
     )
 
 
 def test_endpoint_whose_entry_is_overwritten_gets_no_requests(system):
     """Another writer overwrites the entry of one of two endpoints."""
     system.store.write_raw("keyed.servers", "plain-1", b"{}")
-    waiting.until(lambda: "plain-1" not in known(system), PATIENCE_S)
+    waiting.until(lambda: "plain-1" not in known(system), TIMEOUT_S)
     answers = {system.call("/status/x", "GET").data for _ in range(10)}
     assert answers == {b"plain-2 did it"}
 
 
-def test_instance_that_starts_among_bad_records_serves(cold_system):
-    """Bad records lie in all topics before an instance starts.
+def test_instance_starts_and_serves_among_malformed_records(cold_system):
+    """Guards against a start that fails at malformed records in the topics.
 
-    It took in none behind the first bad one.  It also never met its peers:
-    the secret had to be the first record of the topic, and it asked the
-    store again and again, without a pause.
+    The instance would skip all records after the first malformed one.  It
+    would also never meet its peers if the secret had to be the first record
+    of the topic, and would query the store without a pause.
     """
     for topic in ("servers", "op", "briarseam-members"):
         for number, value in enumerate(BAD):
@@ -80,35 +80,35 @@
     assert set(rows) <= {"one"}
     waiting.until(
         lambda: set(cold_system.node.feeds.registrations.by_name) == {"one"},
-        PATIENCE_S,
+        TIMEOUT_S,
     )
 
 
 @pytest.mark.parametrize(
     "target, status",
     [
-        pytest.param("//[", 400, id="broken address"),
+        pytest.param("//[", 400, id="invalid address"),
         pytest.param("/briarseam/resolve?zone=[", 200, id="bracket"),
     ],
 )
 def test_lookup_of_any_target_is_answered(system, target, status):
-    """A caller asks for a target that looks like a broken address."""
+    """The target of a lookup looks like an invalid address."""
     host, _, port = str(system.node.settings.listen.lookups).rpartition(":")
     with system.http.connection_from_host(host, int(port)) as pool:
         answer = pool.urlopen("GET", target, headers={"Host": "x"})
     assert answer.status == status
 
 
-def test_prompt_of_more_tokens_than_any_has_is_refused(system):
-    """A caller names a number of tokens beyond 64 bits.
+def test_prompt_with_too_many_tokens_is_refused(system):
+    """Guards against accepting a number of tokens beyond 64 bits.
 
-    Work at endpoints is told to peers; no message carried the sum, and the
-    heartbeats of this instance ended.
+    The work at endpoints is published to peers, but no message can carry
+    such a sum, so the heartbeats of this instance would stop.
     """
     for usage in (f"{10**30},50", "-5,50", f"10,{10**30}"):
         answer = system.stream("/draft/x", Token_Usage=usage)
         assert answer.status == 400
     answer = system.stream("/draft/x", Prefix_Hash=f"aa:{10**30}")
     assert answer.status == 400
-    told = msgspec.msgpack.decode(system.node.chooser.loads.provide())
-    assert told[-1] == []
+    work = msgspec.msgpack.decode(system.node.chooser.loads.provide())
+    assert work[-1] == []
--- a/tests/platform/test_header_decoders.py
+++ b/tests/platform/test_header_decoders.py
@@ -1,4 +1,4 @@
-"""Whatever headers and targets hold, they are decoded or refused."""
+"""Fuzzed headers and targets are decoded or refused."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 numbers = strategies.sampled_from([*ODD_NUMBERS, *HUGE_NUMBERS, "5"]) | (
     strategies.text(max_size=10)
 )
-# Mostly whole numbers, so that many prompts are damage.decoded to their end.
+# Mostly integers, so that many prompts are decoded completely.
 counts = strategies.sampled_from(["5", "7", " 7 ", "-1", "²", *HUGE_NUMBERS])
 callers_headers = strategies.fixed_dictionaries(
     {
@@ -35,29 +35,29 @@
 )
 
 
-@damage.quick
+@damage.QUICK
 @hypothesis.given(callers_headers)
-def test_any_headers_of_a_caller_are_a_call_or_refused(headers):
+def test_any_caller_headers_are_decoded_or_refused(headers):
     try:
         call = requests.decode_call("GET", "/x", list(headers.items()))
     except refusing.MalformedCallError:
         return
-    assert damage.is_sane([call.time_left_s, call.prompt])
+    assert damage.is_bounded([call.time_left_s, call.prompt])
 
 
-@damage.quick
+@damage.QUICK
 @hypothesis.given(endpoints_headers)
-def test_any_headers_of_an_endpoint_are_an_answer(headers):
+def test_any_endpoint_headers_are_decoded(headers):
     head = requests.decode_answer(200, list(headers.items()))
-    assert damage.is_sane([head.retry_after_s, head.version])
+    assert damage.is_bounded([head.retry_after_s, head.version])
 
 
-@damage.quick
+@damage.QUICK
 @hypothesis.given(
     strategies.text(max_size=30)
     | strategies.sampled_from(["//[", "http://[", "/briarseam/resolve?[=["])
 )
-def test_any_target_is_a_lookup_or_none(target):
+def test_any_target_is_decoded_without_an_error(target):
     answers.decode_lookup(target)
     answers.decode_lookup(f"/briarseam/resolve?{target}")
     answers.is_readiness(target)
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,4 +1,4 @@
-"""The names of the platform's wire stand in one package alone."""
+"""The names of the platform's wire formats are used in one package only."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("pattern", [HEADERS, CALLS, FIELDS])
-def test_no_module_outside_the_adapter_knows_the_wire(pattern):
+def test_wire_names_appear_only_in_the_adapter(pattern):
     found = [
         f"{path.relative_to(SOURCE)}: {match.group()}"
         for path in MODULES
--- a/tests/platform/test_restarted_endpoint.py
+++ b/tests/platform/test_restarted_endpoint.py
@@ -1,7 +1,7 @@
-"""An endpoint that starts again under its name is another one.
+"""State of an endpoint is dropped when the endpoint restarts.
 
-What is remembered of an endpoint (`THINGS`) by the way in which its restart
-shows first (`WAYS`), in an instance that is wired as it serves.
+The tests combine each kind of state (`STATE_KINDS`) with each way in which a
+restart is detected first (`RESTART_SIGNALS`).
 """
 
 from __future__ import annotations
@@ -17,68 +17,72 @@
     return restarted.Case(cold_system)
 
 
-@pytest.mark.parametrize("way", restarted.WAYS)
-@pytest.mark.parametrize("thing", restarted.THINGS)
-def test_new_start_is_known_for_nothing_of_the_one_before(case, thing, way):
-    """An engine crashes and is back under its name within a second.
+@pytest.mark.parametrize("signal", restarted.RESTART_SIGNALS)
+@pytest.mark.parametrize("kind", restarted.STATE_KINDS)
+def test_new_start_inherits_no_state_of_the_former_one(case, kind, signal):
+    """Guards against state that is carried over to a restarted engine.
 
-    Its entry never went missing.  Prompts go where nothing of them is held
-    any more, and weights that it lost count as in place for good, since
-    what was known by its name is still taken to be so.
+    The engine crashes and restarts under its name within a second, so its
+    entry never disappears.  With the former state, prompts would be routed
+    to it for a cache that is gone, and lost weights would count as loaded.
     """
-    about = restarted.THINGS[thing]
-    about.note(case.node, restarted.OLD, case)
+    state = restarted.STATE_KINDS[kind]
+    state.record(case.node, restarted.OLD, case)
     assert case.id() == restarted.OLD
-    restarted.restart(case, way)
-    assert not about.knows(case.node, case.id())
+    restarted.restart(case, signal)
+    assert not state.is_known(case.node, case.id())
 
 
-@pytest.mark.parametrize("way", restarted.WAYS)
-@pytest.mark.parametrize("thing", restarted.LASTING)
-def test_nothing_stays_behind_of_a_start_that_is_over(case, thing, way):
-    about = restarted.THINGS[thing]
-    about.note(case.node, restarted.OLD, case)
-    restarted.restart(case, way)
-    assert not about.knows(case.node, restarted.OLD)
+@pytest.mark.parametrize("signal", restarted.RESTART_SIGNALS)
+@pytest.mark.parametrize("kind", restarted.PERSISTENT_STATE)
+def test_state_of_a_former_start_is_dropped(case, kind, signal):
+    state = restarted.STATE_KINDS[kind]
+    state.record(case.node, restarted.OLD, case)
+    restarted.restart(case, signal)
+    assert not state.is_known(case.node, restarted.OLD)
 
 
-@pytest.mark.parametrize("thing", restarted.THINGS)
-def test_word_of_an_earlier_start_that_comes_late_changes_nothing(case, thing):
-    """A peer that has not heard of the restart yet tells what it knows, or
-    an answer of the engine was still on its way when it died.
+@pytest.mark.parametrize("kind", restarted.STATE_KINDS)
+def test_late_update_for_a_former_start_does_not_reach_the_new_one(case, kind):
+    """The update comes from a peer that does not know of the restart yet, or
+    from an answer that was in transit when the engine crashed.
     """
     restarted.restart(case, "entry")
-    about = restarted.THINGS[thing]
-    about.note(case.node, restarted.OLD, case)
-    assert not about.knows(case.node, case.id())
+    state = restarted.STATE_KINDS[kind]
+    state.record(case.node, restarted.OLD, case)
+    assert not state.is_known(case.node, case.id())
 
 
-@pytest.mark.parametrize("thing", restarted.LASTING)
-def test_late_word_of_an_earlier_start_is_not_kept_for_good(case, thing):
-    """Engines restart all day, and an answer on its way is noted each
-    time.  An instance that lives for weeks would run out of memory.
+@pytest.mark.parametrize("kind", restarted.PERSISTENT_STATE)
+def test_late_update_for_a_former_start_is_swept(case, kind):
+    """Guards against a memory leak through late answers.
+
+    Engines restart often, and answers in transit are recorded each time; an
+    instance that runs for weeks would run out of memory.
     """
     restarted.restart(case, "entry")
-    about = restarted.THINGS[thing]
-    about.note(case.node, restarted.OLD, case)
+    state = restarted.STATE_KINDS[kind]
+    state.record(case.node, restarted.OLD, case)
     case.node.keep_only_endpoints(case.registry.ids())
-    assert not about.knows(case.node, restarted.OLD)
+    assert not state.is_known(case.node, restarted.OLD)
 
 
-@pytest.mark.parametrize("thing", restarted.LASTING)
-def test_what_is_known_of_the_present_start_stays(case, thing):
+@pytest.mark.parametrize("kind", restarted.PERSISTENT_STATE)
+def test_state_of_the_current_start_is_kept(case, kind):
     restarted.restart(case, "entry")
-    about = restarted.THINGS[thing]
-    about.note(case.node, restarted.NEW, case)
+    state = restarted.STATE_KINDS[kind]
+    state.record(case.node, restarted.NEW, case)
     case.node.keep_only_endpoints(case.registry.ids())
     case.registry.apply_changes([case.entry()])
-    assert about.knows(case.node, case.id())
+    assert state.is_known(case.node, case.id())
+
 
+def test_request_lost_at_several_starts_of_an_endpoint_is_refused(case):
+    """Guards against losses that are counted by the name of an endpoint.
 
-def test_request_lost_with_each_start_of_an_endpoint_is_refused(case):
-    """A request crashes an engine, which is back under its name after some
-    seconds; its caller sends it again.  Counted by names it would be lost
-    once, and take the engine down for as long as it is sent.
+    A request crashes an engine, which restarts under its name, and the
+    caller sends the request again.  Counted by name, it would have been lost
+    at one endpoint only, and would crash the engine again and again.
     """
     guard = case.node.guard
     for born_ms in (1, 2, 3):
--- a/tests/platform/test_restarted_endpoint_news.py
+++ b/tests/platform/test_restarted_endpoint_news.py
@@ -1,4 +1,4 @@
-"""News of an endpoint's starts: late, without a birth, or its end."""
+"""Updates on an endpoint's starts: late, without start time, or removal."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     return restarted.Case(cold_system)
 
 
-# News of an earlier start, by the way that it takes.
+# Late updates from a former start, by their source.
 
 
 def late_entry(case):
@@ -46,30 +46,31 @@
 @pytest.mark.parametrize(
     "late", [late_entry, late_newest_entries, late_report, late_peer]
 )
-@pytest.mark.parametrize("way", restarted.WAYS)
-def test_news_of_an_earlier_start_changes_nothing(case, way, late):
-    """An engine writes its entry and dies; the store takes the entry in
-    seconds later, after that of the next start.
-
-    Taken in, it would bring the dead start back, at its former address and
-    with its weights, and all that is known of the living one would go.
+@pytest.mark.parametrize("signal", restarted.RESTART_SIGNALS)
+def test_late_update_from_a_former_start_changes_nothing(case, signal, late):
+    """Guards against applying a late entry of a former start.
+
+    An engine writes its entry and crashes; the entry reaches the store
+    seconds later, after that of the next start.  Applied, it would restore
+    the former start with its address and weights, and all state of the
+    current start would be dropped.
     """
-    restarted.restart(case, way)
+    restarted.restart(case, signal)
     known = case.registry.all()
-    for thing in restarted.LASTING:
-        restarted.THINGS[thing].note(case.node, restarted.NEW, case)
+    for kind in restarted.PERSISTENT_STATE:
+        restarted.STATE_KINDS[kind].record(case.node, restarted.NEW, case)
     late(case)
     assert case.registry.all() == known
     assert [endpoint.versions for endpoint in case.registry.all()] == [
         endpoint.versions for endpoint in known
     ]
-    for thing in restarted.LASTING:
-        assert restarted.THINGS[thing].knows(case.node, restarted.NEW)
+    for kind in restarted.PERSISTENT_STATE:
+        assert restarted.STATE_KINDS[kind].is_known(case.node, restarted.NEW)
 
 
-def test_late_entry_does_not_bring_a_start_back_that_another_followed(case):
-    """The engine starts again and leaves; then the store takes in what its
-    first start had written.
+def test_late_entry_does_not_restore_a_former_start(case):
+    """The engine restarts and leaves; then the entry of its first start
+    reaches the store.
     """
     restarted.restart(case, "entry")
     case.registry.apply_changes([records.KeyedRecord(restarted.NAME, None)])
@@ -77,13 +78,15 @@
     assert case.registry.all() == []
 
 
-@pytest.mark.parametrize("way", ["report", "peer"])
-def test_weights_of_a_start_are_unknown_until_it_tells_them(case, way):
-    """A report shows that an engine has started again; its own entry comes
-    a second later.  With the weights that its entry before named, prompts
-    would be read under others than they name.
+@pytest.mark.parametrize("signal", ["report", "peer"])
+def test_weights_of_a_start_are_unknown_until_it_reports_them(case, signal):
+    """Guards against carrying over weight versions to a new start.
+
+    A report shows the restart of an engine; its entry follows a second
+    later.  With the weight versions of the former entry, prompts would run
+    on other weights than they request.
     """
-    restarted.restart(case, way)
+    restarted.restart(case, signal)
     (endpoint,) = case.registry.all()
     assert endpoint.versions == {systems.MODEL: 0}
     case.registry.apply_changes([case.entry()])
@@ -91,15 +94,15 @@
     assert endpoint.versions == {systems.MODEL: 1}
 
 
-@pytest.mark.parametrize("way", ["report", "peer"])
-def test_end_of_the_entry_before_does_not_end_the_new_start(case, way):
-    """An engine dies, starts again, and answers a call before its entry is
-    written; only then the store drops the entry of the start before.
+@pytest.mark.parametrize("signal", ["report", "peer"])
+def test_removal_of_the_former_entry_keeps_the_new_start(case, signal):
+    """Guards against removing a live endpoint with its former entry.
 
-    Taken to be gone, it would get no work though it is there, and what it
-    has told of itself would be forgotten.
+    An engine restarts and answers a call before its entry is written; only
+    then does the store remove the entry of the former start.  Removed, the
+    engine would get no work, and its reported state would be dropped.
     """
-    restarted.restart(case, way)
+    restarted.restart(case, signal)
     case.node.weights.known_weights.record_version(
         restarted.NEW, systems.MODEL, 7
     )
@@ -108,9 +111,9 @@
     assert restarted.knows_weights(case.node, restarted.NEW)
 
 
-@pytest.mark.parametrize("way", restarted.WAYS)
-def test_end_of_its_own_entry_ends_the_new_start(case, way):
-    restarted.restart(case, way)
+@pytest.mark.parametrize("signal", restarted.RESTART_SIGNALS)
+def test_removal_of_its_own_entry_removes_the_new_start(case, signal):
+    restarted.restart(case, signal)
     case.registry.hold_lapsed_until_s = 0.0
     case.node.weights.known_weights.record_version(
         restarted.NEW, systems.MODEL, 7
@@ -121,13 +124,13 @@
     assert not restarted.knows_weights(case.node, restarted.NEW)
 
 
-@pytest.mark.parametrize("way", restarted.WAYS)
-def test_entry_that_cannot_be_read_ends_the_new_start(case, way):
+@pytest.mark.parametrize("signal", restarted.RESTART_SIGNALS)
+def test_malformed_entry_removes_the_new_start(case, signal):
     """Another writer overwrites the engine's entry just after its restart.
 
-    The entry names no endpoint any more, so nothing is known of one.
+    The entry describes no endpoint any more, so no state may be kept.
     """
-    restarted.restart(case, way)
+    restarted.restart(case, signal)
     case.node.weights.known_weights.record_version(
         restarted.NEW, systems.MODEL, 7
     )
@@ -136,11 +139,10 @@
     assert not restarted.knows_weights(case.node, restarted.NEW)
 
 
-def test_entry_without_a_time_of_birth_is_no_restart(case):
-    """An entry comes from a writer that does not know of births.
+def test_entry_without_start_time_is_not_a_restart(case):
+    """The entry comes from a writer that does not report start times.
 
-    What it says holds of the start that is there, and what is known of
-    that stays known.
+    It applies to the current start, whose state is kept.
     """
     case.node.weights.known_weights.record_version(
         restarted.OLD, systems.MODEL, 7
@@ -152,7 +154,7 @@
     assert restarted.knows_weights(case.node, restarted.OLD)
 
 
-def test_report_without_a_time_of_birth_is_taken(case):
+def test_report_without_start_time_is_accepted(case):
     case.worker.born = None
     client = case.node.weights.rollout.sources.engines
     report = client.report(case.worker.address, restarted.OLD)
--- a/tests/platform/test_restarted_endpoint_serving.py
+++ b/tests/platform/test_restarted_endpoint_serving.py
@@ -1,4 +1,4 @@
-"""An endpoint that starts again while requests are served."""
+"""An endpoint that restarts while requests are served."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def born_system(cold_system):
-    """A started instance with one engine that says when it was born."""
+    """A started instance with one engine that reports its start time."""
     worker = engines.Engine(
         restarted.NAME, systems.MODEL, 0.0, 0.0, restarted.OLD_BORN
     )
@@ -23,22 +23,24 @@
     return cold_system
 
 
-def test_request_names_the_endpoint_as_the_platform_does(born_system):
-    """Endpoints turn away what names another one; they know nothing of the
-    ids by which instances tell their starts apart.
+def test_request_carries_the_endpoint_name_without_its_start(born_system):
+    """Endpoints reject requests that name another endpoint, and don't know
+    the ids by which instances distinguish starts.
     """
     assert born_system.stream("/draft/x").status == 200
     headers = born_system.workers[restarted.NAME].headers_of()
     assert headers["expect-instance"] == restarted.NAME
 
 
-def test_restart_that_a_peer_tells_is_taken_in(born_system):
-    """Restarts are a section of heartbeats; unwired, peers would learn of
-    one that a report showed a second later, from the engine's entry.
+def test_restart_published_by_a_peer_is_applied(born_system):
+    """Guards against a heartbeat section of restarts that is not wired.
+
+    Peers would learn of a restart seen in a report a second later, from the
+    engine's entry.
     """
     instances = born_system.node.instances
     waiting.until(
-        lambda: instances.membership is not None, restarted.PATIENCE_S
+        lambda: instances.membership is not None, restarted.TIMEOUT_S
     )
     content = {
         "endpoint-starts": restarted.packed(
@@ -51,33 +53,34 @@
     ]
 
 
-def test_late_word_is_swept_while_serving(born_system):
-    """An answer was on its way when its engine died."""
+def test_late_update_is_swept_while_serving(born_system):
+    """An answer was in transit when its engine crashed."""
     residency = born_system.node.chooser.residency
     residency.record(
         starts.Start(restarted.NAME, 1).id, restarted.SALT, restarted.PARTS, 0
     )
-    waiting.until(lambda: not residency.held, restarted.PATIENCE_S)
+    waiting.until(lambda: not residency.held, restarted.TIMEOUT_S)
 
 
-def test_engine_that_is_back_with_its_first_weights_gets_the_newest(
+def test_restarted_engine_with_old_weights_is_updated(
     born_system,
 ):
-    """Weights are put in place; then the engine crashes and is back within
-    a second, with those that it began with.
+    """Guards against a restarted engine that counts as up to date.
 
-    Known by its name, it would count as up to date for good.
+    An engine loads new weights, crashes and restarts within a second with
+    its initial weights.  Identified by its name, it would never be updated
+    again.
     """
     worker = born_system.workers[restarted.NAME]
     goal = {"model": systems.MODEL, "version": 2}
     born_system.store.write("keyed.op", f"version/{systems.MODEL}", goal)
-    waiting.until(lambda: worker.version == 2, restarted.PATIENCE_S)
+    waiting.until(lambda: worker.version == 2, restarted.TIMEOUT_S)
     known_weights = born_system.node.weights.known_weights
     waiting.until(
         lambda: known_weights.version(restarted.OLD, systems.MODEL, 0) == 2,
-        restarted.PATIENCE_S,
+        restarted.TIMEOUT_S,
     )
     worker.restart(restarted.NEW_BORN)
     worker.version = 1
     born_system.write_entry(restarted.NAME, "engines", weights=1)
-    waiting.until(lambda: worker.version == 2, restarted.PATIENCE_S)
+    waiting.until(lambda: worker.version == 2, restarted.TIMEOUT_S)
--- a/tests/platform/test_restarted_store.py
+++ b/tests/platform/test_restarted_store.py
@@ -1,7 +1,7 @@
-"""A store of KV cache that starts again holds nothing of before.
+"""A store of KV cache that restarts is empty.
 
-By the way in which the restart shows first (`WAYS`): the store's pages of
-events, its list, and what a peer that reads the store tells.
+The restart is detected (`RESTART_SIGNALS`) in the store's events, in its
+list, or in the update of a peer that reads the store.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class Case:
-    """A store, an instance that reads it, and one that asks that."""
+    """A store, an instance that reads it, and one that queries the reader."""
 
     def __init__(self, store, monkeypatch) -> None:
         monkeypatch.setattr(store_watch, "WAIT_S", 0.0)
@@ -44,28 +44,28 @@
         self.watch = store_watch.StoreWatch(
             cache.CacheStoreClient(), store.address, self.index
         )
-        self.reader = index_of(store.address)
-        self.reading = store_watch.StoreWatch(
-            cache.CacheStoreClient(), store.address, self.reader
+        self.reader_index = index_of(store.address)
+        self.reader_watch = store_watch.StoreWatch(
+            cache.CacheStoreClient(), store.address, self.reader_index
         )
         self.sharing = store_sharing.StoreSharing(
-            self.reader, lambda address: True
+            self.reader_index, lambda address: True
         )
-        self.asking = shared_watch.SharedWatch(
+        self.shared_watch = shared_watch.SharedWatch(
             self, "reader", [store.address], self.index
         )
 
-    def read_stores(self, reader, asked, timeout_s):
-        return self.sharing.answer(asked)
+    def read_stores(self, reader, query, timeout_s):
+        return self.sharing.answer(query)
 
-    def fetched(self):
+    def is_fetched(self):
         return self.index.plan(SALT, PARTS).fetch_from != ("",)
 
     def is_saving(self):
         return (SALT, "b") in self.index.pending_saves
 
-    def told(self, born, epoch, whole, readable=True):
-        """Return what a peer tells that has part "a" of some start."""
+    def peer_update(self, born, epoch, complete, readable=True):
+        """Return a peer's update with part "a" of some start."""
         return messages.StoreUpdate(
             self.store.address,
             readable,
@@ -73,7 +73,7 @@
             "generation",
             1,
             0.0,
-            whole,
+            complete,
             ((SALT, "a", 100),),
             born,
         )
@@ -88,11 +88,11 @@
 
 @pytest.fixture
 def case(store, monkeypatch):
-    """The store's part is known, and another is on its way there."""
+    """One part of the store is known, and another is being saved."""
     made = Case(store, monkeypatch)
     made.watch.poll()
-    made.reading.poll()
-    assert made.fetched()
+    made.reader_watch.poll()
+    assert made.is_fetched()
     made.index.record_saves(SALT, SAVED, [store.address])
     return made
 
@@ -102,78 +102,85 @@
 
 
 def by_list(case):
-    """The watch had lost the store, so it reads all anew."""
+    """The watch had lost the store, so it reads the whole list again."""
     case.watch.cursor = None
     case.watch.poll()
 
 
 def by_peer(case):
-    case.reading.poll()
-    case.reading.poll()
-    case.asking.poll()
+    case.reader_watch.poll()
+    case.reader_watch.poll()
+    case.shared_watch.poll()
 
 
-WAYS = {"events": by_events, "list": by_list, "peer": by_peer}
+RESTART_SIGNALS = {"events": by_events, "list": by_list, "peer": by_peer}
 STARTS = {
-    "epoch and birth": (NEW_BORN, 2),
+    "epoch and start time": (NEW_BORN, 2),
     "epoch alone": (None, 2),
-    "birth alone": (NEW_BORN, 1),
+    "start time alone": (NEW_BORN, 1),
 }
 
 
-@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("signal", RESTART_SIGNALS)
 @pytest.mark.parametrize("start", STARTS)
-def test_new_start_of_a_store_is_known_to_hold_nothing(case, way, start):
-    """A store loses power and is back at once, empty.
+def test_restarted_store_is_treated_as_empty(case, signal, start):
+    """Guards against using the former content of a restarted store.
 
-    A part of before is written again just then; fetched by what was known,
-    half of it would be garbage.  A part that was on its way is lost, and
-    would not be sent again for seconds.
+    A store loses power and restarts at once, empty.  If a known part is
+    fetched while it is being written again, half of it is garbage.  A part
+    that was being saved is lost, and would not be sent again for seconds.
     """
     case.store.restart(*STARTS[start])
-    WAYS[way](case)
-    assert not case.fetched()
+    RESTART_SIGNALS[signal](case)
+    assert not case.is_fetched()
     assert not case.is_saving()
     case.watch.poll()
     case.watch.poll()
     case.store.put(SALT, "a", 100)
     case.watch.poll()
-    assert case.fetched()
+    assert case.is_fetched()
 
 
-@pytest.mark.parametrize("whole", [True, False])
-@pytest.mark.parametrize("way", WAYS)
-def test_word_of_a_stores_earlier_start_changes_nothing(case, way, whole):
-    """The store starts again; a peer that has not seen it yet tells what
-    was there before.  Fetched, it would be garbage while it is written.
+@pytest.mark.parametrize("complete", [True, False])
+@pytest.mark.parametrize("signal", RESTART_SIGNALS)
+def test_late_update_for_a_former_start_changes_nothing(
+    case, signal, complete
+):
+    """A peer that has not detected the restart publishes the former content.
+
+    A part that is fetched while it is being written again is garbage.
     """
     case.store.restart(NEW_BORN, 2)
-    WAYS[way](case)
-    case.asking.apply(case.told(OLD_BORN, 1, whole))
-    assert not case.fetched()
+    RESTART_SIGNALS[signal](case)
+    case.shared_watch.apply(case.peer_update(OLD_BORN, 1, complete))
+    assert not case.is_fetched()
     case.watch.poll()
     case.watch.poll()
     case.store.put(SALT, "a", 100)
     case.watch.poll()
-    case.asking.apply(case.told(OLD_BORN, 1, whole))
-    assert case.fetched()
-    case.asking.apply(case.told(OLD_BORN, 1, whole, readable=False))
-    assert case.fetched()
+    case.shared_watch.apply(case.peer_update(OLD_BORN, 1, complete))
+    assert case.is_fetched()
+    case.shared_watch.apply(
+        case.peer_update(OLD_BORN, 1, complete, readable=False)
+    )
+    assert case.is_fetched()
 
 
-def test_peer_that_cannot_read_the_present_start_is_believed(case):
-    case.asking.apply(case.told(OLD_BORN, 1, False, readable=False))
-    assert not case.fetched()
+def test_report_that_the_current_start_is_unreadable_is_applied(case):
+    case.shared_watch.apply(
+        case.peer_update(OLD_BORN, 1, False, readable=False)
+    )
+    assert not case.is_fetched()
 
 
-def test_store_that_does_not_say_when_it_was_born_is_followed(case):
+def test_store_without_start_time_is_followed(case):
     case.store.born = None
     case.store.put(SALT, "b", 100)
     case.watch.poll()
-    assert case.fetched()
+    assert case.is_fetched()
     assert not case.is_saving()
 
 
-def test_words_of_a_stores_present_start_are_taken(case):
-    case.asking.apply(case.told(OLD_BORN, 1, False))
-    assert case.fetched()
+def test_update_for_the_current_start_is_applied(case):
+    case.shared_watch.apply(case.peer_update(OLD_BORN, 1, False))
+    assert case.is_fetched()
--- a/tests/platform/test_restored_store.py
+++ b/tests/platform/test_restored_store.py
@@ -1,4 +1,4 @@
-"""The store returns from an older copy of itself."""
+"""The store is restored from a backup."""
 
 from __future__ import annotations
 
@@ -45,14 +45,14 @@
 
 
 def follower_of(client, listener, topic=TOPIC):
-    """Return a follower whose reads the test does; the first is done."""
-    made_follower = following.Follower(client, topic, listener, wait_s=0.0)
-    made_follower.read_once()
-    return made_follower
+    """Return a follower after its first read; the test makes the others."""
+    follower = following.Follower(client, topic, listener, wait_s=0.0)
+    follower.read_once()
+    return follower
 
 
 def restore_with(store, old, *keys, topic=TOPIC):
-    """Restore a copy; others write before a follower reads again."""
+    """Restore a backup; others write before a follower reads again."""
     store.restore(old)
     for key in keys:
         store.write_raw(topic, key, b"new")
@@ -61,7 +61,7 @@
 def test_records_written_before_a_followers_offset_are_not_missed(
     store, client
 ):
-    """Guards against reading on from an offset that was given out again."""
+    """Guards against reading on from an offset that was assigned again."""
     old = store.copy()
     for key in ("a", "b"):
         store.write_raw(TOPIC, key, b"old")
@@ -75,8 +75,8 @@
 
 
 @pytest.mark.parametrize("first_era", [0, 1])
-def test_return_is_logged_from_any_era(store, client, first_era):
-    """Guards against a first era that is taken for an unknown one."""
+def test_restore_is_logged_from_any_era(store, client, first_era):
+    """Guards against treating the first era as unknown if it is 0."""
     store.era = first_era
     with structlog.testing.capture_logs() as lines:
         client.newest(TOPIC)
@@ -88,8 +88,8 @@
     ]
 
 
-def test_offsets_of_two_eras_are_not_taken_for_each_other(store, client):
-    """Guards against a reader that hands on records of another era."""
+def test_offsets_of_different_eras_are_distinguished(store, client):
+    """Guards against a reader that returns records of another era."""
     store.write_raw(TOPIC, "a", b"old")
     before = client.newest(TOPIC).next
     store.restore(store.copy())
@@ -105,18 +105,18 @@
 def test_cell_follows_the_restored_store_through_its_reader(
     store, monkeypatch
 ):
-    """Guards against askers whose offsets are of another era."""
+    """Guards against queries with offsets of another era."""
     monkeypatch.setattr(topic_reader.TopicReader, "start", lambda self: None)
     readers = fakes.FakeReaders()
-    for name in ("reader", "asker"):
+    for name in ("reader", "member"):
         readers.instances[name] = sharing.SharedReads(
             stores.StoreClient(store.address), [TOPIC], readers, name
         )
-    reading, asking = fakes.FakeListener(), fakes.FakeListener()
+    reading, querying = fakes.FakeListener(), fakes.FakeListener()
     old = store.copy()
     store.write_raw(TOPIC, "a", b"old")
     first = follower_of(readers.instances["reader"], reading)
-    second = follower_of(readers.instances["asker"], asking)
+    second = follower_of(readers.instances["member"], querying)
     reader = readers.instances["reader"]
     reader.start_reading()
     reader.active_readers[TOPIC].read_once()
@@ -125,11 +125,11 @@
         reader.active_readers[TOPIC].read_once()
         first.read_once()
         second.read_once()
-    assert set(reading.known) == set(asking.known) == {"b", "c"}
+    assert set(reading.known) == set(querying.known) == {"b", "c"}
 
 
-def test_late_answer_of_before_the_return_is_dropped(store, client):
-    """Guards against going back to what the store no longer has."""
+def test_late_answer_from_before_the_restore_is_rejected(store, client):
+    """Guards against going back to content that the store has lost."""
     client.newest(TOPIC)
     store.restore(store.copy())
     client.newest(TOPIC)
@@ -138,7 +138,7 @@
         client.newest(TOPIC)
 
 
-def test_fencing_numbers_rise_though_generations_go_back(store, client):
+def test_fencing_numbers_rise_when_generations_go_back(store, client):
     """Guards against orders that engines refuse after a restore."""
     clock = clocks.ManualClock()
     leadership = leader.Leadership(
@@ -156,8 +156,8 @@
     assert leadership.fence() > before
 
 
-def test_two_holders_in_one_era_have_different_numbers(store, client):
-    """Guards against fencing numbers made of the era alone."""
+def test_holders_in_one_era_have_different_fencing_numbers(store, client):
+    """Guards against fencing numbers derived from the era alone."""
     store.restore(store.copy())
     first = client.join("group", "one", "topic", LEASE_S, 0)
     client.leave("group", "one")
@@ -167,7 +167,7 @@
 
 
 def test_registration_and_secret_are_written_again(store, monkeypatch):
-    """Guards against a second secret, which parts members from newcomers."""
+    """Guards against a second secret, which would split the members."""
     monkeypatch.setattr(registrations, "REVIEW_S", 0.1)
     topic = names.MEMBERS_TOPIC
     client = stores.StoreClient(store.address)
@@ -207,8 +207,8 @@
         client.append(TOPIC, (b"\x01ax",), at=end)
 
 
-def test_times_of_goals_are_written_again(store, client):
-    """Guards against goals that seem new when all processes end later."""
+def test_goal_times_are_written_again(store, client):
+    """Guards against goals that seem new after a restart of all processes."""
     history = goals.GoalHistory()
     kept = goal_times.GoalTimes(
         client, TOPIC, history, lambda: True, era=lambda: client.era
@@ -224,10 +224,8 @@
     assert "m" in store.newest_of(TOPIC)
 
 
-def test_endpoints_whose_entries_are_missing_are_held_for_a_while(
-    store, client
-):
-    """Guards against taking endpoints that live for gone at once."""
+def test_endpoints_with_missing_entries_are_kept_for_a_while(store, client):
+    """Guards against dropping live endpoints at once."""
     clock = clocks.ManualClock()
     gone = []
     registry = registries.EndpointRegistry(
@@ -256,7 +254,7 @@
 
 
 class Unstarted(sharing.SharedReads):
-    """Reads through a cell's reader, whose thread the test does not start."""
+    """Reads through a cell's reader, whose thread is not started."""
 
     def start_reading(self):
         if not self.active_readers:
@@ -271,9 +269,10 @@
 
 
 class RestoredStore(stateful.RuleBasedStateMachine):
-    """Others write, copies are taken and restored, followers read.
+    """Records are written, backups made and restored, and followers read.
 
-    One follower asks the store, one reads for its cell, one asks that one.
+    One follower reads the store itself, one is the reader of its cell, and
+    one queries that reader.
     """
 
     def __init__(self):
@@ -281,9 +280,9 @@
         self.store = metadata_store.MetadataStore()
         readers = fakes.FakeReaders()
         self.clock = clocks.ManualClock()
-        for name in ("reader", "asker"):
+        for name in ("reader", "member"):
             readers.instances[name] = Unstarted(
-                AnsweredHere(self.store), [TOPIC], readers, name, self.clock
+                InProcessClient(self.store), [TOPIC], readers, name, self.clock
             )
         self.reader = readers.instances["reader"]
         self.listeners = [
@@ -291,7 +290,7 @@
             fakes.FakeListener(),
             fakes.FakeListener(),
         ]
-        reads = [AnsweredHere(self.store), *readers.instances.values()]
+        reads = [InProcessClient(self.store), *readers.instances.values()]
         self.followers = [
             follower_of(read, listener)
             for read, listener in zip(reads, self.listeners, strict=True)
@@ -324,7 +323,7 @@
     @stateful.rule(which=strategies.integers(0, 2))
     def read(self, which):
         self.clock.now_s += 1.0
-        # Nobody is asked while the reader has not read yet.
+        # Queries fail until the reader has read for the first time.
         with contextlib.suppress(records.StoreUnavailableError):
             self.followers[which].read_once()
 
@@ -345,8 +344,8 @@
                 assert listener.known == present
 
 
-class AnsweredHere(stores.StoreClient):
-    """A client whose calls a store in this process answers."""
+class InProcessClient(stores.StoreClient):
+    """Client whose calls are answered by a store in this process."""
 
     def __init__(self, store):
         super().__init__("127.0.0.1:1")
@@ -355,27 +354,27 @@
 
     def urlopen(self, method, url, body=None, **_options):
         path, _, query = url.partition("?")
-        asked = dict(part.split("=") for part in query.split("&"))
-        answered = self.store.answer(
+        fields = dict(part.split("=") for part in query.split("&"))
+        response = self.store.answer(
             http_messages.Request(
                 method,
                 tuple(path.strip("/").split("/")),
-                {**asked, "waitMs": "0"},
+                {**fields, "waitMs": "0"},
                 {},
                 body or b"",
                 None,
             )
         )
-        return Answered(answered)
+        return Response(response)
 
 
-class Answered:
-    """A response as the client's library has it."""
+class Response:
+    """Response with the attributes of the HTTP library."""
 
-    def __init__(self, answered):
-        self.status = answered.status
-        self.data = answered.body
-        self.headers = dict(answered.headers)
+    def __init__(self, response):
+        self.status = response.status
+        self.data = response.body
+        self.headers = dict(response.headers)
 
 
 RestoredStore.TestCase.settings = hypothesis.settings(
--- a/tests/platform/test_restored_store_serving.py
+++ b/tests/platform/test_restored_store_serving.py
@@ -1,4 +1,4 @@
-"""An instance goes on serving when the store returns from an older copy."""
+"""An instance keeps serving when the store is restored from a backup."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def restored(cold_system):
-    """A system whose store has lost all that was written before."""
+    """A system whose store has lost all records."""
     empty = cold_system.store.copy()
     cold_system.add_worker("plain-1", "portal")
     cold_system.configure(version=5)
@@ -22,7 +22,7 @@
 
 
 def members(system):
-    """Return what lies on the store of the system's instances."""
+    """Return the records of the system's instances in the store."""
     return system.store.newest_of(names.MEMBERS_TOPIC)
 
 
@@ -32,11 +32,11 @@
 
 
 def known(node):
-    """Return the versions of configuration and weights that a node has."""
-    wanted = node.feeds.operators.goals.newest.get(systems.MODEL)
+    """Return the known versions of configuration and weights."""
+    goal = node.feeds.operators.goals.newest.get(systems.MODEL)
     return (
         node.feeds.configuration_version(),
-        None if wanted is None else wanted.version,
+        None if goal is None else goal.version,
     )
 
 
@@ -46,13 +46,13 @@
     assert restored.call("/status/x", "GET").status == 200
 
 
-def test_instance_writes_itself_and_the_secret_again(restored):
-    """Guards against an instance that newcomers neither find nor trust."""
+def test_instance_registers_and_writes_the_secret_again(restored):
+    """Guards against an instance that new instances can't find or trust."""
     waiting.until(lambda: len(members(restored)) == 2)
 
 
-def test_configuration_does_not_go_back_and_follows_the_next_one(restored):
-    """Guards against an older configuration that the copy holds."""
+def test_older_configuration_is_ignored_and_the_next_is_applied(restored):
+    """Guards against going back to the configuration in the backup."""
     restored.configure(version=3)
     restored.write_entry("plain-1", "portal")
     waiting.until(lambda: restored.node.feeds.registry.all())
@@ -63,8 +63,8 @@
     assert restored.call("/status/x", "GET", key="more").status == 200
 
 
-def test_newcomer_gets_what_the_copy_lacks_from_its_peers(cold_system):
-    """Guards against a newcomer that goes by keys revoked meanwhile."""
+def test_new_instance_gets_missing_records_from_its_peers(cold_system):
+    """Guards against a new instance that accepts keys revoked meanwhile."""
     cold_system.configure(version=3)
     cold_system.add_worker("plain-1", "portal")
     cold_system.start()
@@ -75,5 +75,5 @@
     cold_system.store.write("keyed.op", f"version/{systems.MODEL}", goal)
     waiting.until(lambda: known(cold_system.node) == (5, 2))
     cold_system.store.restore(old)
-    newcomer = cold_system.begin_another("two")
+    newcomer = cold_system.launch_another("two")
     waiting.until(lambda: known(newcomer) == (5, 2), timeout_s=20)
--- a/tests/platform/test_rollout_in_time.py
+++ b/tests/platform/test_rollout_in_time.py
@@ -1,13 +1,11 @@
-"""A rollout is planned against the time within which it must end.
-
-The failure this guards against: prompts were refused for seconds, and work
-was late for many more, though all engines were sound.
-
-Order of events: weights were named; the duty to give orders moved twice, so
-that the first order came ten seconds later; engines were changed two at a
-time, each let its runs finish first, and three such rounds take longer than
-older weights may be used.  Then the older engines took no work, until the
-rollout came round to them.
+"""A rollout ends before the former weights may no longer be used.
+
+Guards against prompts that are refused although all engines work: the lease
+for giving orders moves twice after new weights are named, so that the first
+order is given ten seconds later.  Engines are updated two at a time, and each
+lets its runs finish first.  Three such rounds take longer than the former
+weights may be used, and engines that still have them get no work until they
+are updated.
 """
 
 from __future__ import annotations
@@ -22,14 +20,14 @@
 
 VERSION_MS = 8000
 ENGINES = 6
-# Two at a time let their runs finish: three rounds of 3.3 s are too many.
+# Two at a time let their runs finish: three rounds of 3.3 s take too long.
 DRAIN_S = 2.0
 LOAD_S = 0.6
-# What a process needs to be sure that nobody else gives orders.
+# Time until a process knows that no other one gives orders.
 TAKEOVER_S = 2.0
-# Review, notice to peers, and the order's way.
+# Review, notice to peers, and transmission of the order.
 ORDER_S = 1.5
-PATIENCE_S = 20
+TIMEOUT_S = 20
 
 
 @pytest.fixture
@@ -58,25 +56,25 @@
 
 
 def test_all_engines_are_changed_within_the_bound(system):
-    waiting.until(lambda: holds_duty(system), PATIENCE_S)
+    waiting.until(lambda: holds_duty(system), TIMEOUT_S)
     name_weights(system, 2)
     named_s = time.monotonic()
     waiting.until(
         lambda: all(each.version == 2 for each in system.workers.values()),
-        PATIENCE_S,
+        TIMEOUT_S,
     )
     assert time.monotonic() - named_s < VERSION_MS / 1000
     assert all(len(each.orders) == 1 for each in system.workers.values())
 
 
-def test_orders_go_on_at_once_after_all_processes_ended(system):
-    """Nobody else can be giving orders, so there is nobody to wait for."""
+def test_orders_continue_at_once_after_all_processes_stopped(system):
+    """No other process can be giving orders, so none has to be waited for."""
     name_weights(system, 2)
     system.node.stop()
     system.start()
     started_s = time.monotonic()
     waiting.until(
         lambda: any(each.orders for each in system.workers.values()),
-        PATIENCE_S,
+        TIMEOUT_S,
     )
     assert time.monotonic() - started_s < TAKEOVER_S + ORDER_S
--- a/tests/platform/test_stopping_cut_off.py
+++ b/tests/platform/test_stopping_cut_off.py
@@ -1,4 +1,4 @@
-"""What a process that is stopped does with what it can't wait for."""
+"""Requests that a process can't complete before its shutdown ends."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 pytestmark = pytest.mark.timeout(60)
 deployment = stopping.deployment
 
-# From SIGTERM, in seconds; the process ends its service after 7.
+# Seconds after SIGTERM; the process stops serving after 7 s.
 EARLY_S = 2.5
 LATE_S = 5.2
 AGAIN_S = 0.3
@@ -26,12 +26,12 @@
         yield made
 
 
-def test_second_signal_to_stop_cuts_no_request_off(deployment, pool):
-    """Two stops of all instances overlap, and bookings get no answer.
+def test_second_sigterm_cuts_off_no_request(deployment, pool):
+    """Guards against a second SIGTERM that ends the process at once.
 
-    An instance that waits for what is in flight gets a second SIGTERM.  It
-    took that for the wish to end at once and cut everything off, though most
-    of its time to shut down was left.
+    Two overlapping stops of all instances send a second SIGTERM to an
+    instance that waits for requests in flight.  It would cut them off
+    although most of its shutdown time remains.
     """
     for worker in deployment.past:
         worker.set(delay_ms=LONG_WORK_MS)
@@ -45,12 +45,13 @@
     assert stopping.runs(deployment, "booking") == 1
 
 
-def test_call_that_cannot_be_waited_for_gets_an_answer(deployment, pool):
-    """A late call goes to a silent endpoint, and its connection just ends.
+def test_call_that_outlasts_shutdown_gets_an_answer(deployment, pool):
+    """Guards against a late call whose connection ends without an answer.
 
-    It comes while the instance still takes calls, 5.2 s after SIGTERM, and
-    would time out only after the process is gone.  The process took such calls
-    and ended without telling the caller that they may have run.
+    The call comes while the instance still accepts calls, 5.2 s after
+    SIGTERM, and goes to a silent endpoint, so that it would time out only
+    after the process has ended.  The caller must learn that the call may have
+    run.
     """
     for worker in deployment.past:
         worker.set(delay_ms=0, hold=True)
@@ -61,7 +62,7 @@
     time.sleep(EARLY_S)
     status = pool.submit(early.call, "early")
     time.sleep(LATE_S - EARLY_S)
-    told = late.call("late")
-    assert told
-    assert told != NOT_RUN or not stopping.runs(deployment, "late")
+    late_status = late.call("late")
+    assert late_status
+    assert late_status != NOT_RUN or not stopping.runs(deployment, "late")
     assert status.result()
--- a/tests/platform/test_stopping_process.py
+++ b/tests/platform/test_stopping_process.py
@@ -1,4 +1,4 @@
-"""What callers get from a real process that is stopped while they call."""
+"""Answers to calls during the shutdown of a real process."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 pytestmark = pytest.mark.timeout(60)
 
 START_S = 20.0
-# Longer than what a process has left once it found nothing in flight.
+# Longer than the remaining time of a process that found nothing in flight.
 WORK_MS = 400
 SHUTDOWN_S = 8.0
-PATIENCE_S = 15.0
+TIMEOUT_S = 15.0
 BODY = b"{}"
 HEAD = (
     "POST /submit/x HTTP/1.1\r\n"
@@ -31,14 +31,14 @@
 
 
 class Caller:
-    """A caller with one connection, which it keeps."""
+    """A caller with one persistent connection."""
 
     def __init__(self, address: str) -> None:
         host, _, port = address.rpartition(":")
-        self.socket = socket.create_connection((host, int(port)), PATIENCE_S)
+        self.socket = socket.create_connection((host, int(port)), TIMEOUT_S)
 
     def send_head(self, request_id: str) -> None:
-        """Send all of a request but its body."""
+        """Send a request without its body."""
         self.socket.sendall(HEAD.format(id=request_id).encode())
 
     def send_body(self) -> None:
@@ -46,7 +46,7 @@
         self.socket.sendall(BODY)
 
     def status(self) -> int:
-        """Return the status of a whole answer; 0 if there is none."""
+        """Return the status of a complete answer; 0 if there is none."""
         response = http.client.HTTPResponse(self.socket)
         try:
             response.begin()
@@ -67,7 +67,7 @@
 
 @pytest.fixture
 def deployment(tmp_path):
-    """One started instance whose calls are answered after a while."""
+    """A started instance whose calls are answered with a delay."""
     made = serving.Deployment(tmp_path, 1)
     try:
         path = made.instances[0].settings
@@ -86,12 +86,12 @@
 
 
 def address(deployment):
-    """Return where callers connect."""
+    """Return the address for callers."""
     return deployment.instances[0].listen["callers"]
 
 
 def serves(deployment):
-    """Tell whether a call is answered."""
+    """Return whether a call is answered."""
     try:
         return Caller(address(deployment)).call("first") == 200
     except OSError:
@@ -99,13 +99,13 @@
 
 
 def hold(deployment):
-    """Let endpoints work on what they get."""
+    """Make endpoints hold all requests."""
     for worker in deployment.past:
         worker.set(hold=True)
 
 
 def stop(deployment):
-    """Send SIGTERM."""
+    """Send SIGTERM to the instance."""
     deployment.instances[0].send(signal.SIGTERM)
 
 
@@ -113,7 +113,7 @@
     """Wait until the instance has logged an event."""
     path = deployment.instances[0].output
     waiting.until(
-        lambda: f'"event": "{event}"' in path.read_text(), PATIENCE_S, event
+        lambda: f'"event": "{event}"' in path.read_text(), TIMEOUT_S, event
     )
 
 
@@ -122,13 +122,12 @@
     return len(deployment.ran().get(request_id, []))
 
 
-def test_call_that_comes_when_nothing_was_in_flight_is_not_lost(deployment):
-    """Instances are stopped in turn, and a booking ends without an answer.
+def test_call_after_draining_is_not_lost(deployment):
+    """Guards against a call that is lost between draining and the end.
 
-    A caller whose lookup has not run out sends on the connection that it
-    kept.  A moment before, the instance found nothing in flight and decided
-    to end; it still reads the request and passes it on, and ends while the
-    endpoint is at work.
+    A caller whose lookup has not expired sends on its kept connection just
+    after the instance found nothing in flight.  The instance would still read
+    and forward the request, and end while the endpoint is working.
     """
     caller = Caller(address(deployment))
     assert caller.call("kept") == 200
@@ -138,8 +137,8 @@
     assert status or not runs(deployment, "late")
 
 
-def test_new_connection_when_nothing_was_in_flight_is_not_lost(deployment):
-    """The same with a connection that is made only then."""
+def test_new_connection_after_draining_is_not_lost(deployment):
+    """Guards against the same failure with a new connection."""
     stop(deployment)
     await_line(deployment, "drained")
     try:
@@ -149,18 +148,18 @@
     assert status or not runs(deployment, "late")
 
 
-def test_request_that_is_still_being_read_is_waited_for(deployment):
-    """A caller sends a request slowly, and it ends without an answer.
+def test_partially_read_request_is_completed_before_the_end(deployment):
+    """Guards against not counting a partially read request as in flight.
 
-    The instance has read its head when it looks for what is in flight.
-    Requests counted only once they were understood, so the look found none,
-    and the rest of this one was read by a process that was about to end.
+    The instance has read only the head of the request when it checks for
+    requests in flight.  If requests count only after decoding, the check
+    finds none, and the process ends without an answer.
     """
     caller = Caller(address(deployment))
     stop(deployment)
     await_line(deployment, "draining")
-    # Before the look, which comes after lookups have run out at three
-    # seconds, and late enough to be whole within its route's three seconds.
+    # Before the check, which follows the expiry of lookups after 3 s, and late
+    # enough for the request to be complete within its route's 3 s.
     time.sleep(2.0)
     caller.send_head("slow")
     end_s = time.monotonic() + 2.2
@@ -172,12 +171,12 @@
     assert caller.status() == 200
 
 
-def test_request_that_is_cut_off_has_a_final_answer(deployment):
-    """An endpoint turned slow, and a booking ends without an answer.
+def test_request_cut_off_by_shutdown_gets_an_answer(deployment):
+    """Guards against a request that shutdown cuts off without an answer.
 
-    It came before its instance was told to stop, and its endpoint was still
-    at work when the time to shut down was over.  The process went and took
-    the request along; its caller could not tell whether to ask again.
+    The request came before SIGTERM, and its slow endpoint is still working
+    when the shutdown time is over.  Without an answer, the caller can't know
+    whether to send it again.
     """
     hold(deployment)
     path = deployment.instances[0].settings
@@ -189,7 +188,7 @@
     caller = Caller(address(deployment))
     caller.send_head("slow")
     caller.send_body()
-    waiting.until(lambda: runs(deployment, "slow"), PATIENCE_S)
+    waiting.until(lambda: runs(deployment, "slow"), TIMEOUT_S)
     stop(deployment)
     assert caller.status() == 502
     await_line(deployment, "request_cut_off")
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Records of the store that can't be read, among others that can."""
+"""Malformed records and truncated answers of the metadata store."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Answer:
-    """What a call to the store returned."""
+    """Response of the store."""
 
     headers: typing.ClassVar = {}
 
@@ -31,15 +31,15 @@
 
 
 class ScriptedStore(stores.StoreClient):
-    """A client whose calls are answered from a list."""
+    """Client whose calls are answered from a list."""
 
     def __init__(self, *bodies):
         super().__init__("127.0.0.1:1")
         self.bodies = list(bodies)
-        self.asked = []
+        self.queries = []
 
     def call(self, method, path, query, **options):
-        self.asked.append(query)
+        self.queries.append(query)
         return Answer(self.bodies.pop(0))
 
 
@@ -51,23 +51,23 @@
     "bad",
     [
         pytest.param(b"", id="empty"),
-        pytest.param(b"\x02\xff\xfe1", id="key no UTF-8"),
-        pytest.param(b"\x09good", id="key cut short"),
+        pytest.param(b"\x02\xff\xfe1", id="key not UTF-8"),
+        pytest.param(b"\x09good", id="key truncated"),
     ],
 )
-def test_record_that_cannot_be_read_counts_but_changes_nothing(bad):
-    """Another writer appends a record whose key can't be read.
+def test_malformed_record_keeps_its_offset_and_is_skipped(bad):
+    """Guards against a read that fails at a record with a malformed key.
 
-    The whole read was taken for a failure of the store and was made again
-    and again: nothing of the topic was seen any more.
+    The read would be repeated endlessly, and no later record of the topic
+    would be seen.
     """
     store = ScriptedStore(POSITIONS + framed(GOOD, bad, GOOD))
     batch = store.read_keyed(TOPIC, START, 0.1)
     good = records.KeyedRecord("good", b"1")
     assert [record for record in batch.records if record.key] == [good, good]
     assert batch.next == START + 3
-    # Those who ask another instance are answered by offset, so each
-    # record has its place, whether it can be read or not.
+    # Instances that read through another one are answered by offset, so each
+    # record keeps its position, whether it is valid or not.
     cache = record_cache.RecordCache(lambda: 0.0)
     cache.reset(START)
     cache.append(batch)
@@ -78,21 +78,23 @@
     "body",
     [
         pytest.param(b"", id="empty"),
-        pytest.param(POSITIONS[:-1], id="positions cut short"),
-        pytest.param(POSITIONS + framed(GOOD)[:-1], id="first record cut"),
+        pytest.param(POSITIONS[:-1], id="positions truncated"),
+        pytest.param(
+            POSITIONS + framed(GOOD)[:-1], id="first record truncated"
+        ),
     ],
 )
-def test_answer_without_any_whole_record_is_no_answer(body):
-    """A store answers at once, with a body that breaks off.
+def test_truncated_answer_without_a_complete_record_is_an_error(body):
+    """Guards against taking a truncated body for one without records.
 
-    Taken for "nothing new", the next read followed without a pause, and
-    the store was asked thousands of times a second.
+    The next read would follow without a pause, and the store would be
+    queried thousands of times a second.
     """
     with pytest.raises(records.StoreUnavailableError):
         ScriptedStore(body).read_keyed(TOPIC, START, 0.1)
 
 
-def test_records_before_a_cut_are_taken_and_the_rest_read_again():
+def test_complete_records_of_a_truncated_answer_are_returned():
     body = POSITIONS + framed(GOOD, GOOD)[:-1]
     batch = ScriptedStore(body).read_keyed(TOPIC, START, 0.1)
     assert len(batch.records) == 1
@@ -110,32 +112,32 @@
 @pytest.mark.parametrize(
     "bad",
     [
-        pytest.param({"key": "bad", "value": "%%%"}, id="no base64"),
-        pytest.param({"key": "bad", "value": 7}, id="value a number"),
+        pytest.param({"key": "bad", "value": "%%%"}, id="not base64"),
+        pytest.param({"key": "bad", "value": 7}, id="value is a number"),
         pytest.param({"key": "bad", "value": "é"}, id="beyond ASCII"),
         pytest.param({"value": "MQ=="}, id="no key"),
-        pytest.param([], id="no object"),
+        pytest.param([], id="not an object"),
     ],
 )
-def test_newest_record_that_cannot_be_read_does_not_hide_the_others(bad):
-    """Another writer leaves a record that can't be read.
+def test_malformed_newest_record_does_not_hide_the_others(bad):
+    """Guards against a read of all records that fails at a malformed one.
 
-    The read of all records failed each time, so an instance that started
-    never came to know its configuration.
+    A starting instance would never get its configuration.
     """
     store = ScriptedStore(
         page(item("a"), bad, more=True), page(bad, item("z"))
     )
     batch = store.newest(TOPIC)
     assert [record.key for record in batch.records] == ["a", "z"]
-    assert store.asked[1]["after"] == "a"
+    assert store.queries[1]["after"] == "a"
     assert batch.next == 7
 
 
-def test_page_that_leads_nowhere_is_not_read_again_and_again():
-    """The only key of a page is empty, and more pages are said to follow.
+def test_page_without_progress_ends_the_read():
+    """Guards against reading the same page endlessly.
 
-    The next page would begin where this one did.
+    The only key of the page is empty, and more pages are announced, so the
+    next page would start at the same key.
     """
     store = ScriptedStore(page(item(""), more=True))
     assert len(store.newest(TOPIC).records) == 1
--- a/tests/platform/test_time_and_recovery.py
+++ b/tests/platform/test_time_and_recovery.py
@@ -1,4 +1,4 @@
-"""Time that is handed on, readiness, and the return after a loss of all."""
+"""Forwarded deadlines, readiness, and recovery after outages."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 DEADLINE_MS = 3000
 DELAY_MS = 600
-# A caller's own wait on top, in which an endpoint must not work on.
+# Additional wait of a caller, which endpoints must not use.
 SLACK_MS = 500
-PATIENCE_S = 10
+TIMEOUT_S = 10
 PLAIN = ("plain-1", "plain-2")
 
 
 def deadlines(system):
-    """Return the time that was handed on, by order of arrival."""
+    """Return the forwarded deadlines, longest first."""
     arrived = [
         request for name in PLAIN for request in system.workers[name].arrived
     ]
@@ -27,11 +27,11 @@
     )
 
 
-def test_second_endpoint_is_given_what_is_left_of_the_time(system):
-    """The first endpoint turns a request away after 0.6 s.
+def test_second_endpoint_gets_the_remaining_time(system):
+    """Guards against forwarding the original deadline to a second endpoint.
 
-    Given the whole time again, the second one would work on for as long
-    after the caller has left.
+    The first endpoint rejects the request after 0.6 s.  With the original
+    deadline, the second one would work on after the caller has left.
     """
     for name in PLAIN:
         system.workers[name].set(delay_ms=DELAY_MS, reject=1)
@@ -41,16 +41,16 @@
     assert second <= DEADLINE_MS - DELAY_MS
 
 
-def test_request_without_a_deadline_is_given_its_routes_time(system):
+def test_request_without_a_deadline_gets_its_routes_timeout(system):
     system.call("/status/x", "GET")
     assert 0 < deadlines(system)[0] <= 3000 + SLACK_MS
 
 
-def test_request_that_has_no_time_left_reaches_no_endpoint(system):
-    """A caller is slow to send its body, and its deadline passes meanwhile.
+def test_request_with_an_expired_deadline_reaches_no_endpoint(system):
+    """Guards against forwarding a request whose deadline has passed.
 
-    Sent on, a booking would run for nobody, and its caller be told that it
-    may have run.
+    The caller sends its body slowly.  Forwarded, the request would run
+    although its caller has left, and would be answered as possibly run.
     """
     listen = system.node.settings.listen.callers
     with socket.create_connection((listen.ip, listen.port)) as sock:
@@ -67,40 +67,40 @@
     assert not any(system.workers[name].ran for name in PLAIN)
 
 
-def test_instance_stays_ready_and_serves_while_the_store_is_away(system):
-    """The platform's store is down for a while.
+def test_instance_stays_ready_and_serves_while_the_store_is_unavailable(
+    system,
+):
+    """Guards against readiness that depends on the store.
 
-    An instance that was not ready meanwhile would lose its callers, though
-    it knows all that it needs.
+    An instance that is not ready during an outage of the store would lose
+    its callers although it has all necessary data.
     """
     system.store.set(outage=True)
     feeds = system.node.feeds.followers
-    waiting.until(
-        lambda: not any(feed.available for feed in feeds), PATIENCE_S
-    )
+    waiting.until(lambda: not any(feed.available for feed in feeds), TIMEOUT_S)
     url = system.url("readiness", "/briarseam/readyz")
     assert system.http.request("GET", url).status == 200
     assert system.call("/submit/x").status == 200
 
 
-def test_instance_serves_again_after_all_were_lost(system):
-    """All instances lose power at once; only the store remembers."""
+def test_instance_serves_again_after_a_restart_of_all_instances(system):
+    """All instances lose power at once; only the store keeps its data."""
     system.node.stop()
     system.start()
     assert system.call("/submit/x").status == 200
     assert system.stream("/draft/x").status == 200
 
 
-def test_instance_that_starts_in_an_outage_serves_when_the_store_is_back(
+def test_instance_started_in_an_outage_serves_once_the_store_is_back(
     cold_system,
 ):
-    """All instances lose power while the store is down."""
+    """All instances lose power during an outage of the store."""
     cold_system.add_worker("plain-1", "portal")
     cold_system.configure()
     cold_system.store.set(outage=True)
-    cold_system.begin()
+    cold_system.launch()
     assert cold_system.call("/submit/x").status == 503
     cold_system.store.set(outage=False)
     waiting.until(
-        lambda: cold_system.call("/submit/x").status == 200, PATIENCE_S
+        lambda: cold_system.call("/submit/x").status == 200, TIMEOUT_S
     )
--- a/tests/platform/test_weights_after_restart.py
+++ b/tests/platform/test_weights_after_restart.py
@@ -1,18 +1,10 @@
-"""Wanted weights must not look new because all processes are.
+"""The age of a weight goal is kept over a restart of all processes.
 
-The failure this guards against: engines are being brought to newer weights
-when all instances lose power at once.  Started again, they sent requests to
-engines whose weights had been replaced 21 seconds before, and callers got
-answers that were out of date.
-
-Order of events: weights 2 were named; two of six engines were being changed;
-weights 3 were named; all processes ended.  The new ones found weights 3 on
-the store and took them as named just now, since how long weights had been
-wanted was known to the processes only.
-
-Evidence: requests to weights 1 stopped 13 s after weights 2 were named, when
-the bound of the old processes excluded them, and went on with the first
-request after the start of the new ones.
+Guards against requests to engines with outdated weights: weights 2 and then
+weights 3 are named, and all processes end while engines are being updated.
+The new processes find weights 3 in the store.  If the time of naming were
+known to the former processes only, the goal would seem new, and engines whose
+weights were replaced long ago would get requests again.
 """
 
 from __future__ import annotations
@@ -26,15 +18,15 @@
 from briarseam.weights import goal_times
 from tests.platform import system as systems
 
-# Older weights are out of use this long after newer ones were named: the
-# bound of the settings, less a margin of two seconds.
+# Older weights are excluded this long after newer ones are named: the bound in
+# the settings, less a margin of 2 s.
 SHORT_MS = 3500
 EXCLUDED_AFTER_S = 1.5
-# No test lasts so long, however busy the machine.
+# Longer than any test takes.
 LONG_MS = 60_000
-# For the naming to reach the process, and what it keeps of it the store.
+# Time for the goal to reach the process, and for its time to be stored.
 SEEN_S = 0.8
-PATIENCE_S = 10
+TIMEOUT_S = 10
 
 
 def name_weights(system, version):
@@ -57,7 +49,7 @@
 
 @pytest.fixture
 def start(cold_system):
-    """Start an instance and two engines with a bound on old weights."""
+    """Start an instance and two engines with a bound for old weights."""
 
     def start_with(version_ms):
         cold_system.bounds["version_ms"] = version_ms
@@ -70,8 +62,8 @@
     return start_with
 
 
-def test_no_request_begins_on_old_weights_after_all_processes_ended(start):
-    """Weights 2 are named, weights 3 soon after, and all processes end."""
+def test_no_request_starts_on_old_weights_after_all_processes_stopped(start):
+    """Weights 2 are named, weights 3 soon after, and all processes stop."""
     system = start(SHORT_MS)
     name_weights(system, 2)
     name_weights(system, 3)
@@ -82,8 +74,8 @@
     assert prompts_arrived(system) == []
 
 
-def test_weights_named_just_now_do_not_exclude_older_ones(start):
-    """Refusing all until engines are changed would keep the promise too."""
+def test_newly_named_weights_do_not_exclude_older_ones(start):
+    """Guards against excluding all engines until they are updated."""
     system = start(LONG_MS)
     name_weights(system, 2)
     system.node.stop()
@@ -91,11 +83,11 @@
     assert system.stream("/draft/x", Deadline_Ms="500").status == 200
 
 
-def test_instance_is_not_ready_before_it_knows_how_old_goals_are(
-    start, monkeypatch
-):
-    """It would be sent prompts at once, and refuse them for a moment: until
-    the store has told it, it takes the oldest engines for out of use.
+def test_instance_is_not_ready_before_goal_times_are_read(start, monkeypatch):
+    """Guards against refusing prompts just after the start.
+
+    Until the goal times are read from the store, the instance excludes
+    engines with older weights.
     """
     system = start(LONG_MS)
     name_weights(system, 2)
@@ -106,18 +98,20 @@
 
     with monkeypatch.context() as patched:
         patched.setattr(goal_times.GoalTimes, "read_store", refuse)
-        node = system.begin()
+        node = system.launch()
         waiting.until(lambda: node.feeds.operators.current() is not None)
         assert not node.is_ready()
-    waiting.until(node.is_ready, PATIENCE_S)
+    waiting.until(node.is_ready, TIMEOUT_S)
     assert system.stream("/draft/x", Deadline_Ms="500").status == 200
 
 
-def test_instance_is_ready_where_no_weights_were_named(start, monkeypatch):
-    """The part of the store that keeps the times is down, the rest serves.
+def test_instance_is_ready_without_goal_times_if_no_weights_are_named(
+    start, monkeypatch
+):
+    """Guards against waiting for goal times if there are no goals.
 
-    No weights were named, so there is none whose age is to be known; but
-    no instance that starts is ready until that part is back.
+    The part of the store with the goal times is unavailable; starting
+    instances would not be ready until it is back.
     """
 
     def refuse(times):
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -1,4 +1,4 @@
-"""One instance on loopback, from a caller's request to its answer."""
+"""An instance on loopback, from a caller's request to its answer."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from briarseam.testing import waiting
 from tests.platform import system as systems
 
-PATIENCE_S = 10
+TIMEOUT_S = 10
 
 
 def all_workers(system, *names):
@@ -31,8 +31,8 @@
 ENGINES = ("engine-1", "engine-2")
 
 
-def test_lookup_names_the_instance_to_callers_of_its_zone(system):
-    waiting.until(lambda: system.node.instances.all(), PATIENCE_S)
+def test_lookup_returns_the_instance_to_callers_of_its_zone(system):
+    waiting.until(lambda: system.node.instances.all(), TIMEOUT_S)
     response = system.http.request(
         "GET",
         system.url("lookups", "/briarseam/resolve?name=x&zone=hall-a"),
@@ -49,14 +49,14 @@
     assert response.status == 200
 
 
-def test_answer_comes_back_unchanged_with_the_signature(system):
+def test_answer_is_returned_unchanged_with_its_signature(system):
     response = system.call("/submit/x?y=1")
     assert response.status == 200
     assert response.data.endswith(b" did it")
     assert response.headers["Response-Signature"]
 
 
-def test_endpoint_gets_method_path_body_and_who_asks(system):
+def test_endpoint_gets_method_path_body_and_organisation(system):
     system.call("/submit/a%20b/?y=%2f1", body=b"filed", X_Own="kept")
     (arrived,) = [
         request
@@ -88,9 +88,10 @@
     ],
 )
 def test_headers_that_the_system_sets_are_not_taken_from_callers(system, name):
-    """A caller sends a header that only the system may set, to pass for
-    another organisation or to read its cache.  The endpoint must see the
-    system's own value, or none.
+    """Guards against callers that set a header of the system.
+
+    A caller could act as another organisation or read its cache.  The
+    endpoint must get the system's value, or none.
     """
     system.stream("/draft/x", **{name: "forged"}).read()
     (arrived,) = [
@@ -109,7 +110,7 @@
         pytest.param("/submit/x", "", 401, id="no-key"),
     ],
 )
-def test_what_the_configuration_does_not_allow_runs_nowhere(
+def test_request_not_allowed_by_the_configuration_is_refused(
     system, path, key, status
 ):
     response = system.call(path, key=key)
@@ -118,16 +119,16 @@
     assert arrivals(system, *PLAIN) == 0
 
 
-def test_stream_is_passed_on_whole(system):
+def test_stream_is_passed_on_completely(system):
     response = system.stream("/draft/x")
     assert response.status == 200
     assert response.data.count(b"data: token") == 3
     assert response.headers["Content-Type"] == "text/event-stream"
 
 
-def test_request_turned_away_goes_to_another_endpoint(system):
-    """An endpoint is full and says that it has not run a submission.  The
-    submission may go to the other endpoint, and runs once.
+def test_rejected_request_goes_to_another_endpoint(system):
+    """An endpoint rejects an unsafe request as not run.  The request goes to
+    the other endpoint and runs once.
     """
     for worker in all_workers(system, *PLAIN):
         worker.set(reject=1)
@@ -137,7 +138,7 @@
     assert runs(system, *PLAIN) == 8
 
 
-def test_refusal_by_all_endpoints_says_not_run_and_when_to_come_back(system):
+def test_rejection_by_all_endpoints_is_refused_with_retry_after(system):
     for worker in all_workers(system, *PLAIN):
         worker.set(reject=100)
     response = system.call("/submit/x")
@@ -148,10 +149,11 @@
     assert runs(system, *PLAIN) == 0
 
 
-def test_submission_whose_answer_is_lost_is_not_sent_again(system):
-    """A submission runs and the connection is reset before the answer.
-    Sent to the other endpoint it would be filed twice; the caller is told
-    that it may have run.
+def test_unsafe_request_with_a_lost_answer_is_not_sent_again(system):
+    """Guards against running an unsafe request twice.
+
+    The request runs, and the connection is reset before the answer.  The
+    caller is told that it may have run.
     """
     for worker in all_workers(system, *PLAIN):
         worker.set(reset=1)
@@ -161,10 +163,11 @@
     assert runs(system, *PLAIN) == 1
 
 
-def test_submission_turned_away_once_and_then_lost_may_have_run(system):
-    """One endpoint turns a submission away, the next runs it and its answer
-    is lost.  Told "not run" for the first one's sake, its caller would file
-    it again.
+def test_unsafe_request_rejected_once_and_then_lost_may_have_run(system):
+    """Guards against answering "not run" because of the first endpoint.
+
+    One endpoint rejects an unsafe request, the next one runs it, and the
+    answer is lost.  Told "not run", the caller would send it again.
     """
     system.workers["plain-1"].set(reject=100)
     system.workers["plain-2"].set(reset=100)
@@ -176,9 +179,10 @@
 
 
 @pytest.mark.parametrize("fault", ["unsigned", "foreign"])
-def test_success_that_is_not_the_endpoints_own_is_no_success(system, fault):
-    """An endpoint hands out bytes of another request, or bytes that it did
-    not make.  The caller would take them for its own answer.
+def test_unsigned_or_mismatched_success_is_an_error(system, fault):
+    """Guards against returning the answer to another request.
+
+    The answer has the id of another request or no signature.
     """
     for worker in all_workers(system, *PLAIN):
         worker.set(**{fault: 1})
@@ -187,14 +191,14 @@
     assert runs(system, *PLAIN) == 1
 
 
-def test_question_whose_answer_is_lost_is_asked_again(system):
+def test_safe_request_with_a_lost_answer_is_sent_again(system):
     system.workers["plain-1"].set(reset=1)
     system.workers["plain-2"].set(reset=0)
     for _ in range(6):
         assert system.call("/status/x", method="GET", body=b"").status == 200
 
 
-def test_failure_of_an_endpoint_reaches_the_caller_of_a_submission(system):
+def test_endpoint_failure_of_an_unsafe_request_is_returned(system):
     for worker in all_workers(system, *PLAIN):
         worker.set(fail=1)
     response = system.call("/submit/x")
@@ -203,9 +207,9 @@
     assert runs(system, *PLAIN) == 1
 
 
-def test_broken_stream_goes_on_at_another_endpoint(system):
-    """An engine dies in the middle of an event.  The caller sees one
-    stream with each event once, its rest made by the other engine.
+def test_broken_stream_is_resumed_at_another_endpoint(system):
+    """An engine crashes within an event.  The caller gets one stream with
+    each event once; the other engine produces the rest.
     """
     system.stream("/draft/x").read()
     (home,) = [name for name in ENGINES if runs(system, name)]
@@ -217,26 +221,27 @@
 
 
 def test_resumed_stream_leaves_no_load_behind(system):
-    """A resumed stream's prompt was counted as unread until its end, so
-    that its engine looked busier than it was.
+    """Guards against counting a resumed prompt as unread until it ends.
+
+    Its engine would seem to have more load than it has.
     """
     system.stream("/draft/x").read()
     (home,) = [name for name in ENGINES if runs(system, name)]
     system.workers[home].set(break_streams=1)
-    told = []
+    requested = []
     loads = system.node.chooser.loads
     add = loads.add
     loads.add = lambda endpoint, load: (
-        told.append((endpoint, load.running)),
+        requested.append((endpoint, load.running)),
         add(endpoint, load),
     )
     system.stream("/draft/x").read()
-    begun = [endpoint for endpoint, running in told if running == 1]
-    assert sorted(begun) == sorted(ENGINES)
-    waiting.until(lambda: not loads.own, PATIENCE_S)
+    started = [endpoint for endpoint, running in requested if running == 1]
+    assert sorted(started) == sorted(ENGINES)
+    waiting.until(lambda: not loads.own, TIMEOUT_S)
 
 
-def test_broken_stream_that_must_not_be_resumed_does_not_look_whole(system):
+def test_broken_stream_that_is_not_resumable_ends_in_an_error(system):
     for worker in all_workers(system, *ENGINES):
         worker.set(break_streams=1)
     with pytest.raises(urllib3.exceptions.HTTPError):
@@ -244,9 +249,9 @@
     assert runs(system, *ENGINES) == 1
 
 
-def test_no_answer_in_time_is_told_at_the_routes_timeout(system):
-    """An endpoint hangs.  The caller is told at the route's timeout, not
-    at its own deadline, and that the request may have run.
+def test_missing_answer_is_reported_at_the_routes_timeout(system):
+    """An endpoint does not answer.  The caller is answered at the route's
+    timeout, not at its own deadline, that the request may have run.
     """
     for worker in all_workers(system, *PLAIN):
         worker.set(hold=True)
@@ -256,25 +261,25 @@
 
 
 def test_work_ends_soon_after_its_caller_left(system):
-    """A caller closes its connection while it waits.  An endpoint that
-    works on for it has no time for others.
+    """A caller closes its connection while it waits.  Further work for it
+    would take capacity from other requests.
     """
     for worker in all_workers(system, *ENGINES):
         worker.set(hold=True)
     listen = system.node.settings.listen.callers
-    sock = socket.create_connection((listen.ip, listen.port), PATIENCE_S)
+    sock = socket.create_connection((listen.ip, listen.port), TIMEOUT_S)
     sock.sendall(
         b"POST /draft/x HTTP/1.1\r\nHost: kitchens.example\r\n"
         b"Request-Id: gone\r\nAuthorization: Bearer key-of-north\r\n"
         b"Model: drafts\r\nToken-Usage: 10,5\r\nPrefix-Hash: aa:10\r\n"
         b"Content-Length: 0\r\n\r\n"
     )
-    waiting.until(lambda: runs(system, *ENGINES) == 1, PATIENCE_S)
+    waiting.until(lambda: runs(system, *ENGINES) == 1, TIMEOUT_S)
     sock.close()
-    waiting.until(lambda: system.node.in_flight.count == 0, PATIENCE_S)
+    waiting.until(lambda: system.node.in_flight.count == 0, TIMEOUT_S)
 
 
-def test_chunked_request_body_arrives_whole_and_the_next_request_works(
+def test_chunked_body_arrives_complete_and_the_connection_is_reused(
     system,
 ):
     listen = system.node.settings.listen.callers
@@ -285,7 +290,7 @@
     )
     body = "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
     with contextlib.closing(
-        socket.create_connection((listen.ip, listen.port), PATIENCE_S)
+        socket.create_connection((listen.ip, listen.port), TIMEOUT_S)
     ) as sock:
         for number in range(2):
             sock.sendall((head.format(number) + body).encode())
@@ -298,13 +303,15 @@
     assert bodies == [b"abcde", b"abcde"]
 
 
-def test_ambiguous_framing_is_refused_and_runs_nowhere(system):
-    """A caller hides a second request in the body of a first one whose
-    length two parsers read differently.
+def test_ambiguous_framing_is_refused(system):
+    """Guards against request smuggling.
+
+    A second request is hidden in the body of a first one whose length two
+    parsers determine differently.
     """
     listen = system.node.settings.listen.callers
     with contextlib.closing(
-        socket.create_connection((listen.ip, listen.port), PATIENCE_S)
+        socket.create_connection((listen.ip, listen.port), TIMEOUT_S)
     ) as sock:
         sock.sendall(
             b"POST /submit/x HTTP/1.1\r\nHost: kitchens.example\r\n"
@@ -317,13 +324,13 @@
     assert arrivals(system, *PLAIN) == 0
 
 
-def test_changed_configuration_is_in_force_and_never_reverts(system):
+def test_changed_configuration_is_applied_and_never_reverts(system):
     system.configure(version=9, routes=[])
-    waiting.until(lambda: system.call("/submit/x").status == 404, PATIENCE_S)
+    waiting.until(lambda: system.call("/submit/x").status == 404, TIMEOUT_S)
     system.configure(version=5)
     system.configure(version=10, routes=[], tenants=[])
     waiting.until(
-        lambda: system.node.feeds.configuration_version() == 10, PATIENCE_S
+        lambda: system.node.feeds.configuration_version() == 10, TIMEOUT_S
     )
     assert system.call("/submit/x").status == 404
 
@@ -338,7 +345,7 @@
             ]
             == ["plain-2"]
         ),
-        PATIENCE_S,
+        TIMEOUT_S,
     )
     for _ in range(4):
         assert system.call("/submit/x").status == 200
@@ -348,8 +355,8 @@
 def test_work_is_refused_as_not_run_before_a_configuration_is_known(
     cold_system,
 ):
-    """The store is away while an instance starts.  It must not guess that
-    a route or a key does not exist.
+    """The store is unavailable while an instance starts.  The instance must
+    not answer that a route or a key does not exist.
     """
     cold_system.store.set(outage=True)
     node = cold_system.node = systems.compose.Node(cold_system.settings())
@@ -365,7 +372,7 @@
     assert float(response.headers["Retry-After"]) > 0
 
 
-def test_metrics_tell_of_requests(system):
+def test_metrics_count_requests(system):
     system.call("/submit/x")
     text = system.http.request("GET", system.url("metrics", "/metrics")).data
     assert b'answers_total{outcome="answered-200"} 1' in text
--- a/tests/platform/worker.py
+++ b/tests/platform/worker.py
@@ -1,4 +1,4 @@
-"""Stand-in for a worker on the users' platform, plain or with a model."""
+"""Stand-in for an endpoint of the users' platform, plain or with a model."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
     Attributes
     ----------
     reject
-        So many of the next requests are turned away as not run.
+        Number of next requests that are rejected as not run.
     fail
-        So many of the next requests are run and answered with 500.
+        Number of next requests that are run and answered with 500.
     reset
-        So many of the next requests are run, their connection reset.
+        Number of next requests that are run, with a connection reset.
     unsigned
-        So many of the next answers bear no signature.
+        Number of next answers without a signature.
     foreign
-        So many of the next answers name another request.
+        Number of next answers with the id of another request.
     hold
-        Whether answers wait until the switch goes off.
+        Whether answers wait until the switch is reset.
     events
-        Events of a stream.
+        Number of events in a stream.
     break_streams
-        So many of the next streams end in the middle of their second event.
+        Number of next streams that break off within their second event.
     pause_ms
-        Pause behind each event of a stream.
+        Pause after each event of a stream.
     """
 
     reject: switches.Count = 0
@@ -53,15 +53,15 @@
 
 
 class Worker(stand_in.StandIn[Switches]):
-    """Answers requests and remembers what reached it.
+    """Endpoint that answers requests and records them.
 
     Parameters
     ----------
     id
-        Stays the same when it starts again.
+        Name of the endpoint; unchanged by a restart.
     born
-        Unix time of this start in milliseconds; ``None`` for a worker that
-        does not say.
+        Start time as Unix time in milliseconds; ``None`` for an endpoint that
+        does not report it.
     """
 
     def __init__(
@@ -81,17 +81,17 @@
         self.lock = threading.Lock()
 
     def restart(self, born: int) -> None:
-        """Start again under the same id, with nothing of before."""
+        """Restart under the same id without the former state."""
         with self.lock:
             self.born = born
             self.orders = []
 
     def start_fields(self) -> dict[str, int]:
-        """Return what stands at the top of all that it says of itself."""
+        """Return the start time as fields of entries and reports."""
         return {} if self.born is None else {"born": self.born}
 
-    def is_meant(self, request: http_messages.Request) -> bool:
-        """Tell whether a request is for this worker, or for any."""
+    def is_addressed(self, request: http_messages.Request) -> bool:
+        """Return whether a request is for this endpoint or for any."""
         return request.headers.get("expect-instance", self.id) == self.id
 
     def answer(self, request: http_messages.Request) -> http_messages.Response:
@@ -99,7 +99,7 @@
         self.arrived.append(request)
         call = request.headers.get("request-id", "")
         echo = (("Request-Id", call),)
-        if not self.is_meant(request):
+        if not self.is_addressed(request):
             return http_messages.Response(421, headers=echo)
         if self.take("reject"):
             return http_messages.Response(
@@ -129,7 +129,7 @@
     def stream(
         self, request: http_messages.Request, call: str
     ) -> collections.abc.Iterator[bytes]:
-        """Yield the events behind the one that the caller has."""
+        """Yield the events after the last one that the caller has."""
         first = int(request.headers.get("last-event-id", 0)) + 1
         breaks = self.take("break_streams")
         try:
