--- a/src/briarseam/settings/__init__.py
+++ b/src/briarseam/settings/__init__.py
@@ -10,7 +10,7 @@
 from briarseam.settings.errors import SettingsError as SettingsError
 from briarseam.settings.loading import ValueOverride as ValueOverride
 from briarseam.settings.loading import load as load
-from briarseam.settings.model import Explained as Explained
+from briarseam.settings.model import ExplainedValue as ExplainedValue
 from briarseam.settings.model import Settings as Settings
 from briarseam.settings.secret import Secret as Secret
 from briarseam.settings.sections import Agent as Agent
@@ -27,7 +27,7 @@
     "Agent",
     "Claims",
     "Entry",
-    "Explained",
+    "ExplainedValue",
     "Instance",
     "Limits",
     "Logging",
--- a/src/briarseam/settings/convert.py
+++ b/src/briarseam/settings/convert.py
@@ -17,20 +17,20 @@
 SECRET_TYPES = (sections.Secret, sections.Secret | None)
 
 
-def is_secret(kind: object) -> bool:
+def is_secret(value_type: object) -> bool:
     """Return whether values of a type must not be shown."""
-    return kind in SECRET_TYPES
+    return value_type in SECRET_TYPES
 
 
-def expected(key: str, kind: object) -> str:
-    """Return in words what a key takes, for one that is missing."""
-    if is_secret(kind):
+def describe_expected(key: str, value_type: object) -> str:
+    """Return a description of the values that a key accepts."""
+    if is_secret(value_type):
         return secret.EXPECTED
-    if kind is sections.Address:
+    if value_type is sections.Address:
         return address.EXPECTED
-    if kind == sections.Addresses:
+    if value_type == sections.Addresses:
         return f"a list of {address.EXPECTED}"
-    if kind == sections.Paths:
+    if value_type == sections.Paths:
         return "a list of configuration paths"
     if key.endswith(("_ms", "_s")):
         return "a duration"
@@ -39,14 +39,14 @@
     return "a value"
 
 
-def value(key: str, kind: object, text: str) -> model.Value:
+def parse_value(key: str, value_type: object, text: str) -> model.Value:
     """Return a value of the type that a key has.
 
     Parameters
     ----------
     key
         Its ending tells the unit of a number.
-    kind
+    value_type
         The annotated type of the key.
     text
         The value as written.
@@ -54,26 +54,26 @@
     Raises
     ------
     ValueError
-        With what was expected, in words.
+        If the text is not valid; its message says what is expected.
     """
-    if is_secret(kind):
+    if is_secret(value_type):
         return secret.parse(text.encode())
-    if kind is sections.Address:
+    if value_type is sections.Address:
         return address.parse(text)
-    if kind == sections.Addresses:
-        return tuple(address.parse(item) for item in items(text))
-    if kind == sections.Paths:
-        return tuple(items(text))
-    return checked(number(key, text), kind)
+    if value_type == sections.Addresses:
+        return tuple(address.parse(item) for item in split_list(text))
+    if value_type == sections.Paths:
+        return tuple(split_list(text))
+    return validate(parse_units(key, text), value_type)
 
 
-def items(text: str) -> list[str]:
+def split_list(text: str) -> list[str]:
     """Return the items of a list, parted by commas or line ends."""
     parts = text.replace("\n", ",").split(",")
     return [part.strip() for part in parts if part.strip()]
 
 
-def number(key: str, text: str) -> str | int | float:
+def parse_units(key: str, text: str) -> str | int | float:
     """Return a value in the unit of its key, or the text if it has none."""
     if key.endswith("_ms"):
         return units.duration_ms(text)
@@ -84,11 +84,11 @@
     return text
 
 
-def checked(raw: str | int | float, kind: object) -> model.Value:
+def validate(raw: str | int | float, value_type: object) -> model.Value:
     """Return a plain value after checking its type and bounds."""
     try:
-        result: model.Value = msgspec.convert(raw, kind, strict=False)
+        result: model.Value = msgspec.convert(raw, value_type, strict=False)
     except msgspec.ValidationError as error:
-        words = str(error).removeprefix("Expected ")
-        raise ValueError(words) from error
+        expected = str(error).removeprefix("Expected ")
+        raise ValueError(expected) from error
     return result
--- a/src/briarseam/settings/errors.py
+++ b/src/briarseam/settings/errors.py
@@ -42,13 +42,13 @@
 
     def __str__(self) -> str:
         """Return one line: place, section, key, expectation, finding."""
-        place = self.path
+        location = self.path
         if self.line is not None:
-            place = f"{place}:{self.line}"
-        parts = [place]
+            location = f"{location}:{self.line}"
+        parts = [location]
         if self.section:
             parts.append(f"[{self.section}]")
         if self.key:
             parts.append(self.key)
-        found = f", got {self.got}" if self.got else ""
-        return f"{' '.join(parts)}: expected {self.expected}{found}"
+        got = f", got {self.got}" if self.got else ""
+        return f"{' '.join(parts)}: expected {self.expected}{got}"
--- a/src/briarseam/settings/ini.py
+++ b/src/briarseam/settings/ini.py
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Places:
+class LineNumbers:
     """Lines of a file on which its parts stand.
 
     Attributes
@@ -81,15 +81,15 @@
         ) from error
     except UnicodeDecodeError as error:
         raise errors.SettingsError(path, "", "", "UTF-8 text") from error
-    parser = new_parser()
+    parser = create_parser()
     try:
         parser.read_string(text, path)
     except configparser.Error as error:
-        raise as_settings_error(path, error) from error
-    return numbered(parser, text)
+        raise to_settings_error(path, error) from error
+    return with_line_numbers(parser, text)
 
 
-def new_parser() -> configparser.RawConfigParser:
+def create_parser() -> configparser.RawConfigParser:
     """Return a parser without interpolation and without a default section."""
     parser = configparser.RawConfigParser(
         delimiters=("=",),
@@ -100,7 +100,7 @@
     return parser
 
 
-def as_settings_error(
+def to_settings_error(
     path: str, error: configparser.Error
 ) -> errors.SettingsError:
     """Return the settings error for a parser's error."""
@@ -132,29 +132,31 @@
             )
 
 
-def numbered(
+def with_line_numbers(
     parser: configparser.RawConfigParser, text: str
 ) -> dict[str, Section]:
     """Return the parsed sections with the lines of headings and keys."""
-    places = Places({}, {})
+    lines = LineNumbers({}, {})
     section = ""
     for number, line in enumerate(text.splitlines(), start=1):
         heading = parser.SECTCRE.match(line.strip())
         if heading and parser.has_section(heading["header"]):
             section = heading["header"]
-            places.headings.setdefault(section, number)
+            lines.headings.setdefault(section, number)
             continue
         key = line.partition("=")[0].strip()
-        places.keys.setdefault((section, key), number)
-    return {name: written(parser, name, places) for name in parser.sections()}
+        lines.keys.setdefault((section, key), number)
+    return {
+        name: build_section(parser, name, lines) for name in parser.sections()
+    }
 
 
-def written(
-    parser: configparser.RawConfigParser, name: str, places: Places
+def build_section(
+    parser: configparser.RawConfigParser, name: str, lines: LineNumbers
 ) -> Section:
     """Return one section with the lines of its keys."""
     entries = {
-        key: Entry(value, places.keys[name, key])
+        key: Entry(value, lines.keys[name, key])
         for key, value in parser.items(name)
     }
-    return Section(name, places.headings[name], entries)
+    return Section(name, lines.headings[name], entries)
--- a/src/briarseam/settings/loading.py
+++ b/src/briarseam/settings/loading.py
@@ -32,9 +32,9 @@
 # records of it are not taken, see ``leases.records``.
 MIN_LEASE_TTL_MS = 1000
 MAX_LEASE_TTL_MS = 60_000
-NOTHING_FIXED: typing.Mapping[str, str] = types.MappingProxyType({})
+NO_PRESET_VALUES: typing.Mapping[str, str] = types.MappingProxyType({})
 
-Made = typing.TypeVar("Made", bound="_typeshed.DataclassInstance")
+SectionT = typing.TypeVar("SectionT", bound="_typeshed.DataclassInstance")
 Sources = dict[tuple[str, str], model.Source]
 
 
@@ -65,7 +65,7 @@
     ----------
     path
         The settings file.
-    written
+    file_sections
         Its sections as written.
     overrides
         Values from the command line.
@@ -74,98 +74,111 @@
     """
 
     path: str
-    written: dict[str, ini.Section]
+    file_sections: dict[str, ini.Section]
     overrides: tuple[ValueOverride, ...]
     sources: Sources
 
-    def section(
+    def load_section(
         self,
         name: str,
-        kind: type[Made],
-        fixed: typing.Mapping[str, str] = NOTHING_FIXED,
-    ) -> Made:
+        section_type: type[SectionT],
+        preset: typing.Mapping[str, str] = NO_PRESET_VALUES,
+    ) -> SectionT:
         """Return one section, checked.
 
         Parameters
         ----------
         name
             Section in the file.
-        kind
+        section_type
             Data class of the section.
-        fixed
+        preset
             Values of fields that are not keys of the file.
         """
-        hints = typing.get_type_hints(kind, include_extras=True)
+        hints = typing.get_type_hints(section_type, include_extras=True)
         keys = [
             field
-            for field in dataclasses.fields(kind)
-            if field.name not in fixed
+            for field in dataclasses.fields(section_type)
+            if field.name not in preset
         ]
-        self.refuse_unknown_keys(name, [field.name for field in keys])
-        values: dict[str, typing.Any] = dict(fixed)
+        self.reject_unknown_keys(name, [field.name for field in keys])
+        values: dict[str, typing.Any] = dict(preset)
         for field in keys:
-            found = self.value(name, field, hints[field.name])
-            if found is not dataclasses.MISSING:
-                values[field.name] = found
-        return kind(**values)
+            value = self.load_value(name, field, hints[field.name])
+            if value is not dataclasses.MISSING:
+                values[field.name] = value
+        return section_type(**values)
 
-    def refuse_unknown_keys(self, name: str, known: list[str]) -> None:
+    def reject_unknown_keys(self, name: str, known: list[str]) -> None:
         """Raise for a key, in the file or overriding, that is not known."""
         expected = f"one of the keys {', '.join(known)}"
-        for key, entry in self.entries(name).items():
+        for key, entry in self.section_entries(name).items():
             if key not in known:
                 raise self.error(name, key, expected, line=entry.line)
         for override in self.overrides:
             if override.section == name and override.key not in known:
                 raise self.error(name, override.key, expected)
 
-    def entries(self, name: str) -> dict[str, ini.Entry]:
+    def section_entries(self, name: str) -> dict[str, ini.Entry]:
         """Return the values of a section as written."""
-        if name in self.written:
-            return self.written[name].entries
+        if name in self.file_sections:
+            return self.file_sections[name].entries
         return {}
 
-    def value(
-        self, section: str, field: dataclasses.Field[typing.Any], kind: object
+    def load_value(
+        self,
+        section: str,
+        field: dataclasses.Field[typing.Any],
+        value_type: object,
     ) -> object:
         """Return a field's value, or ``MISSING`` for its default."""
         key = field.name
         for override in self.overrides:
             if (override.section, override.key) == (section, key):
-                self.sources[section, key] = model.Override()
-                return self.converted(section, key, kind, override.text, None)
-        entry = self.entries(section).get(key)
+                self.sources[section, key] = model.CommandLine()
+                return self.convert_value(
+                    section, key, value_type, override.text, None
+                )
+        entry = self.section_entries(section).get(key)
         if entry is not None:
             self.sources[section, key] = model.FileLine(self.path, entry.line)
-            return self.converted(section, key, kind, entry.text, entry.line)
+            return self.convert_value(
+                section, key, value_type, entry.text, entry.line
+            )
         if field.default is dataclasses.MISSING:
-            raise self.missing(section, key, convert.expected(key, kind))
+            raise self.missing_key_error(
+                section, key, convert.describe_expected(key, value_type)
+            )
         self.sources[section, key] = model.Default()
         return dataclasses.MISSING
 
-    def converted(
+    def convert_value(
         self,
         section: str,
         key: str,
-        kind: object,
+        value_type: object,
         text: str,
         line: int | None,
     ) -> model.Value:
         """Return a value of its type, or raise with its place."""
         try:
-            return convert.value(key, kind, text)
+            return convert.parse_value(key, value_type, text)
         except ValueError as error:
-            hidden = convert.is_secret(kind)
-            got = "a shorter one" if hidden else repr(text)
+            secret_value = convert.is_secret(value_type)
+            got = "a shorter one" if secret_value else repr(text)
             raise self.error(
                 section, key, str(error), got=got, line=line
             ) from error
 
-    def missing(
+    def missing_key_error(
         self, section: str, key: str, expected: str
     ) -> errors.SettingsError:
         """Return the error for a key that must be there."""
-        line = self.written[section].line if section in self.written else None
+        line = (
+            self.file_sections[section].line
+            if section in self.file_sections
+            else None
+        )
         return self.error(section, key, expected, got="nothing", line=line)
 
     def error(
@@ -182,7 +195,7 @@
             self.path, section, key, expected, got=got, line=line
         )
 
-    def invalid(
+    def invalid_value_error(
         self, section: str, key: str, expected: str, value: object
     ) -> errors.SettingsError:
         """Return the error for a value that clashes with another."""
@@ -213,12 +226,12 @@
         If anything in it is unknown, missing or bad; nothing is guessed.
     """
     loader = Loader(path, ini.read(path), tuple(overrides), {})
-    refuse_unknown_sections(loader)
+    reject_unknown_sections(loader)
     # In the order in which `explain` lists them.
     instance = load_instance(loader)
     agent = load_agent(loader)
-    entry = loader.section("entry", sections.Entry)
-    platform = loader.section("platform", sections.Platform)
+    entry = loader.load_section("entry", sections.Entry)
+    platform = loader.load_section("platform", sections.Platform)
     return model.Settings(
         path=path,
         instance=instance,
@@ -226,31 +239,31 @@
         entry=entry,
         platform=platform,
         claims=load_claims(loader, platform),
-        logging=loader.section("logging", sections.Logging),
-        limits=loader.section("limits", sections.Limits),
+        logging=loader.load_section("logging", sections.Logging),
+        limits=loader.load_section("limits", sections.Limits),
         teams=load_teams(loader),
         sources=loader.sources,
     )
 
 
-def refuse_unknown_sections(loader: Loader) -> None:
+def reject_unknown_sections(loader: Loader) -> None:
     """Raise for a section, in the file or overriding, that is not known."""
     expected = f"one of [{'], ['.join(SECTION_TYPES)}], [team NAME]"
-    for section in loader.written.values():
+    for section in loader.file_sections.values():
         known = section.name in SECTION_TYPES
         if not known and not section.name.startswith(TEAM_PREFIX):
             raise loader.error(section.name, "", expected, line=section.line)
     for override in loader.overrides:
         known = override.section in SECTION_TYPES
-        if not known and override.section not in loader.written:
+        if not known and override.section not in loader.file_sections:
             raise loader.error(override.section, "", expected)
 
 
 def load_instance(loader: Loader) -> sections.Instance:
     """Return ``[instance]``; its cell is its zone unless set."""
-    instance = loader.section("instance", sections.Instance)
+    instance = loader.load_section("instance", sections.Instance)
     if not instance.entry_addresses:
-        raise loader.invalid(
+        raise loader.invalid_value_error(
             "instance", "entry_addresses", "at least one address", ""
         )
     return dataclasses.replace(instance, cell=instance.cell or instance.zone)
@@ -258,23 +271,23 @@
 
 def load_agent(loader: Loader) -> sections.Agent:
     """Return ``[agent]`` with its shared key, its times in order."""
-    agent = loader.section("agent", sections.Agent)
+    agent = loader.load_section("agent", sections.Agent)
     if agent.suspect_after_ms <= agent.heartbeat_interval_ms:
-        raise loader.invalid(
+        raise loader.invalid_value_error(
             "agent",
             "suspect_after_ms",
             "more than heartbeat_interval_ms",
             agent.suspect_after_ms,
         )
     if agent.stale_after_ms < agent.suspect_after_ms:
-        raise loader.invalid(
+        raise loader.invalid_value_error(
             "agent",
             "stale_after_ms",
             "at least suspect_after_ms",
             agent.stale_after_ms,
         )
     if not MIN_LEASE_TTL_MS <= agent.lease_ttl_ms <= MAX_LEASE_TTL_MS:
-        raise loader.invalid(
+        raise loader.invalid_value_error(
             "agent",
             "lease_ttl_ms",
             f"between {MIN_LEASE_TTL_MS} and {MAX_LEASE_TTL_MS}",
@@ -286,16 +299,20 @@
         )
     if agent.shared_key:
         return agent
-    return dataclasses.replace(agent, shared_key=read_key(loader, agent))
+    return dataclasses.replace(
+        agent, shared_key=read_shared_key_file(loader, agent)
+    )
 
 
-def read_key(loader: Loader, agent: sections.Agent) -> secret.Secret:
+def read_shared_key_file(
+    loader: Loader, agent: sections.Agent
+) -> secret.Secret:
     """Return the shared key that a file beside the settings holds."""
-    place = pathlib.Path(loader.path).parent / agent.shared_key_file
+    path = pathlib.Path(loader.path).parent / agent.shared_key_file
     try:
-        return secret.parse(place.read_bytes())
+        return secret.parse(path.read_bytes())
     except (OSError, ValueError) as error:
-        raise loader.invalid(
+        raise loader.invalid_value_error(
             "agent",
             "shared_key_file",
             f"a readable file with {secret.EXPECTED}",
@@ -307,11 +324,11 @@
     loader: Loader, platform: sections.Platform
 ) -> sections.Claims:
     """Return ``[claims]``, its window within the log's retention."""
-    claims = loader.section("claims", sections.Claims)
-    most_s = platform.log_retention_s - CLAIMS_MARGIN_S
-    if claims.window_s > most_s:
+    claims = loader.load_section("claims", sections.Claims)
+    max_window_s = platform.log_retention_s - CLAIMS_MARGIN_S
+    if claims.window_s > max_window_s:
         # A key that outlived the record of its claim would be free again.
-        raise loader.invalid(
+        raise loader.invalid_value_error(
             "claims",
             "window_s",
             f"[platform] log_retention_s less {CLAIMS_MARGIN_S:g} at most",
@@ -323,7 +340,7 @@
 def load_teams(loader: Loader) -> tuple[sections.Team, ...]:
     """Return the teams, in the order of the file."""
     teams = []
-    for name in loader.written:
+    for name in loader.file_sections:
         if name.startswith(TEAM_PREFIX):
             teams.append(load_team(loader, name))
     return tuple(teams)
@@ -332,14 +349,16 @@
 def load_team(loader: Loader, section: str) -> sections.Team:
     """Return one ``[team NAME]``."""
     name = section.removeprefix(TEAM_PREFIX)
-    line = loader.written[section].line
+    line = loader.file_sections[section].line
     try:
-        convert.checked(name, sections.Name)
+        convert.validate(name, sections.Name)
     except ValueError as error:
         raise loader.error(
             section, "", f"a team name: {error}", line=line
         ) from error
-    team = loader.section(section, sections.Team, {"name": name})
+    team = loader.load_section(section, sections.Team, {"name": name})
     if not team.paths:
-        raise loader.invalid(section, "paths", "at least one path", "")
+        raise loader.invalid_value_error(
+            section, "paths", "at least one path", ""
+        )
     return team
--- a/src/briarseam/settings/model.py
+++ b/src/briarseam/settings/model.py
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Override:
+class CommandLine:
     """A value that was set on the command line."""
 
     def __str__(self) -> str:
@@ -45,7 +45,7 @@
         return "command line"
 
 
-Source = FileLine | Default | Override
+Source = FileLine | Default | CommandLine
 Value = (
     str
     | int
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Explained:
+class ExplainedValue:
     """One value with its source.
 
     Attributes
@@ -107,10 +107,12 @@
     teams: tuple[sections.Team, ...]
     sources: dict[tuple[str, str], Source]
 
-    def explain(self) -> tuple[Explained, ...]:
+    def explain(self) -> tuple[ExplainedValue, ...]:
         """Return every value in force with its source, secrets hidden."""
         return tuple(
-            Explained(section, key, shown(self.value(section, key)), source)
+            ExplainedValue(
+                section, key, format_value(self.value(section, key)), source
+            )
             for (section, key), source in self.sources.items()
         )
 
@@ -124,15 +126,15 @@
         """
         for team in self.teams:
             if section == f"team {team.name}":
-                found: Value = getattr(team, key)
-                return found
+                team_value: Value = getattr(team, key)
+                return team_value
         if section not in {name for name, _ in self.sources}:
             raise KeyError(section)
         value: Value = getattr(getattr(self, section), key)
         return value
 
 
-def shown(value: Value) -> str:
+def format_value(value: Value) -> str:
     """Return a value as text for people."""
     match value:
         case None:
--- a/src/briarseam/settings/serving.py
+++ b/src/briarseam/settings/serving.py
@@ -14,8 +14,8 @@
 
 Ratio = typing.Annotated[float, msgspec.Meta(ge=0, le=100)]
 # Grows with the deployment: 54 with 7 instances, 210 with 85.
-Sends = typing.Annotated[float, msgspec.Meta(ge=0, le=1_000_000)]
-Amount = typing.Annotated[float, msgspec.Meta(gt=0, le=1_000_000)]
+SendCount = typing.Annotated[float, msgspec.Meta(ge=0, le=1_000_000)]
+PositiveNumber = typing.Annotated[float, msgspec.Meta(gt=0, le=1_000_000)]
 # What a full core of speed 1 sends and receives: 6 ms of it go into a
 # request, by processor time over requests of a day, and some 15 KB of
 # prompt and events.
@@ -57,9 +57,9 @@
         Bandwidth of its own link.
     """
 
-    processor_share: Amount = 1.0
-    processor_speed: Amount = 1.0
-    link_mbps: Amount = 1000.0
+    processor_share: PositiveNumber = 1.0
+    processor_speed: PositiveNumber = 1.0
+    link_mbps: PositiveNumber = 1000.0
 
     def weight(self) -> float:
         """Return the work that it can take, relative to others."""
@@ -135,7 +135,7 @@
     shutdown_s: sections.Seconds = 8.0
     retry_ratio: Ratio = 0.1
     retry_window_s: sections.Seconds = 10.0
-    retry_slack: Sends = 20.0
+    retry_slack: SendCount = 20.0
     lease_ms: sections.Milliseconds = 3000
     engines_check_fence: bool = False
     version_ms: sections.Milliseconds = 15_000
@@ -177,13 +177,13 @@
         default_factory=dict, compare=False
     )
 
-    def explain(self) -> tuple[model.Explained, ...]:
+    def explain(self) -> tuple[model.ExplainedValue, ...]:
         """Return every value in force with its source."""
         return tuple(
-            model.Explained(
+            model.ExplainedValue(
                 section,
                 key,
-                model.shown(getattr(getattr(self, section), key)),
+                model.format_value(getattr(getattr(self, section), key)),
                 source,
             )
             for (section, key), source in self.sources.items()
@@ -200,16 +200,16 @@
     """
     loader = loading.Loader(path, ini.read(path), (), {})
     expected = f"one of [{'], ['.join(SECTION_TYPES)}]"
-    for section in loader.written.values():
+    for section in loader.file_sections.values():
         if section.name not in SECTION_TYPES:
             raise loader.error(section.name, "", expected, line=section.line)
     return ServeSettings(
         path=path,
-        instance=loader.section("instance", Instance),
-        capacity=loader.section("capacity", Capacity),
-        listen=loader.section("listen", Listen),
-        store=loader.section("store", Store),
-        bounds=loader.section("bounds", Bounds),
-        logging=loader.section("logging", sections.Logging),
+        instance=loader.load_section("instance", Instance),
+        capacity=loader.load_section("capacity", Capacity),
+        listen=loader.load_section("listen", Listen),
+        store=loader.load_section("store", Store),
+        bounds=loader.load_section("bounds", Bounds),
+        logging=loader.load_section("logging", sections.Logging),
         sources=loader.sources,
     )
--- a/src/briarseam/settings/units.py
+++ b/src/briarseam/settings/units.py
@@ -26,7 +26,7 @@
     ValueError
         If it is no duration or no whole number of milliseconds.
     """
-    return whole(text, MS_PER_UNIT, bare_unit, "milliseconds")
+    return parse_quantity(text, MS_PER_UNIT, bare_unit, "milliseconds")
 
 
 def duration_s(text: str) -> float:
@@ -48,10 +48,10 @@
     ValueError
         If it is no size or no whole number of bytes.
     """
-    return whole(text, BYTES_PER_UNIT, "B", "bytes")
+    return parse_quantity(text, BYTES_PER_UNIT, "B", "bytes")
 
 
-def whole(
+def parse_quantity(
     text: str, factors: dict[str, int], bare_unit: str, base: str
 ) -> int:
     """Return a quantity as a whole number of its base unit."""
