--- a/src/briarseam/settings/__init__.py
+++ b/src/briarseam/settings/__init__.py
@@ -1,6 +1,7 @@
-"""Settings of one instance: an INI file, checked, as data classes.
+"""Settings of one instance, read from an INI file into data classes.
 
-``load`` reads a file; ``Settings.explain`` tells each value's source.
+``load`` reads and validates a file; ``Settings.explain`` lists each value with
+its source.
 """
 
 from __future__ import annotations
--- a/src/briarseam/settings/address.py
+++ b/src/briarseam/settings/address.py
@@ -1,22 +1,22 @@
-"""Network addresses by IP number; names are refused."""
+"""Network addresses with an IP address; host names are rejected."""
 
 from __future__ import annotations
 
 import dataclasses
 import ipaddress
 
-EXPECTED = "IP:port with an IP number and a port from 1 to 65535"
+EXPECTED = "IP:port with an IP address and a port from 1 to 65535"
 MAX_PORT = 65535
 
 
 @dataclasses.dataclass(frozen=True, order=True)
 class Address:
-    """An IP number and a TCP or UDP port.
+    """An IP address and a TCP or UDP port.
 
     Attributes
     ----------
     ip
-        IPv4 or IPv6 number, without brackets.
+        IPv4 or IPv6 address, without brackets.
     port
         From 1 to 65535.
     """
@@ -25,18 +25,18 @@
     port: int
 
     def __str__(self) -> str:
-        """Return ``ip:port``, an IPv6 number in brackets."""
+        """Return ``ip:port``, with an IPv6 address in brackets."""
         host = f"[{self.ip}]" if ":" in self.ip else self.ip
         return f"{host}:{self.port}"
 
 
 def parse(text: str) -> Address:
-    """Return the address that ``ip:port`` or ``[ip6]:port`` names.
+    """Parse an address of the form ``ip:port`` or ``[ip6]:port``.
 
     Raises
     ------
     ValueError
-        If it is none, or names a host instead of giving its number.
+        If the text is not an address or contains a host name.
     """
     host, _, port = text.strip().rpartition(":")
     bracketed = host.startswith("[") and host.endswith("]")
--- a/src/briarseam/settings/convert.py
+++ b/src/briarseam/settings/convert.py
@@ -1,4 +1,4 @@
-"""Turning the text of one value into its validated type."""
+"""Conversion of a value's text to its validated type."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def is_secret(value_type: object) -> bool:
-    """Return whether values of a type must not be shown."""
+    """Return whether values of a type are secret and must be hidden."""
     return value_type in SECRET_TYPES
 
 
@@ -40,16 +40,16 @@
 
 
 def parse_value(key: str, value_type: object, text: str) -> model.Value:
-    """Return a value of the type that a key has.
+    """Parse the text of a value according to the type of its key.
 
     Parameters
     ----------
     key
-        Its ending tells the unit of a number.
+        Key of the value; its suffix gives the unit of a number.
     value_type
         The annotated type of the key.
     text
-        The value as written.
+        The value as written in the file.
 
     Raises
     ------
@@ -68,13 +68,13 @@
 
 
 def split_list(text: str) -> list[str]:
-    """Return the items of a list, parted by commas or line ends."""
+    """Return the items of a list separated by commas or newlines."""
     parts = text.replace("\n", ",").split(",")
     return [part.strip() for part in parts if part.strip()]
 
 
 def parse_units(key: str, text: str) -> str | int | float:
-    """Return a value in the unit of its key, or the text if it has none."""
+    """Return a number in the unit of its key, or the text if it has none."""
     if key.endswith("_ms"):
         return units.duration_ms(text)
     if key.endswith("_s"):
@@ -85,7 +85,7 @@
 
 
 def validate(raw: str | int | float, value_type: object) -> model.Value:
-    """Return a plain value after checking its type and bounds."""
+    """Return a value without units after checking its type and bounds."""
     try:
         result: model.Value = msgspec.convert(raw, value_type, strict=False)
     except msgspec.ValidationError as error:
--- a/src/briarseam/settings/errors.py
+++ b/src/briarseam/settings/errors.py
@@ -1,25 +1,25 @@
-"""The error of a settings file that can't be used."""
+"""Error raised for an invalid settings file."""
 
 from __future__ import annotations
 
 
 class SettingsError(Exception):
-    """A settings file is unreadable, incomplete or holds a bad value.
+    """A settings file is unreadable, incomplete or has an invalid value.
 
     Attributes
     ----------
     path
         The settings file.
     line
-        Line in the file, from 1; ``None`` where something is missing.
+        Line in the file, from 1; ``None`` if the error has no line.
     section
-        Section, without brackets; empty when the file as a whole is meant.
+        Section, without brackets; empty if the error concerns the whole file.
     key
-        Key in the section; empty when the section as a whole is meant.
+        Key in the section; empty if the error concerns the whole section.
     expected
-        What would have been accepted.
+        Description of what is accepted.
     got
-        What was found instead; never a secret.
+        Value or fault found instead; never contains a secret.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         super().__init__(str(self))
 
     def __str__(self) -> str:
-        """Return one line: place, section, key, expectation, finding."""
+        """Return one line: location, section, key, expected, got."""
         location = self.path
         if self.line is not None:
             location = f"{location}:{self.line}"
--- a/src/briarseam/settings/ini.py
+++ b/src/briarseam/settings/ini.py
@@ -1,4 +1,4 @@
-"""Reading an INI file with the line that each value stands on."""
+"""INI file parser that records the line of each section and key."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 from briarseam.settings import errors
 
-# configparser would copy the values of a section called DEFAULT into all
-# others; no section can have this name, so nothing is copied.
+# configparser copies the values of its default section, DEFAULT, into all
+# others. No heading can contain a newline, so no section is the default.
 NO_DEFAULT_SECTION = "\n"
 
 
 @dataclasses.dataclass(frozen=True)
 class Entry:
-    """One value as written.
+    """One value as written in the file.
 
     Attributes
     ----------
     text
         The value, without surrounding white space.
     line
-        Line of its key, from 1.
+        Line of the key, from 1.
     """
 
     text: str
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Section:
-    """One section as written.
+    """One section as written in the file.
 
     Attributes
     ----------
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LineNumbers:
-    """Lines of a file on which its parts stand.
+    """Line numbers of the sections and keys of a file.
 
     Attributes
     ----------
@@ -70,7 +70,7 @@
     Raises
     ------
     SettingsError
-        If the file can't be read or is no INI file.
+        If the file can't be read or is not an INI file.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
@@ -103,18 +103,22 @@
 def to_settings_error(
     path: str, error: configparser.Error
 ) -> errors.SettingsError:
-    """Return the settings error for a parser's error."""
+    """Convert an error of configparser to a settings error."""
     match error:
         case configparser.DuplicateSectionError():
             return errors.SettingsError(
-                path, error.section, "", "the section once", line=error.lineno
+                path,
+                error.section,
+                "",
+                "the section only once",
+                line=error.lineno,
             )
         case configparser.DuplicateOptionError():
             return errors.SettingsError(
                 path,
                 error.section,
                 error.option,
-                "the key once",
+                "the key only once",
                 line=error.lineno,
             )
         case configparser.MissingSectionHeaderError():
--- a/src/briarseam/settings/loading.py
+++ b/src/briarseam/settings/loading.py
@@ -1,4 +1,4 @@
-"""Loading a settings file: every key known, every value checked."""
+"""Load a settings file, rejecting unknown keys and invalid values."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 }
 CLAIMS_MARGIN_S = 600.0
 TEAM_PREFIX = "team "
-# Shorter than this an ordinary pause ends a lease; longer than this the
-# records of it are not taken, see ``leases.records``.
+# With a shorter TTL an ordinary pause of the process ends a lease; with a
+# longer one ``leases.records`` rejects the records of the lease.
 MIN_LEASE_TTL_MS = 1000
 MAX_LEASE_TTL_MS = 60_000
 NO_PRESET_VALUES: typing.Mapping[str, str] = types.MappingProxyType({})
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ValueOverride:
-    """A value from the command line, which goes before the file's.
+    """A value from the command line, which overrides the file's.
 
     Attributes
     ----------
@@ -59,18 +59,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Loader:
-    """One reading of one file.
+    """State of loading one settings file.
 
     Attributes
     ----------
     path
         The settings file.
     file_sections
-        Its sections as written.
+        Sections by name, as written in the file.
     overrides
         Values from the command line.
     sources
-        Where each value came from; filled section by section.
+        Source of each value, by section and key; filled as sections load.
     """
 
     path: str
@@ -84,16 +84,16 @@
         section_type: type[SectionT],
         preset: typing.Mapping[str, str] = NO_PRESET_VALUES,
     ) -> SectionT:
-        """Return one section, checked.
+        """Return one section, validated.
 
         Parameters
         ----------
         name
-            Section in the file.
+            Name of the section in the file.
         section_type
             Data class of the section.
         preset
-            Values of fields that are not keys of the file.
+            Values of fields that are not keys in the file.
         """
         hints = typing.get_type_hints(section_type, include_extras=True)
         keys = [
@@ -110,7 +110,7 @@
         return section_type(**values)
 
     def reject_unknown_keys(self, name: str, known: list[str]) -> None:
-        """Raise for a key, in the file or overriding, that is not known."""
+        """Raise for an unknown key in the file or among the overrides."""
         expected = f"one of the keys {', '.join(known)}"
         for key, entry in self.section_entries(name).items():
             if key not in known:
@@ -120,7 +120,7 @@
                 raise self.error(name, override.key, expected)
 
     def section_entries(self, name: str) -> dict[str, ini.Entry]:
-        """Return the values of a section as written."""
+        """Return the entries of a section, none if it is not in the file."""
         if name in self.file_sections:
             return self.file_sections[name].entries
         return {}
@@ -131,7 +131,7 @@
         field: dataclasses.Field[typing.Any],
         value_type: object,
     ) -> object:
-        """Return a field's value, or ``MISSING`` for its default."""
+        """Return a field's value, or ``MISSING`` to use its default."""
         key = field.name
         for override in self.overrides:
             if (override.section, override.key) == (section, key):
@@ -160,12 +160,12 @@
         text: str,
         line: int | None,
     ) -> model.Value:
-        """Return a value of its type, or raise with its place."""
+        """Convert a value to its type, or raise an error with its line."""
         try:
             return convert.parse_value(key, value_type, text)
         except ValueError as error:
             secret_value = convert.is_secret(value_type)
-            got = "a shorter one" if secret_value else repr(text)
+            got = "a shorter key" if secret_value else repr(text)
             raise self.error(
                 section, key, str(error), got=got, line=line
             ) from error
@@ -173,7 +173,7 @@
     def missing_key_error(
         self, section: str, key: str, expected: str
     ) -> errors.SettingsError:
-        """Return the error for a key that must be there."""
+        """Return the error for a required key that is missing."""
         line = (
             self.file_sections[section].line
             if section in self.file_sections
@@ -198,7 +198,7 @@
     def invalid_value_error(
         self, section: str, key: str, expected: str, value: object
     ) -> errors.SettingsError:
-        """Return the error for a value that clashes with another."""
+        """Return the error for a value that fails a check after conversion."""
         line = None
         match self.sources.get((section, key)):
             case model.FileLine(line=number):
@@ -218,16 +218,17 @@
     path
         An INI file.
     overrides
-        Values that go before those of the file.
+        Values that override those of the file.
 
     Raises
     ------
     SettingsError
-        If anything in it is unknown, missing or bad; nothing is guessed.
+        If a section or key is unknown, a required key is missing or a
+        value is invalid.
     """
     loader = Loader(path, ini.read(path), tuple(overrides), {})
     reject_unknown_sections(loader)
-    # In the order in which `explain` lists them.
+    # `Settings.explain` lists the sections in the order of loading.
     instance = load_instance(loader)
     agent = load_agent(loader)
     entry = loader.load_section("entry", sections.Entry)
@@ -247,7 +248,7 @@
 
 
 def reject_unknown_sections(loader: Loader) -> None:
-    """Raise for a section, in the file or overriding, that is not known."""
+    """Raise for an unknown section in the file or among the overrides."""
     expected = f"one of [{'], ['.join(SECTION_TYPES)}], [team NAME]"
     for section in loader.file_sections.values():
         known = section.name in SECTION_TYPES
@@ -260,7 +261,7 @@
 
 
 def load_instance(loader: Loader) -> sections.Instance:
-    """Return ``[instance]``; its cell is its zone unless set."""
+    """Return ``[instance]``; the cell defaults to the zone."""
     instance = loader.load_section("instance", sections.Instance)
     if not instance.entry_addresses:
         raise loader.invalid_value_error(
@@ -270,7 +271,7 @@
 
 
 def load_agent(loader: Loader) -> sections.Agent:
-    """Return ``[agent]`` with its shared key, its times in order."""
+    """Return ``[agent]`` with its shared key and consistent times."""
     agent = loader.load_section("agent", sections.Agent)
     if agent.suspect_after_ms <= agent.heartbeat_interval_ms:
         raise loader.invalid_value_error(
@@ -307,7 +308,7 @@
 def read_shared_key_file(
     loader: Loader, agent: sections.Agent
 ) -> secret.Secret:
-    """Return the shared key that a file beside the settings holds."""
+    """Read the shared key from its file, relative to the settings file."""
     path = pathlib.Path(loader.path).parent / agent.shared_key_file
     try:
         return secret.parse(path.read_bytes())
@@ -323,22 +324,23 @@
 def load_claims(
     loader: Loader, platform: sections.Platform
 ) -> sections.Claims:
-    """Return ``[claims]``, its window within the log's retention."""
+    """Return ``[claims]`` with a window shorter than the log's retention."""
     claims = loader.load_section("claims", sections.Claims)
     max_window_s = platform.log_retention_s - CLAIMS_MARGIN_S
     if claims.window_s > max_window_s:
-        # A key that outlived the record of its claim would be free again.
+        # An idempotency key that stays valid after the log drops the record of
+        # its claim could be claimed again.
         raise loader.invalid_value_error(
             "claims",
             "window_s",
-            f"[platform] log_retention_s less {CLAIMS_MARGIN_S:g} at most",
+            f"at most [platform] log_retention_s minus {CLAIMS_MARGIN_S:g}",
             claims.window_s,
         )
     return claims
 
 
 def load_teams(loader: Loader) -> tuple[sections.Team, ...]:
-    """Return the teams, in the order of the file."""
+    """Return the teams in the order of the file."""
     teams = []
     for name in loader.file_sections:
         if name.startswith(TEAM_PREFIX):
--- a/src/briarseam/settings/model.py
+++ b/src/briarseam/settings/model.py
@@ -1,4 +1,4 @@
-"""The validated settings of an instance and where each value came from."""
+"""The validated settings of an instance and the source of each value."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class FileLine:
-    """A value that stands in a settings file.
+    """Source of a value set in a settings file.
 
     Attributes
     ----------
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Default:
-    """A value that no file sets."""
+    """Source of a value that is not set and has its default."""
 
     def __str__(self) -> str:
         """Return ``default``."""
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class CommandLine:
-    """A value that was set on the command line."""
+    """Source of a value set on the command line."""
 
     def __str__(self) -> str:
         """Return ``command line``."""
@@ -67,11 +67,11 @@
     section
         Section, without brackets.
     key
-        Key in the section; its ending tells the unit.
+        Key in the section; its suffix gives the unit.
     value
-        The value in force; secrets are hidden.
+        Effective value as text; secrets are hidden.
     source
-        Where it came from.
+        Source of the value.
     """
 
     section: str
@@ -87,13 +87,13 @@
     Attributes
     ----------
     path
-        The file they were read from.
+        The file that the settings were read from.
     instance, agent, entry, platform, claims, logging, limits
         The sections.
     teams
         Teams of operators, in the order of the file.
     sources
-        Where each value came from, by section and key.
+        Source of each value, by section and key.
     """
 
     path: str
@@ -108,7 +108,7 @@
     sources: dict[tuple[str, str], Source]
 
     def explain(self) -> tuple[ExplainedValue, ...]:
-        """Return every value in force with its source, secrets hidden."""
+        """Return all effective values with their sources, secrets hidden."""
         return tuple(
             ExplainedValue(
                 section, key, format_value(self.value(section, key)), source
@@ -117,7 +117,7 @@
         )
 
     def value(self, section: str, key: str) -> Value:
-        """Return the value in force of one key.
+        """Return the effective value of one key.
 
         Raises
         ------
@@ -135,7 +135,7 @@
 
 
 def format_value(value: Value) -> str:
-    """Return a value as text for people."""
+    """Return a value as human-readable text."""
     match value:
         case None:
             return ""
--- a/src/briarseam/settings/secret.py
+++ b/src/briarseam/settings/secret.py
@@ -1,4 +1,4 @@
-"""Key material that never shows in logs or printed settings."""
+"""Key material that is hidden in logs and printed settings."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
     value: bytes
 
     def __repr__(self) -> str:
-        """Return a form that tells only the length."""
+        """Return a form that shows only the length."""
         return f"<secret of {len(self.value)} bytes>"
 
 
 def parse(value: bytes) -> Secret:
-    """Return a secret without surrounding white space.
+    """Return a secret, stripped of surrounding white space.
 
     Raises
     ------
     ValueError
-        If it is too short to be a key.
+        If it is shorter than ``MIN_BYTES``.
     """
     stripped = value.strip()
     if len(stripped) < MIN_BYTES:
--- a/src/briarseam/settings/sections.py
+++ b/src/briarseam/settings/sections.py
@@ -1,7 +1,8 @@
 """The sections of a settings file, as immutable data classes.
 
-A key ending in ``_ms``, ``_s`` or ``_bytes`` is in that unit; in the file it
-may also carry another unit of its kind (``250ms``, ``3s``, ``64KiB``).
+The suffix ``_ms``, ``_s`` or ``_bytes`` of a key gives its unit; in the file
+a value may also have another unit of the same quantity (``250ms``, ``3s``,
+``64KiB``).
 """
 
 from __future__ import annotations
@@ -30,22 +31,22 @@
 
 @dataclasses.dataclass(frozen=True)
 class Instance:
-    """``[instance]``: who and where this instance is.
+    """``[instance]``: identity and location of this instance.
 
     Attributes
     ----------
     name
-        Name in the instance list.
+        Name of this instance in the instance list.
     zone
         Availability zone.
     region
-        Region that the availability zone lies in.
+        Region of the availability zone.
     agent_address
-        Where other agents reach this instance's agent.
+        Address at which other agents reach this instance's agent.
     entry_addresses
-        Where callers reach this instance's entry processes.
+        Addresses at which callers reach this instance's entry processes.
     cell
-        Group of agents that exchange heartbeats; the zone unless set.
+        Group of agents that exchange heartbeats; defaults to the zone.
     """
 
     name: Name
@@ -58,35 +59,36 @@
 
 @dataclasses.dataclass(frozen=True)
 class Agent:
-    """``[agent]``: the agent's stream server, peers and bounds of state.
+    """``[agent]``: the agent's stream server, peers and size limits.
 
     Attributes
     ----------
     listen
-        Where the agent takes streams of peers and entry processes.
+        Address on which the agent accepts streams of peers and entry
+        processes.
     shared_key
-        Proves membership between the processes of the system; given in the
-        file or through ``shared_key_file``.
+        Authenticates the processes of the system to each other; set in the
+        settings file or through ``shared_key_file``.
     shared_key_file
-        File that holds the shared key, relative to the settings file.
+        File with the shared key, relative to the settings file.
     peers_seed
-        Agents to ask before the instance list has answered.
+        Agents to contact before the instance list has answered.
     heartbeat_interval_ms
         Time between two heartbeats to a peer.
     suspect_after_ms
-        Silence after which a peer gets no new work.
+        Silence of a peer after which it gets no new work.
     lookup_ttl_s
-        Time that callers keep the addresses they were given.
+        Time for which callers may cache the addresses from a lookup.
     stale_after_ms
-        Time without news from the log or any peer after which new work is
-        refused.
+        Time without an update from the log or any peer after which new work
+        is refused.
     lease_ttl_ms
-        Time that a lease lasts without renewal; after a holder's loss
-        nobody gives engines orders for that long.
+        Time that a lease lasts without renewal; after the loss of its holder
+        no agent gives engines orders for that long.
     max_index_entries
-        Blocks of kept cache indexed.
+        Maximum number of kept cache blocks in the index.
     max_timeline_events
-        Events kept for the time line.
+        Maximum number of events kept for the time line.
     """
 
     listen: Address
@@ -104,23 +106,23 @@
 
 @dataclasses.dataclass(frozen=True)
 class Entry:
-    """``[entry]``: the HTTP server towards callers.
+    """``[entry]``: the HTTP server for callers.
 
     Attributes
     ----------
     listen
-        Where callers connect.
+        Address on which callers connect.
     agent
-        This instance's agent.
+        Address of this instance's agent.
     threads
-        Caller connections served at the same time.
+        Maximum number of caller connections served concurrently.
     max_body_bytes
         Largest request body accepted.
     resume_grace_s
-        Time a run is kept for a caller whose connection broke.
+        Time for which a run is kept after its caller's connection broke.
     engine_silence_ms
-        Silence of an engine between two tokens after which its run counts
-        as lost.
+        Time without a token from an engine after which its run counts as
+        lost.
     """
 
     listen: Address
@@ -133,28 +135,29 @@
 
 @dataclasses.dataclass(frozen=True)
 class Platform:
-    """``[platform]``: the platform's services.
+    """``[platform]``: addresses and timing of the platform's services.
 
     Attributes
     ----------
     log
-        Append-only log service.
+        Address of the append-only log service.
     instances
-        Instance list.
+        Address of the instance list.
     weights
-        Weight store.
+        Address of the weight store.
     log_timeout_ms
-        Wait for an answer of the log, beyond the time of a long poll.
+        Timeout of a request to the log, in addition to the time of a long
+        poll.
     log_poll_ms
-        Length of one long poll; an agent's proof of being current is up to
-        about three times as old.
+        Duration of one long poll. The age of an agent's proof that its
+        configuration is current reaches about three times this value.
     log_retention_s
-        How long the log keeps a record, at least; snapshots of the
-        configuration are renewed four times in it.
+        Minimum time for which the log keeps a record; snapshots of the
+        configuration are renewed four times in this period.
     instances_timeout_ms
-        Wait for an answer of the instance list.
+        Timeout of a request to the instance list.
     instances_poll_ms
-        Time between two readings of the instance list.
+        Interval between two reads of the instance list.
     """
 
     log: Address
@@ -169,18 +172,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Claims:
-    """``[claims]``: records that let a non-idempotent call run once at most.
+    """``[claims]``: records that make a non-idempotent call run at most once.
 
     Attributes
     ----------
     batch_ms
-        Time over which claims are gathered into one append.
+        Time over which claims are batched into one append.
     window_s
-        Age at which an idempotency key is refused; less than the log's
-        retention by ten minutes at least.
+        Age at which an idempotency key is refused; at least ten minutes
+        shorter than the log's retention.
     max_response_bytes
-        Largest answer kept for callers that repeat a key; each lies in
-        memory and in a record of the log, which takes 1 MiB.
+        Maximum size of an answer kept for callers that repeat a key. Each is
+        held in memory and in a record of the log, which is limited to
+        1 MiB.
     """
 
     batch_ms: Milliseconds = 20
@@ -192,14 +196,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Logging:
-    """``[logging]``: log lines.
+    """``[logging]``: level and format of log lines.
 
     Attributes
     ----------
     level
-        Least severe level written.
+        Lowest level that is logged.
     format
-        One JSON object a line, or columns for a person.
+        One JSON object per line, or human-readable columns.
     """
 
     level: typing.Literal["debug", "info", "warning", "error"] = "info"
@@ -208,20 +212,23 @@
 
 @dataclasses.dataclass(frozen=True)
 class Limits:
-    """``[limits]``: bounds that keep an instance within its memory.
+    """``[limits]``: limits that bound the memory of an instance.
 
     Attributes
     ----------
     max_in_flight
-        Requests running through this instance.
+        Maximum number of requests in flight through this instance.
     max_queued
-        Requests waiting on this instance.
+        Maximum number of requests queued on this instance.
     max_queued_per_organisation
-        Requests of one organisation waiting on this instance.
+        Maximum number of requests of one organisation queued on this
+        instance.
     max_metric_label_values
-        Distinct values of one metric label; further ones count as other.
+        Maximum number of distinct values of a metric label; further values
+        are counted as other.
     stop_bound_s
-        Longest graceful shutdown; what is in flight then is cut off.
+        Maximum duration of a graceful shutdown; requests still in flight
+        after it are cut off.
     """
 
     max_in_flight: Count = 2000
@@ -240,9 +247,9 @@
     name
         Name of the team, from the section's heading.
     key
-        Proves that a change of configuration is the team's.
+        Authenticates configuration changes of the team.
     old_key
-        Proved it before; kept while the log holds records made with it.
+        Previous key; needed while the log holds records made with it.
     paths
         Prefixes of the configuration paths that the team owns.
     """
--- a/src/briarseam/settings/serving.py
+++ b/src/briarseam/settings/serving.py
@@ -1,4 +1,4 @@
-"""Settings of ``briarseam serve``: one process that does it all."""
+"""Settings of ``briarseam serve``, which runs an instance as one process."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 from briarseam.settings import sections
 
 Ratio = typing.Annotated[float, msgspec.Meta(ge=0, le=100)]
-# Grows with the deployment: 54 with 7 instances, 210 with 85.
+# The number of sends grows with the deployment: 54 with 7 instances, 210
+# with 85.
 SendCount = typing.Annotated[float, msgspec.Meta(ge=0, le=1_000_000)]
 PositiveNumber = typing.Annotated[float, msgspec.Meta(gt=0, le=1_000_000)]
-# What a full core of speed 1 sends and receives: 6 ms of it go into a
-# request, by processor time over requests of a day, and some 15 KB of
-# prompt and events.
+# Traffic of a full core of speed 1: over a day, a request takes 6 ms of
+# processor time on average, and about 15 KB of prompt and events.
 MBPS_PER_PROCESSOR = 20.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Instance:
-    """``[instance]``: who and where this instance is.
+    """``[instance]``: identity and location of this instance.
 
     Attributes
     ----------
     name
-        Unique over all instances.
+        Name that is unique among all instances.
     zone, region
-        Availability zone, and the region that it lies in.
+        Availability zone and its region.
     first_start
         Whether the whole deployment starts for the first time, so that
-        nothing was left by instances of before.
+        there is no state of earlier instances.
     """
 
     name: sections.Name
@@ -45,16 +45,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Capacity:
-    """``[capacity]``: what this instance's machine can bear.
+    """``[capacity]``: capacity of this instance's machine.
 
     Attributes
     ----------
     processor_share
-        Share of a core that it has.
+        Share of a core available to the instance.
     processor_speed
-        How fast that core is; only the ratio between instances counts.
+        Relative speed of that core; only the ratio between instances
+        matters.
     link_mbps
-        Bandwidth of its own link.
+        Bandwidth of the instance's link, in megabits per second.
     """
 
     processor_share: PositiveNumber = 1.0
@@ -62,27 +63,27 @@
     link_mbps: PositiveNumber = 1000.0
 
     def weight(self) -> float:
-        """Return the work that it can take, relative to others."""
+        """Return the work that the instance can take, relative to others."""
         processor = self.processor_share * self.processor_speed
         return min(processor, self.link_mbps / MBPS_PER_PROCESSOR)
 
 
 @dataclasses.dataclass(frozen=True)
 class Listen:
-    """``[listen]``: where this process takes connections.
+    """``[listen]``: addresses on which this process accepts connections.
 
     Attributes
     ----------
     callers
-        Requests of callers.
+        Address for requests of callers.
     readiness
-        Questions whether this instance is ready.
+        Address for readiness checks of this instance.
     lookups
-        Questions which addresses to use.
+        Address for lookups of the addresses to use.
     peers
-        Heartbeats of other instances.
+        Address for heartbeats of other instances.
     metrics
-        Scrapes of metrics.
+        Address for scrapes of metrics.
     """
 
     callers: sections.Address
@@ -99,7 +100,7 @@
     Attributes
     ----------
     address
-        Where it listens.
+        Address of the store.
     """
 
     address: sections.Address
@@ -107,28 +108,30 @@
 
 @dataclasses.dataclass(frozen=True)
 class Bounds:
-    """``[bounds]``: what the deployment asks of all its instances.
+    """``[bounds]``: limits that the deployment sets for all its instances.
 
     Attributes
     ----------
     endpoint_drain_ms
-        Time within which an endpoint that leaves must get no new work.
+        Time after which a leaving endpoint must get no more new work.
     shutdown_s
         Time from SIGTERM to the end of the process.
     retry_ratio
-        Sends to a second endpoint for each request, over all instances.
+        Maximum ratio of retries, which are sends to a second endpoint, to
+        requests, over all instances.
     retry_window_s
-        Time over which they are counted.
+        Time window over which retries and requests are counted.
     retry_slack
-        Such sends in a window beyond the ratio.
+        Number of retries allowed in a window in addition to the ratio.
     lease_ms
-        Time for which the instance that gives orders keeps that duty.
+        Lease time of the instance that gives orders.
     engines_check_fence
-        Whether engines refuse orders of a former holder of that duty.
+        Whether engines refuse orders of a former holder of that lease.
     version_ms
-        Time within which all engines have the weights that were named.
+        Time within which all engines have loaded the weight version that
+        was set.
     lookup_ttl_max_s
-        Longest time that callers keep the addresses they were given.
+        Maximum time for which callers cache the addresses from a lookup.
     """
 
     endpoint_drain_ms: sections.Milliseconds = 2000
@@ -159,11 +162,11 @@
     Attributes
     ----------
     path
-        The file they were read from.
+        The file that the settings were read from.
     instance, capacity, listen, store, bounds, logging
         The sections.
     sources
-        Where each value came from, by section and key.
+        Source of each value, by section and key.
     """
 
     path: str
@@ -178,7 +181,7 @@
     )
 
     def explain(self) -> tuple[model.ExplainedValue, ...]:
-        """Return every value in force with its source."""
+        """Return all effective values with their sources."""
         return tuple(
             model.ExplainedValue(
                 section,
@@ -196,7 +199,8 @@
     Raises
     ------
     SettingsError
-        If anything in it is unknown, missing or bad.
+        If a section or key is unknown, a required key is missing or a
+        value is invalid.
     """
     loader = loading.Loader(path, ini.read(path), (), {})
     expected = f"one of [{'], ['.join(SECTION_TYPES)}]"
--- a/src/briarseam/settings/units.py
+++ b/src/briarseam/settings/units.py
@@ -1,4 +1,4 @@
-"""Durations and sizes as operators write them: ``250ms``, ``64KiB``."""
+"""Parsing of durations and sizes with units: ``250ms``, ``64KiB``."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     text
         A number with one of the units ``ms``, ``s``, ``m``, ``h``.
     bare_unit
-        The unit meant by a number without one.
+        Unit of a number that is written without one.
 
     Raises
     ------
     ValueError
-        If it is no duration or no whole number of milliseconds.
+        If the text is not a duration or not a whole number of milliseconds.
     """
     return parse_quantity(text, MS_PER_UNIT, bare_unit, "milliseconds")
 
@@ -35,7 +35,7 @@
     Raises
     ------
     ValueError
-        If it is no duration or no whole number of milliseconds.
+        If the text is not a duration or not a whole number of milliseconds.
     """
     return duration_ms(text, bare_unit="s") / MS_PER_UNIT["s"]
 
@@ -46,7 +46,7 @@
     Raises
     ------
     ValueError
-        If it is no size or no whole number of bytes.
+        If the text is not a size or not a whole number of bytes.
     """
     return parse_quantity(text, BYTES_PER_UNIT, "B", "bytes")
 
--- a/tests/settings/test_loading.py
+++ b/tests/settings/test_loading.py
@@ -77,7 +77,7 @@
         change("log = 127.0.0.1:9001\n", ""),
         "platform",
         "log",
-        "IP:port with an IP number and a port from 1 to 65535, got nothing",
+        "IP:port with an IP address and a port from 1 to 65535, got nothing",
     ),
     "missing section": (
         lambda text: text[text.index("[agent]") :],
@@ -89,13 +89,13 @@
         change("127.0.0.1:9001", "localhost:9001"),
         "platform",
         "log",
-        "IP:port with an IP number",
+        "IP:port with an IP address",
     ),
     "bad ip": (
         change("127.0.0.1:9001", "127.0.0.256:9001"),
         "platform",
         "log",
-        "IP:port with an IP number",
+        "IP:port with an IP address",
     ),
     "bad port": (
         change("127.0.0.1:9001", "127.0.0.1:70000"),
@@ -155,7 +155,7 @@
         append("[claims]\nwindow_s = 24h\n"),
         "claims",
         "window_s",
-        "log_retention_s less 600 at most",
+        "at most [platform] log_retention_s minus 600",
     ),
     "times out of order": (
         change("250ms", "3s"),
@@ -173,15 +173,20 @@
         append("[entry]\n"),
         "entry",
         "",
-        "the section once",
+        "the section only once",
     ),
     "double key": (
         change("zone =", "name ="),
         "instance",
         "name",
-        "the key once",
+        "the key only once",
+    ),
+    "no section": (
+        change("[instance]\n", ""),
+        "",
+        "",
+        "a [section] first",
     ),
-    "no section": (change("[instance]\n", ""), "", "", "a [section] first"),
     "no value": (change("zone = ", "zone "), "", "", "key = value"),
     "default section": (append("[DEFAULT]\n"), "DEFAULT", "", "one of ["),
 }
