--- a/tests/settings/serve_text.py
+++ b/tests/settings/serve_text.py
@@ -1,4 +1,4 @@
-"""Settings of `briarseam serve` with nothing wrong."""
+"""Valid settings of `briarseam serve`."""
 
 from __future__ import annotations
 
--- a/tests/settings/test_loading.py
+++ b/tests/settings/test_loading.py
@@ -5,7 +5,9 @@
 from briarseam import settings
 
 
-def test_values_come_with_their_units_and_defaults(write, valid):
+def test_values_are_converted_from_their_units_and_defaults_apply(
+    write, valid
+):
     loaded = settings.load(write(valid))
     assert loaded.instance.cell == "cph-hall-a"
     assert loaded.instance.entry_addresses[1] == settings.Address(
@@ -19,7 +21,7 @@
     assert loaded.teams[0].paths == ("models", "organisations/kitchen")
 
 
-def test_explain_names_each_source_and_hides_keys(write, valid):
+def test_explain_gives_each_source_and_hides_secrets(write, valid):
     path = write(valid)
     override = settings.ValueOverride("entry", "listen", "127.0.0.1:8002")
     loaded = settings.load(path, [override])
@@ -39,7 +41,7 @@
     assert "fedcba9876543210" not in shown
 
 
-def change(old: str, new: str):
+def replace(old: str, new: str):
     return lambda text: text.replace(old, new, 1)
 
 
@@ -47,7 +49,7 @@
     return lambda before: before + text
 
 
-BAD = {
+INVALID = {
     "unknown section": (append("[entyr]\n"), "entyr", "", "one of ["),
     "unknown key": (
         append("[claims]\nbacth_ms = 1\n"),
@@ -61,20 +63,20 @@
         "bacth_ms",
         "one of the keys batch_ms",
     ),
-    "bad unit": (
-        change("250ms", "250 fortnights"),
+    "unknown unit": (
+        replace("250ms", "250 fortnights"),
         "agent",
         "heartbeat_interval_ms",
         "one of the units ms, s, m, h",
     ),
-    "not whole": (
-        change("64KiB", "0.3B"),
+    "not a whole number": (
+        replace("64KiB", "0.3B"),
         "entry",
         "max_body_bytes",
         "a whole number of bytes",
     ),
     "missing address": (
-        change("log = 127.0.0.1:9001\n", ""),
+        replace("log = 127.0.0.1:9001\n", ""),
         "platform",
         "log",
         "IP:port with an IP address and a port from 1 to 65535, got nothing",
@@ -86,30 +88,30 @@
         "a value, got nothing",
     ),
     "host name": (
-        change("127.0.0.1:9001", "localhost:9001"),
+        replace("127.0.0.1:9001", "localhost:9001"),
         "platform",
         "log",
         "IP:port with an IP address",
     ),
-    "bad ip": (
-        change("127.0.0.1:9001", "127.0.0.256:9001"),
+    "invalid IP address": (
+        replace("127.0.0.1:9001", "127.0.0.256:9001"),
         "platform",
         "log",
         "IP:port with an IP address",
     ),
-    "bad port": (
-        change("127.0.0.1:9001", "127.0.0.1:70000"),
+    "port out of range": (
+        replace("127.0.0.1:9001", "127.0.0.1:70000"),
         "platform",
         "log",
         "port from 1 to 65535",
     ),
-    "no addresses": (
-        change("127.0.0.1:8001, 127.0.0.1:8002", ","),
+    "empty address list": (
+        replace("127.0.0.1:8001, 127.0.0.1:8002", ","),
         "instance",
         "entry_addresses",
         "at least one address",
     ),
-    "bad choice": (
+    "unknown log level": (
         append("[logging]\nlevel = loud\n"),
         "logging",
         "level",
@@ -121,84 +123,91 @@
         "batch_ms",
         ">= 1",
     ),
-    "bad name": (
-        change("name = cph-1", "name = cph 1"),
+    "invalid name": (
+        replace("name = cph-1", "name = cph 1"),
         "instance",
         "name",
         "got 'cph 1'",
     ),
-    "short key": (
-        change("fedcba9876543210", "hush"),
+    "key too short": (
+        replace("fedcba9876543210", "hush"),
         "team night-desk",
         "key",
         "at least 16 bytes",
     ),
-    "no key": (
-        change("shared_key = 0123456789abcdef\n", ""),
+    "no shared key": (
+        replace("shared_key = 0123456789abcdef\n", ""),
         "agent",
         "shared_key or shared_key_file",
         "exactly one of the two",
     ),
-    "no key file": (
-        change("shared_key = 0123456789abcdef", "shared_key_file = gone"),
+    "missing key file": (
+        replace("shared_key = 0123456789abcdef", "shared_key_file = gone"),
         "agent",
         "shared_key_file",
         "a readable file",
     ),
-    "answer beyond a record": (
+    "answer larger than a log record": (
         append("[claims]\nmax_response_bytes = 1MiB\n"),
         "claims",
         "max_response_bytes",
         "<= 524288",
     ),
-    "window beyond the retention": (
+    "claims window longer than log retention": (
         append("[claims]\nwindow_s = 24h\n"),
         "claims",
         "window_s",
         "at most [platform] log_retention_s minus 600",
     ),
-    "times out of order": (
-        change("250ms", "3s"),
+    "suspect time below heartbeat interval": (
+        replace("250ms", "3s"),
         "agent",
         "suspect_after_ms",
         "more than heartbeat_interval_ms",
     ),
-    "lease too short": (
-        change("[agent]", "[agent]\nlease_ttl_ms = 10ms"),
+    "lease TTL too short": (
+        replace("[agent]", "[agent]\nlease_ttl_ms = 10ms"),
         "agent",
         "lease_ttl_ms",
         "between 1000 and 60000",
     ),
-    "double section": (
+    "duplicate section": (
         append("[entry]\n"),
         "entry",
         "",
         "the section only once",
     ),
-    "double key": (
-        change("zone =", "name ="),
+    "duplicate key": (
+        replace("zone =", "name ="),
         "instance",
         "name",
         "the key only once",
     ),
-    "no section": (
-        change("[instance]\n", ""),
+    "key before the first section": (
+        replace("[instance]\n", ""),
         "",
         "",
         "a [section] first",
     ),
-    "no value": (change("zone = ", "zone "), "", "", "key = value"),
+    "key without a value": (
+        replace("zone = ", "zone "),
+        "",
+        "",
+        "key = value",
+    ),
     "default section": (append("[DEFAULT]\n"), "DEFAULT", "", "one of ["),
 }
 
 
 @pytest.mark.parametrize(
-    ("spoil", "section", "key", "expected"), BAD.values(), ids=BAD.keys()
+    ("edit", "section", "key", "expected"),
+    INVALID.values(),
+    ids=INVALID.keys(),
 )
-def test_bad_settings_name_file_section_key_and_expectation(
-    write, valid, spoil, section, key, expected
+def test_error_gives_file_section_key_and_expected_value(
+    write, valid, edit, section, key, expected
 ):
-    path = write(spoil(valid))
+    path = write(edit(valid))
     with pytest.raises(settings.SettingsError) as caught:
         settings.load(path)
     assert (caught.value.section, caught.value.key) == (section, key)
@@ -208,7 +217,7 @@
     assert "hush" not in message
 
 
-def test_line_of_a_bad_value_is_told(write, valid):
+def test_error_gives_line_of_invalid_value(write, valid):
     path = write(valid.replace("250ms", "soon"))
     with pytest.raises(settings.SettingsError, match=r"cph-1\.ini:11 "):
         settings.load(path)
@@ -219,13 +228,15 @@
     [("entyr", "listen"), ("entry", "lisen")],
     ids=["section", "key"],
 )
-def test_override_of_something_unknown_is_refused(write, valid, section, key):
+def test_override_of_unknown_section_or_key_is_rejected(
+    write, valid, section, key
+):
     override = settings.ValueOverride(section, key, "127.0.0.1:8003")
     with pytest.raises(settings.SettingsError, match="expected one of"):
         settings.load(write(valid), [override])
 
 
-def test_shared_key_is_read_from_the_file_beside(tmp_path, write, valid):
+def test_shared_key_file_is_relative_to_settings_file(tmp_path, write, valid):
     (tmp_path / "shared.key").write_text("a key of enough bytes\n")
     text = valid.replace(
         "shared_key = 0123456789abcdef", "shared_key_file = shared.key"
@@ -234,6 +245,6 @@
     assert loaded.agent.shared_key.value == b"a key of enough bytes"
 
 
-def test_unreadable_file_is_a_settings_error(tmp_path):
+def test_unreadable_file_raises_settings_error(tmp_path):
     with pytest.raises(settings.SettingsError, match="a readable file"):
         settings.load(str(tmp_path / "gone.ini"))
