--- a/src/briarseam/wire/client.py
+++ b/src/briarseam/wire/client.py
@@ -23,7 +23,7 @@
 
 def connect(
     address: str,
-    me: connections.Identity,
+    identity: connections.Identity,
     key: bytes,
     timeout_s: float = CONNECT_TIMEOUT_S,
     clock: connections.Clock | None = None,
@@ -56,7 +56,7 @@
         raise NotSentError(f"cannot connect to {address}: {error}") from error
     connection = connections.Connection(sock)
     try:
-        hello.greet(connection, me, key, timeout_s)
+        hello.client_handshake(connection, identity, key, timeout_s)
     except connections.WireError as error:
         connection.close()
         raise NotSentError(f"hello with {address}: {error}") from error
@@ -86,7 +86,7 @@
     def __init__(
         self,
         address: str,
-        me: connections.Identity,
+        identity: connections.Identity,
         key: bytes,
         max_idle: int = DEFAULT_MAX_IDLE,
         clock: connections.Clock | None = None,
@@ -94,7 +94,7 @@
     ) -> None:
         self.observer = observer
         self.address = address
-        self.me = me
+        self.identity = identity
         self.key = key
         self.max_idle = max_idle
         self.clock = clock
@@ -137,7 +137,7 @@
         self, request: codec.Message, timeout_s: float
     ) -> codec.Message:
         """Send a request and return its reply, see :meth:`call`."""
-        connection = self.take(timeout_s)
+        connection = self.acquire(timeout_s)
         connection.set_timeout(timeout_s)
         sent = connection.bytes_sent
         received = connection.bytes_received
@@ -145,7 +145,7 @@
             connection.send(request)
             reply = connection.receive()
         except codec.CodecError as error:
-            self.give_back(connection)
+            self.release(connection)
             raise NotSentError(str(error)) from error
         except connections.WireError as error:
             connection.close()
@@ -153,10 +153,10 @@
         with self.lock:
             self.bytes_sent += connection.bytes_sent - sent
             self.bytes_received += connection.bytes_received - received
-        self.give_back(connection)
+        self.release(connection)
         return reply
 
-    def take(
+    def acquire(
         self, timeout_s: float = CONNECT_TIMEOUT_S
     ) -> connections.Connection:
         """Return an idle connection that is still open, or a new one."""
@@ -168,13 +168,13 @@
                 candidate = self.idle.pop() if self.idle else None
             if candidate is None:
                 return connect(
-                    self.address, self.me, self.key, bound_s, self.clock
+                    self.address, self.identity, self.key, bound_s, self.clock
                 )
             if is_open(candidate):
                 return candidate
             candidate.close()
 
-    def give_back(self, connection: connections.Connection) -> None:
+    def release(self, connection: connections.Connection) -> None:
         """Keep a connection for the next call."""
         with self.lock:
             if len(self.idle) < self.max_idle:
--- a/src/briarseam/wire/codec.py
+++ b/src/briarseam/wire/codec.py
@@ -29,8 +29,8 @@
 Message = typing.Any
 MessageType = typing.TypeVar("MessageType")
 
-registry: dict[str, type] = {}
-tags: dict[type, str] = {}
+types_by_tag: dict[str, type] = {}
+tags_by_type: dict[type, str] = {}
 
 
 class CodecError(Exception):
@@ -84,10 +84,10 @@
     """
 
     def register(cls: type[MessageType]) -> type[MessageType]:
-        if registry.get(tag, cls) is not cls:
+        if types_by_tag.get(tag, cls) is not cls:
             raise ValueError(f"message tag {tag!r} is taken")
-        registry[tag] = cls
-        tags[cls] = tag
+        types_by_tag[tag] = cls
+        tags_by_type[cls] = tag
         return cls
 
     return register
@@ -112,7 +112,7 @@
         When the message is larger than ``MAX_FRAME_BYTES`` or holds
         something that msgpack cannot carry.
     """
-    tag = tags.get(type(value))
+    tag = tags_by_type.get(type(value))
     if tag is None:
         raise CodecError(f"{type(value).__name__} is no message")
     try:
@@ -127,10 +127,10 @@
 
 def decode(payload: bytes) -> Message:
     """Return the message of a frame's payload, see :func:`open_frame`."""
-    return open_frame(payload).message
+    return decode_frame(payload).message
 
 
-def open_frame(payload: bytes) -> Frame:
+def decode_frame(payload: bytes) -> Frame:
     """Return what a frame's payload carries.
 
     Raises
@@ -142,7 +142,7 @@
         tag, body, stamp = msgpack.unpackb(payload, raw=False)
         if type(stamp) is not int or not 0 <= stamp <= MAX_STAMP:
             raise ValueError("the stamp is no clock")
-        return Frame(msgspec.convert(body, registry[tag]), stamp)
+        return Frame(msgspec.convert(body, types_by_tag[tag]), stamp)
     except KeyError as error:
         raise CodecError(f"unknown message {error}") from error
     except (ValueError, TypeError, msgspec.ValidationError) as error:
--- a/src/briarseam/wire/connection.py
+++ b/src/briarseam/wire/connection.py
@@ -45,17 +45,17 @@
 class Observers:
     """Several observers as one."""
 
-    members: tuple[Observer, ...]
+    observers: tuple[Observer, ...]
 
     def on_request(self, request: codec.Message) -> None:
         """Let each see a request."""
-        for member in self.members:
-            member.on_request(request)
+        for observer in self.observers:
+            observer.on_request(request)
 
     def on_reply(self, request: codec.Message, reply: codec.Message) -> None:
         """Let each see a reply."""
-        for member in self.members:
-            member.on_reply(request, reply)
+        for observer in self.observers:
+            observer.on_reply(request, reply)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -90,11 +90,11 @@
     """The end of one wait; ``None`` for a wait without an end."""
 
     def __init__(self, seconds: float | None) -> None:
-        self.at = None if seconds is None else time.monotonic() + seconds
+        self.end_s = None if seconds is None else time.monotonic() + seconds
 
-    def left_s(self) -> float | None:
+    def remaining_s(self) -> float | None:
         """Return the seconds that are left, negative when over."""
-        return None if self.at is None else self.at - time.monotonic()
+        return None if self.end_s is None else self.end_s - time.monotonic()
 
 
 class Connection:
@@ -141,7 +141,7 @@
         payload = self.read_exactly(length, deadline)
         self.bytes_received += codec.LENGTH.size + length
         try:
-            frame = codec.open_frame(payload)
+            frame = codec.decode_frame(payload)
         except codec.CodecError as error:
             raise WireError(str(error)) from error
         if self.clock:
@@ -152,24 +152,24 @@
         """Return ``count`` bytes or raise :class:`WireError`."""
         buffer = bytearray(count)
         view = memoryview(buffer)
-        have = 0
-        while have < count:
+        filled = 0
+        while filled < count:
             # The socket's own timeout would start anew with each piece: a
             # frame that trickles in would hold its reader, and a caller's
             # final answer, far beyond the timeout.
-            self.bound_socket(deadline.left_s())
+            self.set_read_timeout(deadline.remaining_s())
             try:
-                got = self.sock.recv_into(view[have:])
+                count_read = self.sock.recv_into(view[filled:])
             except TimeoutError as error:
                 raise WireTimeoutError("receive timed out") from error
             except OSError as error:
                 raise WireError(f"receive failed: {error}") from error
-            if got == 0:
+            if count_read == 0:
                 raise WireError("closed by the other side")
-            have += got
+            filled += count_read
         return bytes(buffer)
 
-    def bound_socket(self, seconds: float | None) -> None:
+    def set_read_timeout(self, seconds: float | None) -> None:
         """Let the next read wait this long, unless time is up already."""
         if seconds is None:
             return
--- a/src/briarseam/wire/datagrams.py
+++ b/src/briarseam/wire/datagrams.py
@@ -16,7 +16,7 @@
 
 MAC_BYTES = 16
 # Set apart from the MACs of connections, which are made with the same key.
-LABEL = b"briarseam-datagram"
+MAC_LABEL = b"briarseam-datagram"
 # The most that UDP carries over IPv4.
 MAX_DATAGRAM_BYTES = 65_507
 
@@ -35,7 +35,7 @@
     """
     if len(content) + MAC_BYTES > MAX_DATAGRAM_BYTES:
         raise TooLargeError(f"{len(content)} bytes for a datagram")
-    return mac_of(key, content) + content
+    return compute_mac(key, content) + content
 
 
 def unseal(key: bytes, datagram: bytes) -> bytes:
@@ -47,20 +47,20 @@
         If it was not made with the key.
     """
     mac, content = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
-    if not hmac.compare_digest(mac, mac_of(key, content)):
+    if not hmac.compare_digest(mac, compute_mac(key, content)):
         raise connections.WireError("a datagram with another key")
     return content
 
 
-def mac_of(key: bytes, content: bytes) -> bytes:
+def compute_mac(key: bytes, content: bytes) -> bytes:
     """Return the MAC of some content."""
-    digest = hashlib.blake2b(LABEL, key=key[:64], digest_size=MAC_BYTES)
+    digest = hashlib.blake2b(MAC_LABEL, key=key[:64], digest_size=MAC_BYTES)
     digest.update(content)
     return digest.digest()
 
 
 def open_socket(address: str) -> socket.socket:
     """Return a socket that receives datagrams at an address."""
-    opened = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    opened.bind(connections.parse_address(address))
-    return opened
+    bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    bound.bind(connections.parse_address(address))
+    return bound
--- a/src/briarseam/wire/event_loop.py
+++ b/src/briarseam/wire/event_loop.py
@@ -25,7 +25,7 @@
 
     def __init__(self, name: str) -> None:
         self.loop = asyncio.new_event_loop()
-        self.loop.set_exception_handler(note_fault)
+        self.loop.set_exception_handler(log_loop_error)
         self.thread = threading.Thread(target=self.run, name=name, daemon=True)
         self.lock = threading.Lock()
         self.started = False
@@ -42,7 +42,7 @@
         asyncio.set_event_loop(self.loop)
         try:
             self.loop.run_forever()
-            self.loop.run_until_complete(cancel_all())
+            self.loop.run_until_complete(cancel_all_tasks())
         finally:
             self.loop.close()
 
@@ -82,7 +82,7 @@
             raise
 
 
-async def cancel_all() -> None:
+async def cancel_all_tasks() -> None:
     """Cancel all tasks but this one and wait for their ends."""
     tasks = asyncio.all_tasks() - {asyncio.current_task()}
     for task in tasks:
@@ -90,7 +90,7 @@
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def note_fault(
+def log_loop_error(
     loop: asyncio.AbstractEventLoop, context: dict[str, typing.Any]
 ) -> None:
     """Log what went wrong in the loop, such as an accept that failed."""
--- a/src/briarseam/wire/frames.py
+++ b/src/briarseam/wire/frames.py
@@ -12,7 +12,7 @@
 
 # Messages that are read ahead of the coroutine that takes them; the other
 # side of a call sends the next one after the reply only.
-MAX_AHEAD = 4
+MAX_QUEUED_FRAMES = 4
 
 
 class AsyncConnection(asyncio.Protocol):
@@ -35,41 +35,44 @@
     """
 
     def __init__(
-        self, opened: typing.Callable[[AsyncConnection], None] | None = None
+        self, on_open: typing.Callable[[AsyncConnection], None] | None = None
     ) -> None:
-        self.opened = opened
+        self.on_open = on_open
         self.peer = connections.Identity(role="", name="")
         self.clock: connections.Clock | None = None
-        self.max_bytes = hello.MAX_HELLO_BYTES
+        self.max_bytes = hello.MAX_HANDSHAKE_FRAME_BYTES
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
         self.payloads: collections.deque[bytes] = collections.deque()
-        self.reader: asyncio.Future[None] | None = None
-        self.ended: str = ""
+        self.waiting_reader: asyncio.Future[None] | None = None
+        self.end_reason: str = ""
 
     # What the loop tells.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Begin."""
         self.transport = typing.cast("asyncio.Transport", transport)
-        if self.opened is not None:
-            self.opened(self)
+        if self.on_open is not None:
+            self.on_open(self)
 
     def data_received(self, data: bytes) -> None:
         """Take in bytes."""
         self.buffer += data
-        while self.cut_frame():
+        while self.extract_frame():
             pass
-        if len(self.payloads) >= MAX_AHEAD and self.transport is not None:
+        if (
+            len(self.payloads) >= MAX_QUEUED_FRAMES
+            and self.transport is not None
+        ):
             self.transport.pause_reading()
-        if self.payloads or self.ended:
-            self.wake()
+        if self.payloads or self.end_reason:
+            self.wake_reader()
 
     def connection_lost(self, error: Exception | None) -> None:
         """Take note that nothing comes any more."""
-        self.end(str(error) if error else "closed by the other side")
+        self.mark_ended(str(error) if error else "closed by the other side")
 
-    def cut_frame(self) -> bool:
+    def extract_frame(self) -> bool:
         """Move a whole frame from the buffer; tell whether there was one."""
         size = codec.LENGTH.size
         if len(self.buffer) < size:
@@ -77,7 +80,7 @@
         (length,) = codec.LENGTH.unpack_from(self.buffer)
         if length > self.max_bytes:
             self.buffer.clear()
-            self.end(f"frame of {length} bytes is too large")
+            self.mark_ended(f"frame of {length} bytes is too large")
             self.close()
             return False
         if len(self.buffer) < size + length:
@@ -86,16 +89,16 @@
         del self.buffer[: size + length]
         return True
 
-    def end(self, reason: str) -> None:
+    def mark_ended(self, reason: str) -> None:
         """Let the reader fail once it has taken what has come."""
-        self.ended = self.ended or reason
-        self.wake()
+        self.end_reason = self.end_reason or reason
+        self.wake_reader()
 
-    def wake(self) -> None:
+    def wake_reader(self) -> None:
         """Let the reader look again."""
-        reader, self.reader = self.reader, None
-        if reader is not None and not reader.done():
-            reader.set_result(None)
+        waiting_reader, self.waiting_reader = self.waiting_reader, None
+        if waiting_reader is not None and not waiting_reader.done():
+            waiting_reader.set_result(None)
 
     # What the coroutine does.
 
@@ -113,7 +116,7 @@
         except TimeoutError as error:
             raise connections.WireTimeoutError("receive timed out") from error
         try:
-            frame = codec.open_frame(payload)
+            frame = codec.decode_frame(payload)
         except codec.CodecError as error:
             raise connections.WireError(str(error)) from error
         if self.clock:
@@ -123,10 +126,10 @@
     async def next_payload(self) -> bytes:
         """Wait for the next frame's payload."""
         while not self.payloads:
-            if self.ended:
-                raise connections.WireError(self.ended)
-            self.reader = asyncio.get_running_loop().create_future()
-            await self.reader
+            if self.end_reason:
+                raise connections.WireError(self.end_reason)
+            self.waiting_reader = asyncio.get_running_loop().create_future()
+            await self.waiting_reader
         payload = self.payloads.popleft()
         if not self.payloads and self.transport is not None:
             self.transport.resume_reading()
@@ -162,8 +165,8 @@
         WireError
             When the connection has ended.
         """
-        if self.ended or self.transport is None:
-            raise connections.WireError(f"send failed: {self.ended}")
+        if self.end_reason or self.transport is None:
+            raise connections.WireError(f"send failed: {self.end_reason}")
         self.transport.write(frame)
 
     def close(self) -> None:
@@ -174,7 +177,7 @@
 
 async def connect(
     address: str,
-    me: connections.Identity,
+    identity: connections.Identity,
     key: bytes,
     timeout_s: float,
     clock: connections.Clock | None = None,
@@ -203,23 +206,23 @@
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(timeout_s):
-            _, frames = await loop.create_connection(
+            _, connection = await loop.create_connection(
                 AsyncConnection, host, port
             )
     except (OSError, TimeoutError) as error:
         raise connections.WireError(f"cannot connect to {address}") from error
     try:
-        await greet(frames, me, key, timeout_s)
+        await client_handshake(connection, identity, key, timeout_s)
     except BaseException:
-        frames.close()
+        connection.close()
         raise
-    frames.clock = clock
-    return frames
+    connection.clock = clock
+    return connection
 
 
-async def greet(
-    frames: AsyncConnection,
-    me: connections.Identity,
+async def client_handshake(
+    connection: AsyncConnection,
+    identity: connections.Identity,
     key: bytes,
     timeout_s: float,
 ) -> None:
@@ -231,7 +234,7 @@
         When the other side does not hold the key or speaks another
         version.
     """
-    mine = hello.ClientHello(me, key)
-    frames.send(mine.answer(await frames.receive(timeout_s)))
-    frames.peer = mine.check(await frames.receive(timeout_s))
-    frames.max_bytes = codec.MAX_FRAME_BYTES
+    handshake = hello.ClientHandshake(identity, key)
+    connection.send(handshake.answer(await connection.receive(timeout_s)))
+    connection.peer = handshake.check(await connection.receive(timeout_s))
+    connection.max_bytes = codec.MAX_FRAME_BYTES
--- a/src/briarseam/wire/hello.py
+++ b/src/briarseam/wire/hello.py
@@ -19,10 +19,10 @@
 from briarseam.wire import connection as connections
 
 NONCE_BYTES = 16
-HELLO_TIMEOUT_S = 5.0
+HANDSHAKE_TIMEOUT_S = 5.0
 # A frame before authentication can only be a hello; the cap keeps a
 # stranger from making us buffer megabytes.
-MAX_HELLO_BYTES = 1024
+MAX_HANDSHAKE_FRAME_BYTES = 1024
 
 
 @codec.message("challenge")
@@ -52,7 +52,7 @@
     mac: bytes
 
 
-class ClientHello:
+class ClientHandshake:
     """The hello of one connection, from the client's side.
 
     Parameters
@@ -63,8 +63,8 @@
         The shared key.
     """
 
-    def __init__(self, me: connections.Identity, key: bytes) -> None:
-        self.me = me
+    def __init__(self, identity: connections.Identity, key: bytes) -> None:
+        self.identity = identity
         self.key = key
         self.nonce = secrets.token_bytes(NONCE_BYTES)
         self.challenge = b""
@@ -77,19 +77,23 @@
         WireError
             When it is none, or of another version.
         """
-        challenge = expected(received, Challenge)
+        challenge = require_type(received, Challenge)
         check_version(challenge.version)
         self.challenge = challenge.nonce
-        mac = proof(
+        mac = handshake_mac(
             self.key,
             "client",
             self.challenge,
             self.nonce,
-            self.me.role,
-            self.me.name,
+            self.identity.role,
+            self.identity.name,
         )
         return Hello(
-            codec.WIRE_VERSION, self.me.role, self.me.name, self.nonce, mac
+            codec.WIRE_VERSION,
+            self.identity.role,
+            self.identity.name,
+            self.nonce,
+            mac,
         )
 
     def check(self, received: codec.Message) -> connections.Identity:
@@ -100,8 +104,8 @@
         WireError
             When it does not hold the key.
         """
-        welcome = expected(received, Welcome)
-        mac = proof(
+        welcome = require_type(received, Welcome)
+        mac = handshake_mac(
             self.key, "server", self.nonce, self.challenge, welcome.name
         )
         if not hmac.compare_digest(mac, welcome.mac):
@@ -111,7 +115,7 @@
         return connections.Identity(role="agent", name=welcome.name)
 
 
-class ServerHello:
+class ServerHandshake:
     """The hello of one connection, from the server's side.
 
     Parameters
@@ -122,8 +126,8 @@
         The shared key.
     """
 
-    def __init__(self, me: connections.Identity, key: bytes) -> None:
-        self.me = me
+    def __init__(self, identity: connections.Identity, key: bytes) -> None:
+        self.identity = identity
         self.key = key
         self.nonce = secrets.token_bytes(NONCE_BYTES)
 
@@ -141,28 +145,28 @@
         WireError
             When it does not hold the key or speaks another version.
         """
-        hello = expected(received, Hello)
+        hello = require_type(received, Hello)
         check_version(hello.version)
-        mac = proof(
+        mac = handshake_mac(
             self.key, "client", self.nonce, hello.nonce, hello.role, hello.name
         )
         if not hmac.compare_digest(mac, hello.mac):
             raise connections.WireError(
                 "the client does not hold the shared key"
             )
-        welcome = proof(
-            self.key, "server", hello.nonce, self.nonce, self.me.name
+        welcome = handshake_mac(
+            self.key, "server", hello.nonce, self.nonce, self.identity.name
         )
         return connections.Identity(hello.role, hello.name), Welcome(
-            self.me.name, welcome
+            self.identity.name, welcome
         )
 
 
-def greet(
+def client_handshake(
     connection: connections.Connection,
-    me: connections.Identity,
+    identity: connections.Identity,
     key: bytes,
-    timeout_s: float = HELLO_TIMEOUT_S,
+    timeout_s: float = HANDSHAKE_TIMEOUT_S,
 ) -> None:
     """Open a connection from the client's side.
 
@@ -184,12 +188,16 @@
         version.
     """
     connection.set_timeout(timeout_s)
-    mine = ClientHello(me, key)
-    connection.send(mine.answer(connection.receive(MAX_HELLO_BYTES)))
-    connection.peer = mine.check(connection.receive(MAX_HELLO_BYTES))
+    handshake = ClientHandshake(identity, key)
+    connection.send(
+        handshake.answer(connection.receive(MAX_HANDSHAKE_FRAME_BYTES))
+    )
+    connection.peer = handshake.check(
+        connection.receive(MAX_HANDSHAKE_FRAME_BYTES)
+    )
 
 
-def proof(key: bytes, label: str, *parts: bytes | str) -> bytes:
+def handshake_mac(key: bytes, label: str, *parts: bytes | str) -> bytes:
     """Return the MAC of a hello's parts under ``label``."""
     mac = hmac.new(key, label.encode(), hashlib.sha256)
     for part in parts:
@@ -203,7 +211,7 @@
 MessageType = typing.TypeVar("MessageType")
 
 
-def expected(value: codec.Message, kind: type[MessageType]) -> MessageType:
+def require_type(value: codec.Message, kind: type[MessageType]) -> MessageType:
     """Return a message if it is of ``kind``, else raise."""
     if not isinstance(value, kind):
         raise connections.WireError(f"expected {kind.__name__} in the hello")
--- a/src/briarseam/wire/server.py
+++ b/src/briarseam/wire/server.py
@@ -15,7 +15,7 @@
 from briarseam.wire import codec
 from briarseam.wire import connection as connections
 from briarseam.wire import event_loop
-from briarseam.wire import frames as frames_module
+from briarseam.wire import frames
 from briarseam.wire import hello
 
 BACKLOG = 512
@@ -132,23 +132,23 @@
     def __init__(
         self,
         listen: str,
-        me: connections.Identity,
+        identity: connections.Identity,
         key: bytes,
         router: Router,
         clock: connections.Clock | None = None,
         loop: event_loop.EventLoop | None = None,
     ) -> None:
         self.clock = clock
-        self.me = me
+        self.identity = identity
         self.key = key
         self.router = router
         self.owns_loop = loop is None
         self.loop = loop or event_loop.EventLoop("wire-server")
         self.workers = worker_threads.WorkerThreads("wire-handler")
         self.tasks: set[asyncio.Task[None]] = set()
-        self.open: set[frames_module.AsyncConnection] = set()
+        self.open_connections: set[frames.AsyncConnection] = set()
         self.lock = threading.Lock()
-        self.accepting: asyncio.Server | None = None
+        self.asyncio_server: asyncio.Server | None = None
         self.listener = socket.create_server(
             connections.parse_address(listen), backlog=BACKLOG
         )
@@ -159,54 +159,56 @@
     def start(self) -> None:
         """Begin accepting."""
         self.loop.start()
-        self.loop.spawn(self.accept()).result(START_WAIT_S)
+        self.loop.spawn(self.start_accepting()).result(START_WAIT_S)
 
-    async def accept(self) -> None:
+    async def start_accepting(self) -> None:
         """Accept until stopped; a failed accept is tried again."""
-        self.accepting = await asyncio.get_running_loop().create_server(
-            lambda: frames_module.AsyncConnection(self.begin),
+        self.asyncio_server = await asyncio.get_running_loop().create_server(
+            lambda: frames.AsyncConnection(self.start_serving),
             sock=self.listener,
             backlog=BACKLOG,
         )
 
-    def begin(self, frames: frames_module.AsyncConnection) -> None:
+    def start_serving(self, connection: frames.AsyncConnection) -> None:
         """Serve a connection that was accepted."""
-        task = asyncio.get_running_loop().create_task(self.serve(frames))
+        task = asyncio.get_running_loop().create_task(self.serve(connection))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def serve(self, frames: frames_module.AsyncConnection) -> None:
+    async def serve(self, connection: frames.AsyncConnection) -> None:
         """Answer one connection's messages until it ends."""
         with self.lock:
-            self.open.add(frames)
+            self.open_connections.add(connection)
         try:
-            await admit(frames, self.me, self.key)
-            frames.clock = self.clock
+            await server_handshake(connection, self.identity, self.key)
+            connection.clock = self.clock
             while True:
-                request = await frames.receive()
-                frames.send_frame(await self.answer(frames, request))
+                request = await connection.receive()
+                connection.send_frame(await self.answer(connection, request))
         except connections.WireError:
             # The caller sees its connection end and settles the call as
             # lost; there is nobody else to tell.
             pass
         finally:
-            frames.close()
+            connection.close()
             with self.lock:
-                self.open.discard(frames)
+                self.open_connections.discard(connection)
 
     async def answer(
-        self, frames: frames_module.AsyncConnection, request: codec.Message
+        self, connection: frames.AsyncConnection, request: codec.Message
     ) -> bytes:
         """Return the reply to a message, as a frame."""
         if type(request) in self.router.nonblocking:
-            return encoded(frames, self.router.answer(frames.peer, request))
+            return encode_reply(
+                connection, self.router.answer(connection.peer, request)
+            )
         wait = self.router.waits.get(type(request))
         if wait is not None:
             await wait(request)
-        return await self.answer_in_thread(frames, request)
+        return await self.answer_in_thread(connection, request)
 
     async def answer_in_thread(
-        self, frames: frames_module.AsyncConnection, request: codec.Message
+        self, connection: frames.AsyncConnection, request: codec.Message
     ) -> bytes:
         """Return the reply of a handler that may wait, as a frame.
 
@@ -221,40 +223,46 @@
                 # The connection was ended before the work began.
                 return
             try:
-                answer = self.router.answer(frames.peer, request)
-                reply.set_result(encoded(frames, answer))
+                answer = self.router.answer(connection.peer, request)
+                reply.set_result(encode_reply(connection, answer))
             except Exception as error:
                 reply.set_exception(error)
 
         try:
             self.workers.submit(work)
         except worker_threads.NoThreadError as error:
-            return encoded(frames, codec.Failed("overloaded", str(error)))
+            return encode_reply(
+                connection, codec.Failed("overloaded", str(error))
+            )
         return await asyncio.wrap_future(reply)
 
     def connected_peers(self) -> frozenset[str]:
         """Return the names of the peers that have a connection open."""
         with self.lock:
-            return frozenset(one.peer.name for one in self.open)
+            return frozenset(
+                connection.peer.name for connection in self.open_connections
+            )
 
     def stop(self) -> None:
         """Stop accepting and end all connections."""
-        if self.accepting is None:
+        if self.asyncio_server is None:
             self.listener.close()
-        self.loop.call(self.end_all)
+        self.loop.call(self.close_all)
         if self.owns_loop:
             self.loop.stop()
 
-    def end_all(self) -> None:
+    def close_all(self) -> None:
         """End all connections; call it in the loop."""
-        if self.accepting is not None:
-            self.accepting.close()
+        if self.asyncio_server is not None:
+            self.asyncio_server.close()
         for task in list(self.tasks):
             task.cancel()
 
 
-async def admit(
-    frames: frames_module.AsyncConnection, me: connections.Identity, key: bytes
+async def server_handshake(
+    connection: frames.AsyncConnection,
+    identity: connections.Identity,
+    key: bytes,
 ) -> None:
     """Open a connection from the server's side.
 
@@ -264,22 +272,22 @@
         When the other side does not hold the key or speaks another
         version.
     """
-    mine = hello.ServerHello(me, key)
-    frames.send(mine.challenge())
-    received = await frames.receive(hello.HELLO_TIMEOUT_S)
-    frames.peer, welcome = mine.check(received)
-    frames.send(welcome)
-    frames.max_bytes = codec.MAX_FRAME_BYTES
+    handshake = hello.ServerHandshake(identity, key)
+    connection.send(handshake.challenge())
+    received = await connection.receive(hello.HANDSHAKE_TIMEOUT_S)
+    connection.peer, welcome = handshake.check(received)
+    connection.send(welcome)
+    connection.max_bytes = codec.MAX_FRAME_BYTES
 
 
-def encoded(
-    frames: frames_module.AsyncConnection, reply: codec.Message
+def encode_reply(
+    connection: frames.AsyncConnection, reply: codec.Message
 ) -> bytes:
     """Return a reply's frame, or one that says that it can't be carried."""
     try:
-        return frames.encode(reply)
+        return connection.encode(reply)
     except codec.CodecError as error:
         # Ending the connection instead would make the caller count
         # the call as lost, that is as one that may have run.
         log.warning("reply_not_carried", detail=str(error))
-        return frames.encode(codec.Failed("error", str(error)))
+        return connection.encode(codec.Failed("error", str(error)))
--- a/tests/wire/conftest.py
+++ b/tests/wire/conftest.py
@@ -20,26 +20,29 @@
 @pytest.fixture
 def router():
     made = servers.Router()
-    made.on(sample.Ask, lambda peer, ask: sample.Told(ask.text, ask.count))
+    made.on(
+        sample.Query,
+        lambda peer, query: sample.Answer(query.text, query.count),
+    )
     return made
 
 
 @pytest.fixture
 def start_server(router):
     """Start servers that stop at the end of the test."""
-    started = []
+    servers_started = []
 
     def start(listen="127.0.0.1:0", key=KEY, clock=None, prepare=None):
-        me = connections.Identity("agent", "agent-1")
-        server = servers.Server(listen, me, key, router, clock)
+        identity = connections.Identity("agent", "agent-1")
+        server = servers.Server(listen, identity, key, router, clock)
         if prepare:
             prepare(server)
         server.start()
-        started.append(server)
+        servers_started.append(server)
         return server
 
     yield start
-    for server in started:
+    for server in servers_started:
         server.stop()
 
 
@@ -49,8 +52,8 @@
     made = []
 
     def make(address, key=KEY, **options):
-        me = connections.Identity("entry", "entry-1")
-        client = clients.Client(address, me, key, **options)
+        identity = connections.Identity("entry", "entry-1")
+        client = clients.Client(address, identity, key, **options)
         made.append(client)
         return client
 
--- a/tests/wire/sample.py
+++ b/tests/wire/sample.py
@@ -7,22 +7,22 @@
 from briarseam.wire import codec
 
 
-@codec.message("test-ask")
+@codec.message("test-query")
 @dataclasses.dataclass(frozen=True)
-class Ask:
+class Query:
     text: str
     count: int = 0
     blob: bytes = b""
 
 
-@codec.message("test-told")
+@codec.message("test-answer")
 @dataclasses.dataclass(frozen=True)
-class Told:
+class Answer:
     text: str
     count: int
 
 
-@codec.message("test-unheard")
+@codec.message("test-unhandled")
 @dataclasses.dataclass(frozen=True)
-class Unheard:
+class Unhandled:
     text: str
--- a/tests/wire/test_calls.py
+++ b/tests/wire/test_calls.py
@@ -18,13 +18,13 @@
 from briarseam.wire import hello
 from briarseam.wire import server as servers
 
-SOON_S = 0.3
+SHORT_TIMEOUT_S = 0.3
 
 
 def test_call_returns_the_reply(start_server, make_client):
     # One call is one message and its reply.
     client = make_client(start_server().address)
-    assert client.call(sample.Ask("x", 7), 2.0) == sample.Told("x", 7)
+    assert client.call(sample.Query("x", 7), 2.0) == sample.Answer("x", 7)
     assert client.bytes_sent > 0
     assert client.bytes_received > 0
 
@@ -34,18 +34,22 @@
 ):
     # Sixteen requests share one client.  Were a connection shared, one
     # caller would read another's reply.
-    together = threading.Barrier(16, timeout=10)
+    all_arrived = threading.Barrier(16, timeout=10)
 
-    def answer(peer, ask):
-        together.wait()
-        return sample.Told(ask.text, ask.count)
+    def answer(peer, query):
+        all_arrived.wait()
+        return sample.Answer(query.text, query.count)
 
-    router.handlers[sample.Ask] = answer
+    router.handlers[sample.Query] = answer
     client = make_client(start_server().address, max_idle=4)
     with concurrent.futures.ThreadPoolExecutor(16) as pool:
-        asks = [sample.Ask(f"a{n}", n) for n in range(16)]
-        replies = list(pool.map(lambda ask: client.call(ask, 10.0), asks))
-    assert replies == [sample.Told(ask.text, ask.count) for ask in asks]
+        queries = [sample.Query(f"a{n}", n) for n in range(16)]
+        replies = list(
+            pool.map(lambda query: client.call(query, 10.0), queries)
+        )
+    assert replies == [
+        sample.Answer(query.text, query.count) for query in queries
+    ]
     assert len(client.idle) <= 4
 
 
@@ -53,9 +57,9 @@
     ("message", "kind", "detail"),
     [
         pytest.param(
-            sample.Unheard("x"), "unhandled", "Unheard", id="no handler"
+            sample.Unhandled("x"), "unhandled", "Unhandled", id="no handler"
         ),
-        pytest.param(sample.Ask("bad"), "error", "bad", id="handler raises"),
+        pytest.param(sample.Query("bad"), "error", "bad", id="handler raises"),
     ],
 )
 def test_message_that_cannot_be_handled_is_answered(
@@ -63,10 +67,10 @@
 ):
     # A newer entry asks an older agent, or a handler has a fault.  The
     # caller must hear so instead of waiting for its timeout.
-    def answer(peer, ask):
-        raise RuntimeError(f"cannot answer {ask.text}")
+    def answer(peer, query):
+        raise RuntimeError(f"cannot answer {query.text}")
 
-    router.handlers[sample.Ask] = answer
+    router.handlers[sample.Query] = answer
     client = make_client(start_server().address)
     reply = client.call(message, 2.0)
     assert isinstance(reply, codec.Failed)
@@ -79,7 +83,7 @@
     [
         pytest.param(None, id="nothing"),
         pytest.param(
-            sample.Told("x" * codec.MAX_FRAME_BYTES, 0), id="too large"
+            sample.Answer("x" * codec.MAX_FRAME_BYTES, 0), id="too large"
         ),
     ],
 )
@@ -88,9 +92,9 @@
 ):
     # A handler has a fault in its reply.  The caller must hear that at
     # once, and not count the call as lost with its connection.
-    router.handlers[sample.Ask] = lambda peer, ask: reply
+    router.handlers[sample.Query] = lambda peer, query: reply
     client = make_client(start_server().address)
-    assert isinstance(client.call(sample.Ask("x"), 2.0), codec.Failed)
+    assert isinstance(client.call(sample.Query("x"), 2.0), codec.Failed)
     assert len(client.idle) == 1
 
 
@@ -99,16 +103,16 @@
     with socket.create_server(("127.0.0.1", 0)) as gone:
         port = gone.getsockname()[1]
     with pytest.raises(clients.NotSentError):
-        make_client(f"127.0.0.1:{port}").call(sample.Ask("x"), 2.0)
+        make_client(f"127.0.0.1:{port}").call(sample.Query("x"), 2.0)
 
 
 def test_message_too_large_is_not_sent(start_server, make_client):
     # The caller learns that nothing ran, and the connection stays good.
     client = make_client(start_server().address)
-    huge = sample.Ask("x", blob=b"x" * codec.MAX_FRAME_BYTES)
+    huge = sample.Query("x", blob=b"x" * codec.MAX_FRAME_BYTES)
     with pytest.raises(clients.NotSentError):
         client.call(huge, 2.0)
-    assert client.call(sample.Ask("x"), 2.0) == sample.Told("x", 0)
+    assert client.call(sample.Query("x"), 2.0) == sample.Answer("x", 0)
     assert len(client.idle) == 1
 
 
@@ -118,21 +122,23 @@
     took_effect = threading.Event()
     release = threading.Event()
 
-    def answer(peer, ask):
+    def answer(peer, query):
         took_effect.set()
         release.wait(10)
-        return sample.Told("late", 0)
+        return sample.Answer("late", 0)
 
-    router.handlers[sample.Ask] = answer
+    router.handlers[sample.Query] = answer
     client = make_client(start_server().address)
     with pytest.raises(clients.CallLostError):
-        client.call(sample.Ask("x"), SOON_S)
+        client.call(sample.Query("x"), SHORT_TIMEOUT_S)
     assert took_effect.is_set()
     # The late reply must not be read as that of the next call.
     assert client.idle == []
-    router.handlers[sample.Ask] = lambda peer, ask: sample.Told("next", 1)
+    router.handlers[sample.Query] = lambda peer, query: sample.Answer(
+        "next", 1
+    )
     release.set()
-    assert client.call(sample.Ask("y"), 2.0) == sample.Told("next", 1)
+    assert client.call(sample.Query("y"), 2.0) == sample.Answer("next", 1)
 
 
 def test_connection_cut_before_the_reply_is_lost(
@@ -140,9 +146,9 @@
 ):
     # The server dies with the message in hand.
     server = start_server()
-    router.handlers[sample.Ask] = lambda peer, ask: server.stop()
+    router.handlers[sample.Query] = lambda peer, query: server.stop()
     with pytest.raises(clients.CallLostError):
-        make_client(server.address).call(sample.Ask("x"), 2.0)
+        make_client(server.address).call(sample.Query("x"), 2.0)
 
 
 def test_connection_closed_between_calls_is_not_used(
@@ -152,12 +158,12 @@
     # second one would be called lost, though it never left.
     first = start_server()
     client = make_client(first.address)
-    client.call(sample.Ask("x"), 2.0)
+    client.call(sample.Query("x"), 2.0)
     (idle,) = client.idle
     first.stop()
     wait_for_end(idle)
     start_server(listen=first.address)
-    assert client.call(sample.Ask("y"), 2.0) == sample.Told("y", 0)
+    assert client.call(sample.Query("y"), 2.0) == sample.Answer("y", 0)
 
 
 def wait_for_end(connection):
@@ -175,8 +181,8 @@
         client = make_client(f"{host}:{port}")
         began = time.monotonic()
         with pytest.raises(clients.NotSentError):
-            client.call(sample.Ask("x"), SOON_S)
-        assert time.monotonic() - began < hello.HELLO_TIMEOUT_S / 2
+            client.call(sample.Query("x"), SHORT_TIMEOUT_S)
+        assert time.monotonic() - began < hello.HANDSHAKE_TIMEOUT_S / 2
 
 
 def test_reply_that_trickles_in_does_not_outlast_the_timeout(pair):
@@ -188,13 +194,13 @@
     def trickle():
         writer.sock.sendall(struct.pack("!I", 100))
         for _ in range(100):
-            if stop.wait(SOON_S / 10):
+            if stop.wait(SHORT_TIMEOUT_S / 10):
                 return
             writer.sock.sendall(b"\x00")
 
     thread = threading.Thread(target=trickle)
     thread.start()
-    reader.set_timeout(SOON_S)
+    reader.set_timeout(SHORT_TIMEOUT_S)
     with pytest.raises(connections.WireTimeoutError):
         reader.receive()
     stop.set()
@@ -205,24 +211,26 @@
     # A peer with a fault announces 4 GB.  Only its own connection may
     # suffer.
     server = start_server()
-    me = connections.Identity("entry", "entry-1")
-    connection = clients.connect(server.address, me, key)
+    identity = connections.Identity("entry", "entry-1")
+    connection = clients.connect(server.address, identity, key)
     connection.sock.sendall(struct.pack("!I", 2**32 - 1))
     with pytest.raises(connections.WireError):
         connection.receive()
-    clients.connect(server.address, me, key).close()
+    clients.connect(server.address, identity, key).close()
 
 
 def test_unknown_tag_ends_only_that_connection(start_server, key):
     # A newer release sends a message this one does not know.
     server = start_server()
-    me = connections.Identity("entry", "entry-1")
-    connection = clients.connect(server.address, me, key)
-    payload = codec.encode(sample.Ask("x")).replace(b"test-ask", b"test-new")
+    identity = connections.Identity("entry", "entry-1")
+    connection = clients.connect(server.address, identity, key)
+    payload = codec.encode(sample.Query("x")).replace(
+        b"test-query", b"test-other"
+    )
     connection.sock.sendall(payload)
     with pytest.raises(connections.WireError):
         connection.receive()
-    clients.connect(server.address, me, key).close()
+    clients.connect(server.address, identity, key).close()
 
 
 def test_clocks_follow_the_messages(start_server, make_client):
@@ -233,9 +241,9 @@
     behind = clocks.HybridClock(lambda: now - 10_000_000_000)
     ahead = clocks.HybridClock(lambda: now)
     client = make_client(start_server(clock=behind).address, clock=ahead)
-    asked = ahead.now()
-    client.call(sample.Ask("x"), 2.0)
-    assert behind.last > asked
+    request_stamp = ahead.now()
+    client.call(sample.Query("x"), 2.0)
+    assert behind.last > request_stamp
     assert ahead.now() > behind.last
 
 
@@ -255,7 +263,7 @@
         server.listener.setblocking(False)
 
     client = make_client(start_server(prepare=prepare).address)
-    assert client.call(sample.Ask("x"), 2.0) == sample.Told("x", 0)
+    assert client.call(sample.Query("x"), 2.0) == sample.Answer("x", 0)
     assert failures == []
 
 
@@ -275,10 +283,10 @@
     server = start_server()
     monkeypatch.setattr(threading.Thread, "start", start_or_fail)
     client = make_client(server.address)
-    refused = client.call(sample.Ask("x"), 5.0)
+    refused = client.call(sample.Query("x"), 5.0)
     assert isinstance(refused, codec.Failed)
     assert refused.kind == "overloaded"
-    assert client.call(sample.Ask("x"), 5.0) == sample.Told("x", 0)
+    assert client.call(sample.Query("x"), 5.0) == sample.Answer("x", 0)
     assert len(client.idle) == 1
 
 
@@ -290,33 +298,35 @@
     Each of the others keeps some connections open, and has calls waiting
     there for news.
     """
-    news = changes.Change()
-    told = []
+    change = changes.Change()
+    published = []
 
-    async def wait(asked):
-        await news.reached(lambda: bool(told), 10.0)
+    async def wait(request):
+        await change.reached(lambda: bool(published), 10.0)
 
-    router.on(sample.Unheard, lambda peer, ask: sample.Told("x", 0), wait)
+    router.on(
+        sample.Unhandled, lambda peer, query: sample.Answer("x", 0), wait
+    )
     server = start_server()
     client = make_client(server.address)
-    client.call(sample.Ask("x"), 5.0)
+    client.call(sample.Query("x"), 5.0)
     before = threading.active_count()
     with concurrent.futures.ThreadPoolExecutor(100) as pool:
         calls = [
-            pool.submit(client.call, sample.Unheard("x"), 10.0)
+            pool.submit(client.call, sample.Unhandled("x"), 10.0)
             for _ in range(100)
         ]
-        waiting.until(lambda: len(server.open) >= 100)
+        waiting.until(lambda: len(server.open_connections) >= 100)
         assert threading.active_count() - before <= 100
-        with news:
-            told.append(True)
-            news.notify_all()
-        assert {call.result() for call in calls} == {sample.Told("x", 0)}
+        with change:
+            published.append(True)
+            change.notify_all()
+        assert {call.result() for call in calls} == {sample.Answer("x", 0)}
 
 
 def test_message_has_one_handler():
     # Two slices answering the same message would shadow each other.
     router = servers.Router()
-    router.on(sample.Ask, lambda peer, ask: sample.Told("", 0))
+    router.on(sample.Query, lambda peer, query: sample.Answer("", 0))
     with pytest.raises(ValueError, match="has a handler"):
-        router.on(sample.Ask, lambda peer, ask: sample.Told("", 0))
+        router.on(sample.Query, lambda peer, query: sample.Answer("", 0))
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -21,8 +21,8 @@
         "r1", "", "e1", admission.RunResult.DONE, body=b"\x00\xff"
     )
     frame = codec.encode(ended, stamp=codec.MAX_STAMP)
-    opened = codec.open_frame(frame[codec.LENGTH.size :])
-    assert opened == codec.Frame(ended, codec.MAX_STAMP)
+    decoded = codec.decode_frame(frame[codec.LENGTH.size :])
+    assert decoded == codec.Frame(ended, codec.MAX_STAMP)
 
 
 @pytest.mark.parametrize(
@@ -30,26 +30,26 @@
     [
         pytest.param(b"", id="empty"),
         pytest.param(b"\xc1", id="not msgpack"),
-        pytest.param(payload_of(sample.Ask("x")) + b"\x00", id="trailing"),
-        pytest.param(payload_of(sample.Ask("x"))[:-1], id="cut short"),
-        pytest.param(msgpack.packb(["nobody", {}, 0]), id="unknown tag"),
-        pytest.param(msgpack.packb([["test-ask"], {}, 0]), id="tag a list"),
-        pytest.param(msgpack.packb(["test-ask", {}, 0]), id="no field"),
+        pytest.param(payload_of(sample.Query("x")) + b"\x00", id="trailing"),
+        pytest.param(payload_of(sample.Query("x"))[:-1], id="cut short"),
+        pytest.param(msgpack.packb(["unknown", {}, 0]), id="unknown tag"),
+        pytest.param(msgpack.packb([["test-query"], {}, 0]), id="tag a list"),
+        pytest.param(msgpack.packb(["test-query", {}, 0]), id="no field"),
         pytest.param(
-            msgpack.packb(["test-ask", {"text": 7}, 0]), id="wrong type"
+            msgpack.packb(["test-query", {"text": 7}, 0]), id="wrong type"
         ),
         pytest.param(
-            msgpack.packb(["test-ask", {"text": "x"}]), id="no stamp"
+            msgpack.packb(["test-query", {"text": "x"}]), id="no stamp"
         ),
         pytest.param(
-            msgpack.packb(["test-ask", {"text": "x"}, -1]),
+            msgpack.packb(["test-query", {"text": "x"}, -1]),
             id="negative stamp",
         ),
         pytest.param(
-            msgpack.packb(["test-ask", {"text": "x"}, True]), id="bool stamp"
+            msgpack.packb(["test-query", {"text": "x"}, True]), id="bool stamp"
         ),
         pytest.param(
-            msgpack.packb(["test-ask", {"text": "x"}, "1"]), id="text stamp"
+            msgpack.packb(["test-query", {"text": "x"}, "1"]), id="text stamp"
         ),
     ],
 )
@@ -64,11 +64,12 @@
     "value",
     [
         pytest.param(
-            sample.Ask("x", blob=b"x" * codec.MAX_FRAME_BYTES), id="too large"
+            sample.Query("x", blob=b"x" * codec.MAX_FRAME_BYTES),
+            id="too large",
         ),
-        pytest.param(sample.Ask("x", count=2**64), id="integer too wide"),
-        pytest.param(sample.Ask("\ud800"), id="lone surrogate"),
-        pytest.param(sample.Ask(object()), id="no wire type"),
+        pytest.param(sample.Query("x", count=2**64), id="integer too wide"),
+        pytest.param(sample.Query("\ud800"), id="lone surrogate"),
+        pytest.param(sample.Query(object()), id="no wire type"),
     ],
 )
 def test_message_that_cannot_be_carried_is_a_codec_error(value):
@@ -80,7 +81,7 @@
 def test_tag_is_given_once():
     # Two slices that chose the same tag would answer for each other.
     with pytest.raises(ValueError, match="taken"):
-        codec.message("test-ask")(sample.Unheard)
+        codec.message("test-query")(sample.Unhandled)
 
 
 def only_codec_errors(payload):
@@ -97,7 +98,7 @@
     only_codec_errors(payload)
 
 
-anything = strategies.recursive(
+any_value = strategies.recursive(
     strategies.none()
     | strategies.booleans()
     | strategies.integers(-(2**63), 2**64 - 1)
@@ -120,9 +121,9 @@
 
 
 @hypothesis.given(
-    tag=strategies.sampled_from(sorted(codec.registry)) | anything,
-    body=anything,
-    stamp=anything,
+    tag=strategies.sampled_from(sorted(codec.types_by_tag)) | any_value,
+    body=any_value,
+    stamp=any_value,
 )
 def test_any_msgpack_raises_nothing_else(tag, body, stamp):
     # As above, for frames that are msgpack but not what we agreed on.
@@ -134,7 +135,7 @@
 )
 def test_one_flipped_byte_raises_nothing_else(place, byte):
     # As above, for a real message that was damaged on its way.
-    payload = bytearray(payload_of(sample.Ask("hello", 7, b"blob")))
+    payload = bytearray(payload_of(sample.Query("hello", 7, b"blob")))
     payload[place % len(payload)] = byte
     only_codec_errors(bytes(payload))
 
@@ -147,6 +148,6 @@
 )
 def test_every_message_comes_back_equal(text, count, blob, stamp):
     # What one process says, the other must hear.
-    ask = sample.Ask(text, count, blob)
-    payload = codec.encode(ask, stamp)[codec.LENGTH.size :]
-    assert codec.open_frame(payload) == codec.Frame(ask, stamp)
+    query = sample.Query(text, count, blob)
+    payload = codec.encode(query, stamp)[codec.LENGTH.size :]
+    assert codec.decode_frame(payload) == codec.Frame(query, stamp)
--- a/tests/wire/test_event_loop.py
+++ b/tests/wire/test_event_loop.py
@@ -7,7 +7,7 @@
 
 from briarseam.wire import event_loop
 
-PATIENCE_S = 5.0
+TIMEOUT_S = 5.0
 
 
 @pytest.fixture
@@ -19,15 +19,15 @@
 
 
 def test_coroutines_run_beside_each_other(loop):
-    met = asyncio.Event()
+    event = asyncio.Event()
 
     async def wait():
-        await met.wait()
+        await event.wait()
         return "met"
 
     waiting = loop.spawn(wait())
-    loop.call(met.set)
-    assert waiting.result(PATIENCE_S) == "met"
+    loop.call(event.set)
+    assert waiting.result(TIMEOUT_S) == "met"
 
 
 def test_stop_cancels_what_still_runs(loop):
@@ -42,7 +42,7 @@
             ended.set()
 
     loop.spawn(run())
-    assert begun.wait(PATIENCE_S)
+    assert begun.wait(TIMEOUT_S)
     loop.stop()
     assert ended.is_set()
     assert not loop.thread.is_alive()
@@ -54,7 +54,7 @@
     async def answer():
         return "alive"
 
-    assert loop.spawn(answer()).result(PATIENCE_S) == "alive"
+    assert loop.spawn(answer()).result(TIMEOUT_S) == "alive"
 
 
 def test_call_after_the_end_is_of_no_effect(loop):
--- a/tests/wire/test_hello.py
+++ b/tests/wire/test_hello.py
@@ -19,7 +19,7 @@
 AGENT = connections.Identity("agent", "agent-1")
 
 
-def admit(connection, me, key):
+def server_handshake(connection, identity, key):
     """Run the server's half of the hello on a socket."""
 
     async def run():
@@ -27,27 +27,35 @@
         _, accepted = await loop.connect_accepted_socket(
             frames.AsyncConnection, connection.sock
         )
-        await servers.admit(accepted, me, key)
+        await servers.server_handshake(accepted, identity, key)
         connection.peer = accepted.peer
 
     connection.sock.setblocking(False)
     asyncio.run(run())
 
 
-def meet(pair, client_key, server_key):
+def run_handshake(pair, client_key, server_key):
     """Run both halves of the hello; return what each of them raised."""
     dialled, accepted = pair
     with concurrent.futures.ThreadPoolExecutor(2) as pool:
-        halves = [
-            pool.submit(closing, hello.greet, dialled, ENTRY, client_key),
-            pool.submit(closing, admit, accepted, AGENT, server_key),
+        sides = [
+            pool.submit(
+                close_on_error,
+                hello.client_handshake,
+                dialled,
+                ENTRY,
+                client_key,
+            ),
+            pool.submit(
+                close_on_error, server_handshake, accepted, AGENT, server_key
+            ),
         ]
-        return [half.result() for half in halves]
+        return [side.result() for side in sides]
 
 
-def closing(half, connection, me, key):
+def close_on_error(side, connection, identity, key):
     try:
-        half(connection, me, key)
+        side(connection, identity, key)
     except connections.WireError as error:
         connection.close()
         return str(error)
@@ -56,7 +64,7 @@
 
 def test_peers_learn_each_others_proven_names(pair, key):
     # A handler may act on who asks, so the name must be the proven one.
-    assert meet(pair, key, key) == ["", ""]
+    assert run_handshake(pair, key, key) == ["", ""]
     dialled, accepted = pair
     assert dialled.peer == AGENT
     assert accepted.peer == ENTRY
@@ -65,7 +73,7 @@
 def test_server_refuses_a_client_with_another_key(pair, key):
     # A stranger on the network dials an agent.  Nothing it sends may be
     # handled, and it must not get a proof that it could use elsewhere.
-    client, server = meet(pair, b"another key", key)
+    client, server = run_handshake(pair, b"another key", key)
     assert "client does not hold" in server
     assert "closed" in client or "failed" in client
 
@@ -77,7 +85,7 @@
 
     def stranger():
         accepted.set_timeout(5)
-        accepted.send(codec_challenge())
+        accepted.send(make_challenge())
         received = accepted.receive()
         # The best it can do without the key: reflect the client's MAC.
         accepted.send(hello.Welcome("agent-1", received.mac))
@@ -85,10 +93,10 @@
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
         pool.submit(stranger)
         with pytest.raises(connections.WireError, match="server does not"):
-            hello.greet(dialled, ENTRY, key)
+            hello.client_handshake(dialled, ENTRY, key)
 
 
-def codec_challenge(version=codec.WIRE_VERSION):
+def make_challenge(version=codec.WIRE_VERSION):
     return hello.Challenge(version, b"n" * hello.NONCE_BYTES)
 
 
@@ -101,7 +109,7 @@
         dialled.set_timeout(5)
         challenge = dialled.receive()
         nonce = b"m" * hello.NONCE_BYTES
-        mac = hello.proof(
+        mac = hello.handshake_mac(
             key, "client", challenge.nonce, nonce, "entry", "entry-1"
         )
         dialled.send(hello.Hello(codec.WIRE_VERSION, "agent", "x", nonce, mac))
@@ -109,17 +117,17 @@
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
         pool.submit(client)
         with pytest.raises(connections.WireError, match="client does not"):
-            admit(accepted, AGENT, key)
+            server_handshake(accepted, AGENT, key)
 
 
 @pytest.mark.parametrize(
     "first",
     [
-        pytest.param(sample.Ask("no hello"), id="message before hello"),
+        pytest.param(sample.Query("no hello"), id="message before hello"),
         pytest.param(
             hello.Hello(99, "entry", "e", b"", b""), id="other version"
         ),
-        pytest.param(sample.Ask("x" * 2000), id="large frame"),
+        pytest.param(sample.Query("x" * 2000), id="large frame"),
     ],
 )
 def test_nothing_but_a_hello_of_our_version_opens(pair, key, first):
@@ -127,7 +135,7 @@
     dialled, accepted = pair
     dialled.send(first)
     with pytest.raises(connections.WireError):
-        admit(accepted, AGENT, key)
+        server_handshake(accepted, AGENT, key)
 
 
 def test_stranger_cannot_make_us_buffer(pair, key):
@@ -136,7 +144,7 @@
     dialled, accepted = pair
     dialled.sock.sendall(struct.pack("!I", codec.MAX_FRAME_BYTES))
     with pytest.raises(connections.WireError, match="too large"):
-        admit(accepted, AGENT, key)
+        server_handshake(accepted, AGENT, key)
 
 
 def test_stranger_cannot_move_the_clock(start_server, make_client, key):
@@ -147,6 +155,6 @@
     before = clock.last
     with pytest.raises(clients.NotSentError):
         make_client(address, key=b"another", clock=clocks.HybridClock()).call(
-            sample.Ask("x"), 2.0
+            sample.Query("x"), 2.0
         )
     assert clock.last == before
