--- a/src/briarseam/wire/__init__.py
+++ b/src/briarseam/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Authenticated msgpack streams between briarseam's own processes."""
+"""Authenticated msgpack messages between the processes of briarseam."""
--- a/src/briarseam/wire/client.py
+++ b/src/briarseam/wire/client.py
@@ -1,4 +1,4 @@
-"""The calling side: a pool of authenticated connections to one process."""
+"""Client for calls to one process over a pool of connections."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class NotSentError(connections.WireError):
-    """The message was certainly never received: no connection."""
+    """The message was not sent, so the server never received it."""
 
 
 class CallLostError(connections.WireError):
-    """The message went out but its reply did not come back."""
+    """The message was sent but no reply was received."""
 
 
 def connect(
@@ -28,25 +28,26 @@
     timeout_s: float = CONNECT_TIMEOUT_S,
     clock: connections.Clock | None = None,
 ) -> connections.Connection:
-    """Return an authenticated connection.
+    """Open an authenticated connection.
 
     Parameters
     ----------
     address
         ``ip:port`` of the server.
-    me
-        This process.
+    identity
+        Identity of this process.
     key
         The shared key.
     timeout_s
-        Bound on the connect and on each answer of the hello.
+        Timeout of the connect and of each receive of the handshake, in
+        seconds.
     clock
-        Stamps the frames after the hello.
+        Stamps the frames after the handshake.
 
     Raises
     ------
     NotSentError
-        When no connection could be opened.
+        When the connection or its handshake fails.
     """
     try:
         sock = socket.create_connection(
@@ -59,28 +60,30 @@
         hello.client_handshake(connection, identity, key, timeout_s)
     except connections.WireError as error:
         connection.close()
-        raise NotSentError(f"hello with {address}: {error}") from error
+        raise NotSentError(
+            f"handshake with {address} failed: {error}"
+        ) from error
     connection.clock = clock
     return connection
 
 
 class Client:
-    """Calls to one process, one connection per call under way.
+    """Makes calls to one process, with one connection per call in progress.
 
     Parameters
     ----------
     address
         ``ip:port`` of the server.
-    me
-        This process.
+    identity
+        Identity of this process.
     key
         The shared key.
     max_idle
-        Connections kept open between calls.
+        Maximum number of idle connections in the pool.
     clock
-        Stamps the frames; ``None`` sends them without.
+        Stamps the frames; ``None`` sends them with stamp 0.
     observer
-        Sees every call and its reply.
+        Notified of every request and its reply.
     """
 
     def __init__(
@@ -111,15 +114,15 @@
         request
             A registered message.
         timeout_s
-            Bound on the wait for the reply, in seconds; a connection that
-            has to be opened first may take as long again.
+            Timeout of the reply, in seconds; opening a new connection first
+            may take as long again.
 
         Raises
         ------
         NotSentError
-            When the server certainly did not get the message.
+            When the server did not receive the message.
         CallLostError
-            When it may have got it.
+            When the server may have received the message.
         """
         if self.observer is None:
             return self.exchange(request, timeout_s)
@@ -136,7 +139,7 @@
     def exchange(
         self, request: codec.Message, timeout_s: float
     ) -> codec.Message:
-        """Send a request and return its reply, see :meth:`call`."""
+        """Send a request and return its reply, without the observer."""
         connection = self.acquire(timeout_s)
         connection.set_timeout(timeout_s)
         sent = connection.bytes_sent
@@ -159,9 +162,10 @@
     def acquire(
         self, timeout_s: float = CONNECT_TIMEOUT_S
     ) -> connections.Connection:
-        """Return an idle connection that is still open, or a new one."""
-        # A frozen server's kernel still accepts: without the caller's own
-        # bound the hello would hold a call of half a second for seconds.
+        """Return an open idle connection from the pool, or a new one."""
+        # The kernel accepts connections for a frozen server: without the
+        # timeout of the call, a handshake would block a call of 0.5 s for
+        # CONNECT_TIMEOUT_S.
         bound_s = min(timeout_s, CONNECT_TIMEOUT_S)
         while True:
             with self.lock:
@@ -175,7 +179,7 @@
             candidate.close()
 
     def release(self, connection: connections.Connection) -> None:
-        """Keep a connection for the next call."""
+        """Return a connection to the pool, or close it if the pool is full."""
         with self.lock:
             if len(self.idle) < self.max_idle:
                 self.idle.append(connection)
@@ -191,10 +195,10 @@
 
 
 def is_open(connection: connections.Connection) -> bool:
-    """Tell whether an idle connection has not been closed or cut.
+    """Return whether an idle connection is still usable.
 
-    Between calls the server sends nothing, so anything to read is the end
-    of the stream.
+    The server sends nothing between calls, so a readable socket has reached
+    the end of the stream.
     """
     try:
         connection.sock.settimeout(0)
--- a/src/briarseam/wire/codec.py
+++ b/src/briarseam/wire/codec.py
@@ -1,15 +1,16 @@
-"""Typed messages and their frames.
+"""Encoding of typed messages as frames.
 
 A frame is a four byte big-endian length followed by the msgpack array
 ``[tag, body, stamp]``.  The tag names a class registered with
-:func:`message`, a data class or a struct of msgspec; the body is validated
-against that class on arrival, so no handler ever sees a field of the wrong
-type.  The stamp is the sender's hybrid logical clock, 0 when it has none; it
-rides on every frame so that no message needs a field for it.
-
-Messages of `briarseam serve` are structs where nothing needs a data class: to
-define one of three fields takes 0.01 ms, a frozen data class 0.27 ms (means
-of 300), and processor time at the start is time without an answer.
+:func:`message`, which is a data class or a msgspec struct.  The body is
+validated against that class when it is decoded, so a handler never receives a
+field of the wrong type.  The stamp is the time of the sender's hybrid logical
+clock, 0 when it has none; every frame carries it, so messages need no field
+for it.
+
+Messages of `briarseam serve` are structs unless they need a data class:
+defining a struct of three fields takes 0.01 ms, a frozen data class 0.27 ms,
+and the processor time of the start delays the first answer.
 """
 
 from __future__ import annotations
@@ -34,19 +35,19 @@
 
 
 class CodecError(Exception):
-    """A frame that is too large, not msgpack, or not a known message."""
+    """A message or frame can't be encoded or decoded."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Frame:
-    """What one frame carries.
+    """Content of one frame.
 
     Attributes
     ----------
     message
         A registered message.
     stamp
-        The sender's clock when it sent; 0 when it has none.
+        Time of the sender's clock; 0 when it has none.
     """
 
     message: Message
@@ -60,9 +61,10 @@
     Attributes
     ----------
     kind
-        Short machine-readable word, ``"unhandled"`` or ``"error"``.
+        Error code: ``"unhandled"``, ``"error"`` or ``"overloaded"``, or
+        ``"lost"`` for the observer of a call without a reply.
     detail
-        One sentence for the log.
+        Description for the log.
     """
 
     kind: str
@@ -70,12 +72,12 @@
 
 
 def message(tag: str) -> typing.Callable[[type[MessageType]], type]:
-    """Register a class as the message called ``tag``.
+    """Register a class as the type of messages with a tag.
 
     Parameters
     ----------
     tag
-        Name on the wire; unique over all slices.
+        Name on the wire; unique among all message types.
 
     Returns
     -------
@@ -85,7 +87,7 @@
 
     def register(cls: type[MessageType]) -> type[MessageType]:
         if types_by_tag.get(tag, cls) is not cls:
-            raise ValueError(f"message tag {tag!r} is taken")
+            raise ValueError(f"message tag {tag!r} is already taken")
         types_by_tag[tag] = cls
         tags_by_type[cls] = tag
         return cls
@@ -104,17 +106,17 @@
     value
         The message.
     stamp
-        The sender's clock.
+        Time of the sender's clock.
 
     Raises
     ------
     CodecError
-        When the message is larger than ``MAX_FRAME_BYTES`` or holds
-        something that msgpack cannot carry.
+        When the class isn't registered, the message is larger than
+        ``MAX_FRAME_BYTES``, or msgpack can't encode one of its values.
     """
     tag = tags_by_type.get(type(value))
     if tag is None:
-        raise CodecError(f"{type(value).__name__} is no message")
+        raise CodecError(f"{type(value).__name__} is not a registered message")
     try:
         body = msgspec.to_builtins(value, builtin_types=(bytes,))
         payload = msgpack.packb([tag, body, stamp], use_bin_type=True)
@@ -126,24 +128,24 @@
 
 
 def decode(payload: bytes) -> Message:
-    """Return the message of a frame's payload, see :func:`open_frame`."""
+    """Return the message of a frame's payload, see :func:`decode_frame`."""
     return decode_frame(payload).message
 
 
 def decode_frame(payload: bytes) -> Frame:
-    """Return what a frame's payload carries.
+    """Return the message and the stamp of a frame's payload.
 
     Raises
     ------
     CodecError
-        When the payload is not a valid known message.
+        When the payload is malformed or its tag is unknown.
     """
     try:
         tag, body, stamp = msgpack.unpackb(payload, raw=False)
         if type(stamp) is not int or not 0 <= stamp <= MAX_STAMP:
-            raise ValueError("the stamp is no clock")
+            raise ValueError("the stamp is not a clock time")
         return Frame(msgspec.convert(body, types_by_tag[tag]), stamp)
     except KeyError as error:
-        raise CodecError(f"unknown message {error}") from error
+        raise CodecError(f"unknown message tag {error}") from error
     except (ValueError, TypeError, msgspec.ValidationError) as error:
         raise CodecError(f"malformed message: {error}") from error
--- a/src/briarseam/wire/connection.py
+++ b/src/briarseam/wire/connection.py
@@ -1,4 +1,4 @@
-"""One connection that a thread reads and writes: frames over a socket."""
+"""Blocking connection: frames over one socket."""
 
 from __future__ import annotations
 
@@ -12,62 +12,62 @@
 
 
 class WireError(Exception):
-    """The connection is unusable: cut, timed out, or not authentic."""
+    """The connection is unusable: closed, timed out or not authenticated."""
 
 
 class WireTimeoutError(WireError):
-    """No whole frame arrived in time."""
+    """A frame was not sent or received completely before the timeout."""
 
 
 class Clock(typing.Protocol):
-    """What a connection asks of the process's clock."""
+    """Interface of the clock that stamps frames."""
 
     def now(self) -> int:
-        """Return a stamp above all seen before."""
+        """Return a stamp greater than all stamps issued or observed."""
         ...
 
     def observe(self, remote: int) -> bool:
-        """Take over the stamp of a frame that came in."""
+        """Advance the clock to the stamp of a received frame."""
         ...
 
 
 class Observer(typing.Protocol):
-    """Sees calls go by; must neither wait nor raise."""
+    """Interface notified of calls; its methods must not block or raise."""
 
     def on_request(self, request: codec.Message) -> None:
-        """See a request before it is sent or handled."""
+        """Handle a request that is about to be sent or handled."""
 
     def on_reply(self, request: codec.Message, reply: codec.Message) -> None:
-        """See a request's reply; ``Failed`` when none came."""
+        """Handle the reply to a request, ``Failed`` when there is none."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Observers:
-    """Several observers as one."""
+    """Observer that forwards to several others."""
 
     observers: tuple[Observer, ...]
 
     def on_request(self, request: codec.Message) -> None:
-        """Let each see a request."""
+        """Forward a request to each observer."""
         for observer in self.observers:
             observer.on_request(request)
 
     def on_reply(self, request: codec.Message, reply: codec.Message) -> None:
-        """Let each see a reply."""
+        """Forward a reply to each observer."""
         for observer in self.observers:
             observer.on_reply(request, reply)
 
 
 @dataclasses.dataclass(frozen=True)
 class Identity:
-    """Who is at one end of a connection.
+    """Identity of the process at one end of a connection.
 
     Attributes
     ----------
     role
         ``"agent"``, ``"entry"`` or ``"operator"``.
     name
-        The instance's or process's name.
+        Name of the instance or process.
     """
 
     role: str
@@ -75,39 +75,39 @@
 
 
 def parse_address(address: str) -> tuple[str, int]:
-    """Split ``ip:port``.
+    """Return the host and the port of an ``ip:port`` address.
 
     Raises
     ------
     ValueError
-        When the port is missing or no number.
+        When the port is missing or not a number.
     """
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 class Deadline:
-    """The end of one wait; ``None`` for a wait without an end."""
+    """Deadline of one operation; ``None`` seconds for no deadline."""
 
     def __init__(self, seconds: float | None) -> None:
         self.end_s = None if seconds is None else time.monotonic() + seconds
 
     def remaining_s(self) -> float | None:
-        """Return the seconds that are left, negative when over."""
+        """Return the remaining seconds, negative once they have passed."""
         return None if self.end_s is None else self.end_s - time.monotonic()
 
 
 class Connection:
     """Frames over one connected socket.
 
-    Not safe for several threads: whoever holds the connection is its only
-    reader and writer.
+    Not thread-safe: one thread at a time may read and write.
 
     Attributes
     ----------
     clock
-        Stamps what is sent and takes over what comes in.  It is set only
-        after the hello, so a stranger's stamp never moves it.
+        Stamps sent frames and observes the stamps of received ones.  It is
+        set after the handshake only, so that the stamp of an
+        unauthenticated peer can't advance it.
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -120,7 +120,15 @@
         self.bytes_received = 0
 
     def send(self, value: codec.Message) -> None:
-        """Send one message; raise :class:`WireError` when it cannot."""
+        """Send one message.
+
+        Raises
+        ------
+        WireError
+            When the connection is unusable.
+        CodecError
+            When the message can't be encoded.
+        """
         stamp = self.clock.now() if self.clock else 0
         frame = codec.encode(value, stamp)
         try:
@@ -132,7 +140,14 @@
         self.bytes_sent += len(frame)
 
     def receive(self, max_bytes: int = codec.MAX_FRAME_BYTES) -> codec.Message:
-        """Return the next message; raise :class:`WireError` at the end."""
+        """Return the next message.
+
+        Raises
+        ------
+        WireError
+            When the connection is closed or times out, or the frame is too
+            large or malformed.
+        """
         deadline = Deadline(self.timeout_s)
         header = self.read_exactly(codec.LENGTH.size, deadline)
         (length,) = codec.LENGTH.unpack(header)
@@ -149,14 +164,14 @@
         return frame.message
 
     def read_exactly(self, count: int, deadline: Deadline) -> bytes:
-        """Return ``count`` bytes or raise :class:`WireError`."""
+        """Read ``count`` bytes; raise :class:`WireError` if it can't."""
         buffer = bytearray(count)
         view = memoryview(buffer)
         filled = 0
         while filled < count:
-            # The socket's own timeout would start anew with each piece: a
-            # frame that trickles in would hold its reader, and a caller's
-            # final answer, far beyond the timeout.
+            # The socket's timeout restarts with each read: a frame received
+            # a few bytes at a time would block its reader, and delay the
+            # final answer of a caller, far beyond the timeout.
             self.set_read_timeout(deadline.remaining_s())
             try:
                 count_read = self.sock.recv_into(view[filled:])
@@ -165,12 +180,12 @@
             except OSError as error:
                 raise WireError(f"receive failed: {error}") from error
             if count_read == 0:
-                raise WireError("closed by the other side")
+                raise WireError("closed by the peer")
             filled += count_read
         return bytes(buffer)
 
     def set_read_timeout(self, seconds: float | None) -> None:
-        """Let the next read wait this long, unless time is up already."""
+        """Set the timeout of the next read; raise if none remains."""
         if seconds is None:
             return
         if seconds <= 0:
@@ -179,13 +194,13 @@
             self.sock.settimeout(seconds)
 
     def set_timeout(self, seconds: float | None) -> None:
-        """Bound each following send and each whole receive."""
+        """Set the timeout of each later send and of each complete receive."""
         self.timeout_s = seconds
         with contextlib.suppress(OSError):
             self.sock.settimeout(seconds)
 
     def close(self) -> None:
-        """Close the socket so that a reader in another thread wakes."""
+        """Close the socket and wake a reader that blocks in another thread."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
--- a/src/briarseam/wire/event_loop.py
+++ b/src/briarseam/wire/event_loop.py
@@ -1,4 +1,4 @@
-"""One thread that runs coroutines, for many connections at once."""
+"""Event loop that runs in a thread of its own."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class EventLoop:
-    """An event loop in a thread of its own.
+    """Runs coroutines in an event loop in a thread of its own.
 
     Parameters
     ----------
     name
-        Of the thread.
+        Name of the thread.
     """
 
     def __init__(self, name: str) -> None:
@@ -31,14 +31,14 @@
         self.started = False
 
     def start(self) -> None:
-        """Begin, unless that was done before."""
+        """Start the thread unless it was started before."""
         with self.lock:
             if not self.started:
                 self.thread.start()
                 self.started = True
 
     def run(self) -> None:
-        """Run coroutines until stopped."""
+        """Run the event loop until it is stopped."""
         asyncio.set_event_loop(self.loop)
         try:
             self.loop.run_forever()
@@ -47,7 +47,7 @@
             self.loop.close()
 
     def stop(self) -> None:
-        """Cancel what runs, and end the thread."""
+        """Cancel all tasks and stop the thread."""
         with self.lock:
             if not self.started:
                 self.loop.close()
@@ -58,23 +58,23 @@
             self.thread.join(STOP_WAIT_S)
 
     def call(self, function: typing.Callable[[], object]) -> None:
-        """Call a function in the loop's thread, soon.
+        """Schedule a function call in the thread of the loop.
 
-        Nothing happens once the loop has ended.
+        It is ignored once the loop has ended.
         """
         call_soon(self.loop, function)
 
     def spawn(
         self, coroutine: typing.Coroutine[typing.Any, typing.Any, Result]
     ) -> concurrent.futures.Future[Result]:
-        """Run a coroutine; it begins soon."""
+        """Schedule a coroutine and return the future of its result."""
         return asyncio.run_coroutine_threadsafe(coroutine, self.loop)
 
 
 def call_soon(
     loop: asyncio.AbstractEventLoop, function: typing.Callable[[], object]
 ) -> None:
-    """Call a function in a loop's thread, unless the loop has ended."""
+    """Schedule a call in the thread of a loop unless it has ended."""
     try:
         loop.call_soon_threadsafe(function)
     except RuntimeError:
@@ -83,7 +83,7 @@
 
 
 async def cancel_all_tasks() -> None:
-    """Cancel all tasks but this one and wait for their ends."""
+    """Cancel all tasks except this one and wait for them to end."""
     tasks = asyncio.all_tasks() - {asyncio.current_task()}
     for task in tasks:
         task.cancel()
@@ -93,7 +93,7 @@
 def log_loop_error(
     loop: asyncio.AbstractEventLoop, context: dict[str, typing.Any]
 ) -> None:
-    """Log what went wrong in the loop, such as an accept that failed."""
+    """Log an error that no task handles, such as a failed accept."""
     del loop
     log.warning(
         "event_loop_fault",
--- a/src/briarseam/wire/frames.py
+++ b/src/briarseam/wire/frames.py
@@ -1,4 +1,4 @@
-"""Frames over one connection of an event loop."""
+"""Asynchronous connection: frames over a transport of an event loop."""
 
 from __future__ import annotations
 
@@ -10,28 +10,29 @@
 from briarseam.wire import connection as connections
 from briarseam.wire import hello
 
-# Messages that are read ahead of the coroutine that takes them; the other
-# side of a call sends the next one after the reply only.
+# Limit of received frames that wait for the coroutine.  A client sends its
+# next message only after the reply, so more of them are unusual.
 MAX_QUEUED_FRAMES = 4
 
 
 class AsyncConnection(asyncio.Protocol):
-    """A connection whose messages one coroutine takes in order.
+    """A connection whose messages one coroutine receives in order.
 
     Parameters
     ----------
-    opened
-        Called with this once the connection is open.
+    on_open
+        Called with this object once the connection is open.
 
     Attributes
     ----------
     peer
-        Who is at the other end, once it has proved that.
+        Identity of the peer, set once it is authenticated.
     clock
-        Stamps what is sent and takes over what comes in.  It is set only
-        after the hello, so a stranger's stamp never moves it.
+        Stamps sent frames and observes the stamps of received ones.  It is
+        set after the handshake only, so that the stamp of an
+        unauthenticated peer can't advance it.
     max_bytes
-        Largest frame that is read.
+        Size limit of a received frame's payload.
     """
 
     def __init__(
@@ -47,16 +48,16 @@
         self.waiting_reader: asyncio.Future[None] | None = None
         self.end_reason: str = ""
 
-    # What the loop tells.
+    # Callbacks of the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin."""
+        """Store the transport of the opened connection."""
         self.transport = typing.cast("asyncio.Transport", transport)
         if self.on_open is not None:
             self.on_open(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take in bytes."""
+        """Split received bytes into frames."""
         self.buffer += data
         while self.extract_frame():
             pass
@@ -69,11 +70,11 @@
             self.wake_reader()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Take note that nothing comes any more."""
-        self.mark_ended(str(error) if error else "closed by the other side")
+        """Record that the connection has ended."""
+        self.mark_ended(str(error) if error else "closed by the peer")
 
     def extract_frame(self) -> bool:
-        """Move a whole frame from the buffer; tell whether there was one."""
+        """Move a complete frame out of the buffer; return whether it could."""
         size = codec.LENGTH.size
         if len(self.buffer) < size:
             return False
@@ -90,17 +91,17 @@
         return True
 
     def mark_ended(self, reason: str) -> None:
-        """Let the reader fail once it has taken what has come."""
+        """Let receives fail once the queued frames have been received."""
         self.end_reason = self.end_reason or reason
         self.wake_reader()
 
     def wake_reader(self) -> None:
-        """Let the reader look again."""
+        """Wake the coroutine that waits for a frame."""
         waiting_reader, self.waiting_reader = self.waiting_reader, None
         if waiting_reader is not None and not waiting_reader.done():
             waiting_reader.set_result(None)
 
-    # What the coroutine does.
+    # Methods for the coroutine.
 
     async def receive(self, timeout_s: float | None = None) -> codec.Message:
         """Return the next message.
@@ -108,7 +109,8 @@
         Raises
         ------
         WireError
-            When the connection has ended, or no whole frame came in time.
+            When the connection has ended, no complete frame was received
+            before the timeout, or the frame is malformed.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -136,29 +138,29 @@
         return payload
 
     def send(self, message: codec.Message) -> None:
-        """Send a message, as soon as the link takes it.
+        """Queue a message for sending.
 
         Raises
         ------
         WireError
             When the connection has ended.
         CodecError
-            When the message can't be carried; the connection stays good.
+            When the message can't be encoded; the connection stays usable.
         """
         self.send_frame(self.encode(message))
 
     def encode(self, message: codec.Message) -> bytes:
-        """Return a message's frame; may be called by any thread.
+        """Return the frame of a message; safe to call from any thread.
 
         Raises
         ------
         CodecError
-            When the message can't be carried.
+            When the message can't be encoded.
         """
         return codec.encode(message, self.clock.now() if self.clock else 0)
 
     def send_frame(self, frame: bytes) -> None:
-        """Send a frame, as soon as the link takes it.
+        """Queue a frame for sending.
 
         Raises
         ------
@@ -170,7 +172,7 @@
         self.transport.write(frame)
 
     def close(self) -> None:
-        """End the connection, with what was not yet sent."""
+        """Abort the connection and drop unsent data."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -182,25 +184,26 @@
     timeout_s: float,
     clock: connections.Clock | None = None,
 ) -> AsyncConnection:
-    """Return an authenticated connection.
+    """Open an authenticated connection.
 
     Parameters
     ----------
     address
         ``ip:port`` of the server.
-    me
-        This process.
+    identity
+        Identity of this process.
     key
         The shared key.
     timeout_s
-        Bound on the connect and on each answer of the hello.
+        Timeout of the connect and of each receive of the handshake, in
+        seconds.
     clock
-        Stamps the frames after the hello.
+        Stamps the frames after the handshake.
 
     Raises
     ------
     WireError
-        When no connection could be opened.
+        When the connection or its handshake fails.
     """
     host, port = connections.parse_address(address)
     loop = asyncio.get_running_loop()
@@ -226,13 +229,12 @@
     key: bytes,
     timeout_s: float,
 ) -> None:
-    """Open a connection from the client's side.
+    """Run the client's side of the handshake.
 
     Raises
     ------
     WireError
-        When the other side does not hold the key or speaks another
-        version.
+        When the server does not hold the key or uses another version.
     """
     handshake = hello.ClientHandshake(identity, key)
     connection.send(handshake.answer(await connection.receive(timeout_s)))
--- a/src/briarseam/wire/hello.py
+++ b/src/briarseam/wire/hello.py
@@ -1,9 +1,9 @@
-"""The hello that opens a connection.
+"""Handshake that authenticates both ends of a connection.
 
 Both sides prove that they hold the shared key before any message is
-handled.  The server sends a nonce, the client answers with its own nonce,
-its role and name and a MAC over all of them, and the server returns a MAC
-under a different label, so neither answer can be reflected.
+handled.  The server sends a nonce; the client answers with its own nonce,
+its role and name, and a MAC over all of them; the server answers with a MAC
+under another label.  The two labels prevent reflection attacks.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 NONCE_BYTES = 16
 HANDSHAKE_TIMEOUT_S = 5.0
-# A frame before authentication can only be a hello; the cap keeps a
-# stranger from making us buffer megabytes.
+# Until a peer is authenticated it sends only small frames; the limit keeps it
+# from making this process buffer megabytes.
 MAX_HANDSHAKE_FRAME_BYTES = 1024
 
 
 @codec.message("challenge")
 class Challenge(msgspec.Struct, frozen=True):
-    """The server's first frame."""
+    """First message of the server."""
 
     version: int
     nonce: bytes
@@ -35,7 +35,7 @@
 
 @codec.message("hello")
 class Hello(msgspec.Struct, frozen=True):
-    """The client's answer to the challenge."""
+    """Answer of the client to the challenge."""
 
     version: int
     role: str
@@ -46,19 +46,19 @@
 
 @codec.message("welcome")
 class Welcome(msgspec.Struct, frozen=True):
-    """The server's proof that it holds the key too."""
+    """Answer of the server, which proves that it holds the key."""
 
     name: str
     mac: bytes
 
 
 class ClientHandshake:
-    """The hello of one connection, from the client's side.
+    """Client's side of the handshake of one connection.
 
     Parameters
     ----------
-    me
-        This process.
+    identity
+        Identity of this process.
     key
         The shared key.
     """
@@ -75,7 +75,7 @@
         Raises
         ------
         WireError
-            When it is none, or of another version.
+            When it is not a challenge, or has another version.
         """
         challenge = require_type(received, Challenge)
         check_version(challenge.version)
@@ -97,12 +97,12 @@
         )
 
     def check(self, received: codec.Message) -> connections.Identity:
-        """Return who the server has proved to be.
+        """Verify the server's answer and return its identity.
 
         Raises
         ------
         WireError
-            When it does not hold the key.
+            When the server does not hold the key.
         """
         welcome = require_type(received, Welcome)
         mac = handshake_mac(
@@ -116,12 +116,12 @@
 
 
 class ServerHandshake:
-    """The hello of one connection, from the server's side.
+    """Server's side of the handshake of one connection.
 
     Parameters
     ----------
-    me
-        This process.
+    identity
+        Identity of this process.
     key
         The shared key.
     """
@@ -132,18 +132,18 @@
         self.nonce = secrets.token_bytes(NONCE_BYTES)
 
     def challenge(self) -> Challenge:
-        """Return the server's first message."""
+        """Return the first message to the client."""
         return Challenge(codec.WIRE_VERSION, self.nonce)
 
     def check(
         self, received: codec.Message
     ) -> tuple[connections.Identity, Welcome]:
-        """Return who the client has proved to be, and what it is told.
+        """Verify a client's hello; return its identity and the answer.
 
         Raises
         ------
         WireError
-            When it does not hold the key or speaks another version.
+            When the client does not hold the key or uses another version.
         """
         hello = require_type(received, Hello)
         check_version(hello.version)
@@ -168,24 +168,23 @@
     key: bytes,
     timeout_s: float = HANDSHAKE_TIMEOUT_S,
 ) -> None:
-    """Open a connection from the client's side.
+    """Run the client's side of the handshake.
 
     Parameters
     ----------
     connection
-        Freshly connected.
-    me
-        This process.
+        New connection.
+    identity
+        Identity of this process.
     key
         The shared key.
     timeout_s
-        Bound on each of the server's answers.
+        Timeout of each receive, in seconds.
 
     Raises
     ------
     WireError
-        When the other side does not hold the key or speaks another
-        version.
+        When the server does not hold the key or uses another version.
     """
     connection.set_timeout(timeout_s)
     handshake = ClientHandshake(identity, key)
@@ -198,12 +197,12 @@
 
 
 def handshake_mac(key: bytes, label: str, *parts: bytes | str) -> bytes:
-    """Return the MAC of a hello's parts under ``label``."""
+    """Return the MAC of the parts of a handshake under ``label``."""
     mac = hmac.new(key, label.encode(), hashlib.sha256)
     for part in parts:
         data = part.encode() if isinstance(part, str) else part
-        # The length in front keeps two different splits of the same bytes
-        # from having the same MAC.
+        # Without the length prefix, two different splits of the same bytes
+        # would have the same MAC.
         mac.update(codec.LENGTH.pack(len(data)) + data)
     return mac.digest()
 
@@ -212,15 +211,15 @@
 
 
 def require_type(value: codec.Message, kind: type[MessageType]) -> MessageType:
-    """Return a message if it is of ``kind``, else raise."""
+    """Return a message of the type ``kind``, or raise ``WireError``."""
     if not isinstance(value, kind):
-        raise connections.WireError(f"expected {kind.__name__} in the hello")
+        raise connections.WireError(
+            f"expected {kind.__name__} in the handshake"
+        )
     return value
 
 
 def check_version(version: int) -> None:
-    """Raise :class:`connections.WireError` unless the version is ours."""
+    """Raise :class:`connections.WireError` for another wire version."""
     if version != codec.WIRE_VERSION:
-        raise connections.WireError(
-            f"wire version {version} is not understood"
-        )
+        raise connections.WireError(f"wire version {version} is not supported")
--- a/src/briarseam/wire/replies.py
+++ b/src/briarseam/wire/replies.py
@@ -1,4 +1,4 @@
-"""Replies that must be of one kind."""
+"""Check of the type of a reply."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class NoReplyError(Exception):
-    """An instance did not answer, or not with what was asked for."""
+    """An instance did not reply, or replied with an unexpected message."""
 
 
 def require_type(reply: codec.Message, kind: type[Reply]) -> Reply:
-    """Return a reply of the expected kind.
+    """Return a reply of the expected type.
 
     Raises
     ------
     NoReplyError
-        When it is of another.
+        When the reply is of another type.
     """
     if not isinstance(reply, kind):
-        raise NoReplyError(f"answered {reply}")
+        raise NoReplyError(f"unexpected reply {reply}")
     return reply
--- a/src/briarseam/wire/server.py
+++ b/src/briarseam/wire/server.py
@@ -1,4 +1,4 @@
-"""The serving side: one event loop for all connections."""
+"""Server that runs all its connections in one event loop."""
 
 from __future__ import annotations
 
@@ -29,22 +29,21 @@
 
 @dataclasses.dataclass
 class Router:
-    """Which function answers which message.
+    """Maps message types to their handlers.
 
-    A handler takes the peer's identity and the message and returns the
+    A handler takes the identity of the peer and the message, and returns the
     reply.
 
     Attributes
     ----------
     handlers
-        By class of message.
+        Handlers by message type.
     waits
-        Coroutines that end when a handler's answer is due, by class of
-        message.
-    quick
-        Classes of messages whose handlers run in the event loop.
+        Coroutines to await before the handler is called, by message type.
+    nonblocking
+        Message types whose handlers run in the event loop.
     observer
-        Sees every message and its reply.
+        Notified of every message and its reply.
     """
 
     handlers: dict[type, Handler] = dataclasses.field(default_factory=dict)
@@ -55,28 +54,29 @@
     def on(
         self, kind: type, handler: Handler, wait: Wait | None = None
     ) -> None:
-        """Let a handler answer messages of a class, in a thread.
+        """Register a handler that runs in a thread.
 
         Parameters
         ----------
         kind
-            The class.
+            The message type.
         handler
-            Takes the peer and a message and returns the reply; may wait,
-            but its thread waits with it.
+            Takes the peer and a message and returns the reply; may block,
+            and occupies a thread meanwhile.
         wait
-            Awaited with the message before; takes no thread.
+            Awaited with the message before the handler is called; occupies
+            no thread.
         """
         if kind in self.handlers:
-            raise ValueError(f"{kind.__name__} has a handler")
+            raise ValueError(f"{kind.__name__} already has a handler")
         self.handlers[kind] = handler
         if wait is not None:
             self.waits[kind] = wait
 
     def on_nonblocking(self, kind: type, handler: Handler) -> None:
-        """Let a handler that never waits answer messages of a class.
+        """Register a handler that never blocks.
 
-        It runs in the event loop, and all connections wait for its end.
+        It runs in the event loop and delays all connections until it returns.
         """
         self.on(kind, handler)
         self.nonblocking.add(kind)
@@ -84,7 +84,7 @@
     def answer(
         self, peer: connections.Identity, request: codec.Message
     ) -> codec.Message:
-        """Return the reply to ``request``, ``Failed`` on an error."""
+        """Return the reply to a request, and notify the observer."""
         if self.observer is None:
             return self.handle(peer, request)
         self.observer.on_request(request)
@@ -95,11 +95,11 @@
     def handle(
         self, peer: connections.Identity, request: codec.Message
     ) -> codec.Message:
-        """Let the message's handler answer."""
+        """Return the reply of the handler, ``Failed`` on an error."""
         handler = self.handlers.get(type(request))
         if handler is None:
             name = type(request).__name__
-            return codec.Failed("unhandled", f"{name} is not handled here")
+            return codec.Failed("unhandled", f"no handler for {name}")
         try:
             return handler(peer, request)
         except Exception as error:
@@ -110,23 +110,23 @@
 class Server:
     """Accepts authenticated connections and answers their messages.
 
-    Connections that are idle, and calls that wait in a coroutine, take no
-    thread: an instance has hundreds of each.
+    Idle connections and calls that wait in a coroutine occupy no thread, as
+    an instance has hundreds of each.
 
     Parameters
     ----------
     listen
-        ``ip:port``; port 0 takes any free one.
-    me
-        This process.
+        ``ip:port``; port 0 selects a free port.
+    identity
+        Identity of this process.
     key
         The shared key.
     router
-        The handlers.
+        Handlers of the messages.
     clock
-        Stamps the frames; ``None`` sends them without.
+        Stamps the frames; ``None`` sends them with stamp 0.
     loop
-        Runs the connections; one of its own unless given.
+        Runs the connections; by default the server creates one.
     """
 
     def __init__(
@@ -157,12 +157,12 @@
         self.address = f"{host}:{port}"
 
     def start(self) -> None:
-        """Begin accepting."""
+        """Start to accept connections."""
         self.loop.start()
         self.loop.spawn(self.start_accepting()).result(START_WAIT_S)
 
     async def start_accepting(self) -> None:
-        """Accept until stopped; a failed accept is tried again."""
+        """Start to accept connections; asyncio retries a failed accept."""
         self.asyncio_server = await asyncio.get_running_loop().create_server(
             lambda: frames.AsyncConnection(self.start_serving),
             sock=self.listener,
@@ -170,13 +170,13 @@
         )
 
     def start_serving(self, connection: frames.AsyncConnection) -> None:
-        """Serve a connection that was accepted."""
+        """Start the task of an accepted connection."""
         task = asyncio.get_running_loop().create_task(self.serve(connection))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def serve(self, connection: frames.AsyncConnection) -> None:
-        """Answer one connection's messages until it ends."""
+        """Reply to the messages of one connection until it ends."""
         with self.lock:
             self.open_connections.add(connection)
         try:
@@ -186,8 +186,8 @@
                 request = await connection.receive()
                 connection.send_frame(await self.answer(connection, request))
         except connections.WireError:
-            # The caller sees its connection end and settles the call as
-            # lost; there is nobody else to tell.
+            # The caller sees the end of its connection and handles the call
+            # as lost, so nothing needs to be reported.
             pass
         finally:
             connection.close()
@@ -197,7 +197,7 @@
     async def answer(
         self, connection: frames.AsyncConnection, request: codec.Message
     ) -> bytes:
-        """Return the reply to a message, as a frame."""
+        """Return the frame of the reply to a message."""
         if type(request) in self.router.nonblocking:
             return encode_reply(
                 connection, self.router.answer(connection.peer, request)
@@ -210,17 +210,17 @@
     async def answer_in_thread(
         self, connection: frames.AsyncConnection, request: codec.Message
     ) -> bytes:
-        """Return the reply of a handler that may wait, as a frame.
+        """Return the frame of the reply of a handler that may block.
 
-        It is encoded there, too: large replies to forty instances would
-        hold up the heartbeats in the loop until peers take this instance
-        for gone.
+        The thread encodes the reply, too: encoding large replies to forty
+        instances in the loop would delay heartbeats until peers consider
+        this instance gone.
         """
         reply: concurrent.futures.Future[bytes] = concurrent.futures.Future()
 
         def work() -> None:
             if not reply.set_running_or_notify_cancel():
-                # The connection was ended before the work began.
+                # The connection ended before the handler was called.
                 return
             try:
                 answer = self.router.answer(connection.peer, request)
@@ -237,14 +237,14 @@
         return await asyncio.wrap_future(reply)
 
     def connected_peers(self) -> frozenset[str]:
-        """Return the names of the peers that have a connection open."""
+        """Return the names of the peers with an open connection."""
         with self.lock:
             return frozenset(
                 connection.peer.name for connection in self.open_connections
             )
 
     def stop(self) -> None:
-        """Stop accepting and end all connections."""
+        """Stop accepting and close all connections."""
         if self.asyncio_server is None:
             self.listener.close()
         self.loop.call(self.close_all)
@@ -252,7 +252,7 @@
             self.loop.stop()
 
     def close_all(self) -> None:
-        """End all connections; call it in the loop."""
+        """Stop accepting and close all connections, in the loop's thread."""
         if self.asyncio_server is not None:
             self.asyncio_server.close()
         for task in list(self.tasks):
@@ -264,13 +264,12 @@
     identity: connections.Identity,
     key: bytes,
 ) -> None:
-    """Open a connection from the server's side.
+    """Run the server's side of the handshake.
 
     Raises
     ------
     WireError
-        When the other side does not hold the key or speaks another
-        version.
+        When the client does not hold the key or uses another version.
     """
     handshake = hello.ServerHandshake(identity, key)
     connection.send(handshake.challenge())
@@ -283,11 +282,11 @@
 def encode_reply(
     connection: frames.AsyncConnection, reply: codec.Message
 ) -> bytes:
-    """Return a reply's frame, or one that says that it can't be carried."""
+    """Return the frame of a reply, of ``Failed`` if it can't be encoded."""
     try:
         return connection.encode(reply)
     except codec.CodecError as error:
-        # Ending the connection instead would make the caller count
-        # the call as lost, that is as one that may have run.
+        # If the connection were closed instead, the caller would handle the
+        # call as lost, that is, as one that may have run.
         log.warning("reply_not_carried", detail=str(error))
         return connection.encode(codec.Failed("error", str(error)))
--- a/tests/wire/conftest.py
+++ b/tests/wire/conftest.py
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def start_server(router):
-    """Start servers that stop at the end of the test."""
+    """Return a function that starts servers, stopped after the test."""
     servers_started = []
 
     def start(listen="127.0.0.1:0", key=KEY, clock=None, prepare=None):
@@ -48,7 +48,7 @@
 
 @pytest.fixture
 def make_client():
-    """Make clients that close at the end of the test."""
+    """Return a function that makes clients, closed after the test."""
     made = []
 
     def make(address, key=KEY, **options):
@@ -64,7 +64,7 @@
 
 @pytest.fixture
 def pair():
-    """Two connected ends: the one that dialled, the one that accepted."""
+    """Two ends of a connection: the connecting and the accepting one."""
     listener = socket.create_server(("127.0.0.1", 0))
     dialled = socket.create_connection(listener.getsockname())
     accepted, _ = listener.accept()
--- a/tests/wire/sample.py
+++ b/tests/wire/sample.py
@@ -1,4 +1,4 @@
-"""Messages that only these tests know."""
+"""Message types for these tests."""
 
 from __future__ import annotations
 
--- a/tests/wire/test_calls.py
+++ b/tests/wire/test_calls.py
@@ -22,7 +22,6 @@
 
 
 def test_call_returns_the_reply(start_server, make_client):
-    # One call is one message and its reply.
     client = make_client(start_server().address)
     assert client.call(sample.Query("x", 7), 2.0) == sample.Answer("x", 7)
     assert client.bytes_sent > 0
@@ -32,8 +31,8 @@
 def test_concurrent_calls_each_get_their_own_reply(
     start_server, make_client, router
 ):
-    # Sixteen requests share one client.  Were a connection shared, one
-    # caller would read another's reply.
+    # Sixteen concurrent requests use one client.  If they shared a
+    # connection, a caller could receive the reply to another request.
     all_arrived = threading.Barrier(16, timeout=10)
 
     def answer(peer, query):
@@ -62,11 +61,12 @@
         pytest.param(sample.Query("bad"), "error", "bad", id="handler raises"),
     ],
 )
-def test_message_that_cannot_be_handled_is_answered(
+def test_unhandled_message_gets_failed_reply(
     start_server, make_client, router, message, kind, detail
 ):
-    # A newer entry asks an older agent, or a handler has a fault.  The
-    # caller must hear so instead of waiting for its timeout.
+    # A newer entry sends an older agent a message that it doesn't handle, or
+    # a handler raises.  Without a reply the caller would wait until its
+    # timeout.
     def answer(peer, query):
         raise RuntimeError(f"cannot answer {query.text}")
 
@@ -87,27 +87,28 @@
         ),
     ],
 )
-def test_reply_that_cannot_be_carried_is_a_failure(
+def test_reply_that_cannot_be_encoded_becomes_failed_reply(
     start_server, make_client, router, reply
 ):
-    # A handler has a fault in its reply.  The caller must hear that at
-    # once, and not count the call as lost with its connection.
+    # A handler returns a reply that can't be encoded.  The caller must get a
+    # failure at once instead of a closed connection, which it would handle
+    # as a lost call.
     router.handlers[sample.Query] = lambda peer, query: reply
     client = make_client(start_server().address)
     assert isinstance(client.call(sample.Query("x"), 2.0), codec.Failed)
     assert len(client.idle) == 1
 
 
-def test_nobody_listening_is_not_sent(make_client):
-    # The agent is down: its entry may promise that nothing ran.
+def test_refused_connection_raises_not_sent(make_client):
+    # The agent is down.  Its entry may report that nothing ran.
     with socket.create_server(("127.0.0.1", 0)) as gone:
         port = gone.getsockname()[1]
     with pytest.raises(clients.NotSentError):
         make_client(f"127.0.0.1:{port}").call(sample.Query("x"), 2.0)
 
 
-def test_message_too_large_is_not_sent(start_server, make_client):
-    # The caller learns that nothing ran, and the connection stays good.
+def test_too_large_message_raises_not_sent(start_server, make_client):
+    # The caller learns that nothing ran, and the connection stays usable.
     client = make_client(start_server().address)
     huge = sample.Query("x", blob=b"x" * codec.MAX_FRAME_BYTES)
     with pytest.raises(clients.NotSentError):
@@ -116,9 +117,9 @@
     assert len(client.idle) == 1
 
 
-def test_reply_that_does_not_come_is_lost(start_server, make_client, router):
-    # The message took effect, its answer did not come in time.  Called
-    # "not sent", a booking would be made twice.
+def test_reply_timeout_raises_call_lost(start_server, make_client, router):
+    # The message took effect but its reply came after the timeout.  If that
+    # were reported as not sent, a booking could be made twice.
     took_effect = threading.Event()
     release = threading.Event()
 
@@ -132,7 +133,7 @@
     with pytest.raises(clients.CallLostError):
         client.call(sample.Query("x"), SHORT_TIMEOUT_S)
     assert took_effect.is_set()
-    # The late reply must not be read as that of the next call.
+    # The next call must not receive the late reply.
     assert client.idle == []
     router.handlers[sample.Query] = lambda peer, query: sample.Answer(
         "next", 1
@@ -141,21 +142,21 @@
     assert client.call(sample.Query("y"), 2.0) == sample.Answer("next", 1)
 
 
-def test_connection_cut_before_the_reply_is_lost(
+def test_connection_closed_before_reply_raises_call_lost(
     start_server, make_client, router
 ):
-    # The server dies with the message in hand.
+    # The server stops while it handles the message.
     server = start_server()
     router.handlers[sample.Query] = lambda peer, query: server.stop()
     with pytest.raises(clients.CallLostError):
         make_client(server.address).call(sample.Query("x"), 2.0)
 
 
-def test_connection_closed_between_calls_is_not_used(
+def test_connection_closed_between_calls_is_not_reused(
     start_server, make_client
 ):
-    # The agent is replaced between two calls.  On the dead connection the
-    # second one would be called lost, though it never left.
+    # The agent is replaced between two calls.  On the closed connection the
+    # second call would be reported as lost although it was never sent.
     first = start_server()
     client = make_client(first.address)
     client.call(sample.Query("x"), 2.0)
@@ -167,15 +168,15 @@
 
 
 def wait_for_end(connection):
-    """Wait until the other side's close has arrived."""
+    """Wait until the peer has closed the connection."""
     connection.sock.settimeout(5)
     assert connection.sock.recv(1, socket.MSG_PEEK) == b""
 
 
-def test_frozen_server_does_not_hold_a_call_beyond_its_timeout(make_client):
-    # A frozen process's kernel still accepts, so the connect succeeds and
-    # the hello waits.  An entry that waits seconds for its agent gives its
-    # caller a late final answer instead of one at once.
+def test_frozen_server_does_not_delay_call_beyond_its_timeout(make_client):
+    # The kernel accepts connections for a frozen process, so the connect
+    # succeeds and the handshake blocks.  An entry that waited seconds for its
+    # agent would give its caller the final answer that much later.
     with socket.create_server(("127.0.0.1", 0)) as frozen:
         host, port = frozen.getsockname()
         client = make_client(f"{host}:{port}")
@@ -185,9 +186,9 @@
         assert time.monotonic() - began < hello.HANDSHAKE_TIMEOUT_S / 2
 
 
-def test_reply_that_trickles_in_does_not_outlast_the_timeout(pair):
-    # A nearly cut link lets a byte through now and then.  Each byte alone
-    # is in time; the whole frame never is.
+def test_slow_frame_does_not_outlast_the_timeout(pair):
+    # A bad link delivers one byte at a time.  Each byte arrives within the
+    # timeout, the complete frame doesn't.
     reader, writer = pair
     stop = threading.Event()
 
@@ -207,9 +208,9 @@
     thread.join()
 
 
-def test_frame_beyond_the_cap_ends_the_connection(start_server, key):
-    # A peer with a fault announces 4 GB.  Only its own connection may
-    # suffer.
+def test_too_large_frame_closes_only_its_connection(start_server, key):
+    # A faulty peer announces a frame of 4 GB.  Other connections must still
+    # work.
     server = start_server()
     identity = connections.Identity("entry", "entry-1")
     connection = clients.connect(server.address, identity, key)
@@ -219,8 +220,8 @@
     clients.connect(server.address, identity, key).close()
 
 
-def test_unknown_tag_ends_only_that_connection(start_server, key):
-    # A newer release sends a message this one does not know.
+def test_unknown_tag_closes_only_its_connection(start_server, key):
+    # A newer release sends a message that this one doesn't know.
     server = start_server()
     identity = connections.Identity("entry", "entry-1")
     connection = clients.connect(server.address, identity, key)
@@ -233,10 +234,10 @@
     clients.connect(server.address, identity, key).close()
 
 
-def test_clocks_follow_the_messages(start_server, make_client):
-    # The agent's wall clock is ten seconds behind the entry's.  Its grant
-    # must still be stamped after the entry's request, and the entry's next
-    # event after the grant.
+def test_clocks_advance_to_received_stamps(start_server, make_client):
+    # The agent's wall clock is ten seconds behind the entry's.  The stamp of
+    # its grant must still be greater than that of the entry's request, and
+    # the entry's next stamp greater than that of the grant.
     now = time.time_ns()
     behind = clocks.HybridClock(lambda: now - 10_000_000_000)
     ahead = clocks.HybridClock(lambda: now)
@@ -247,9 +248,9 @@
     assert ahead.now() > behind.last
 
 
-def test_accepting_goes_on_after_a_failed_accept(start_server, make_client):
-    # A burst of connections takes the last file descriptor.  The process
-    # looks alive, yet it never accepted again.
+def test_server_accepts_again_after_a_failed_accept(start_server, make_client):
+    # A burst of connections exhausts the file descriptors, and accept fails
+    # once.  A server that doesn't retry seems to run but never accepts again.
     failures = [OSError(24, "Too many open files")]
 
     class Listener(socket.socket):
@@ -267,11 +268,11 @@
     assert failures == []
 
 
-def test_calls_are_answered_when_no_thread_can_be_had(
+def test_call_gets_overloaded_reply_when_no_thread_can_start(
     start_server, make_client, monkeypatch
 ):
-    # The machine is at its limit of threads for a moment.  The caller hears
-    # so at once, and its connection is good for the next call.
+    # The machine is at its limit of threads for a moment.  The caller gets a
+    # reply at once, and its connection stays usable for the next call.
     failures = [RuntimeError("can't start new thread")]
     start = threading.Thread.start
 
@@ -290,13 +291,13 @@
     assert len(client.idle) == 1
 
 
-def test_calls_that_wait_and_idle_connections_take_no_thread(
+def test_waiting_calls_and_idle_connections_occupy_no_thread(
     start_server, make_client, router
 ):
-    """An instance reads for forty others and ends for want of threads.
+    """Guards against an instance that fails because it runs out of threads.
 
-    Each of the others keeps some connections open, and has calls waiting
-    there for news.
+    It serves forty others, each of which keeps several connections open and
+    has calls that wait for updates.
     """
     change = changes.Change()
     published = []
@@ -324,9 +325,9 @@
         assert {call.result() for call in calls} == {sample.Answer("x", 0)}
 
 
-def test_message_has_one_handler():
-    # Two slices answering the same message would shadow each other.
+def test_second_handler_of_a_message_is_rejected():
+    # One of two handlers for the same message would never be called.
     router = servers.Router()
     router.on(sample.Query, lambda peer, query: sample.Answer("", 0))
-    with pytest.raises(ValueError, match="has a handler"):
+    with pytest.raises(ValueError, match="already has a handler"):
         router.on(sample.Query, lambda peer, query: sample.Answer("", 0))
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -14,9 +14,9 @@
     return codec.encode(value)[codec.LENGTH.size :]
 
 
-def test_message_and_stamp_survive_the_wire():
-    # A chain digest is bytes, a result an enum, a list of endpoints a
-    # tuple: each must come back as the type its class declares.
+def test_message_and_stamp_are_decoded_as_encoded():
+    # Bytes, enums and tuples must be decoded as the types that the fields of
+    # the class declare.
     ended = admission.RunEnded(
         "r1", "", "e1", admission.RunResult.DONE, body=b"\x00\xff"
     )
@@ -53,9 +53,9 @@
         ),
     ],
 )
-def test_malformed_payload_is_a_codec_error(payload):
-    # A handler must never see a field of a wrong type, and the connection
-    # thread must meet one kind of error only.
+def test_malformed_payload_raises_codec_error(payload):
+    # A handler must never receive a field of the wrong type, and a connection
+    # handles this one type of error only.
     with pytest.raises(codec.CodecError):
         codec.decode(payload)
 
@@ -72,19 +72,20 @@
         pytest.param(sample.Query(object()), id="no wire type"),
     ],
 )
-def test_message_that_cannot_be_carried_is_a_codec_error(value):
-    # The caller must learn that nothing was sent.
+def test_message_that_cannot_be_encoded_raises_codec_error(value):
+    # The client reports this error as a message that was not sent.
     with pytest.raises(codec.CodecError):
         codec.encode(value)
 
 
-def test_tag_is_given_once():
-    # Two slices that chose the same tag would answer for each other.
-    with pytest.raises(ValueError, match="taken"):
+def test_duplicate_tag_is_rejected():
+    # With one tag for two message types, messages would be decoded as the
+    # wrong one.
+    with pytest.raises(ValueError, match="already taken"):
         codec.message("test-query")(sample.Unhandled)
 
 
-def only_codec_errors(payload):
+def decode_or_codec_error(payload):
     try:
         codec.decode(payload)
     except codec.CodecError:
@@ -92,10 +93,10 @@
 
 
 @hypothesis.given(strategies.binary(max_size=300))
-def test_random_bytes_raise_nothing_else(payload):
-    # A stray byte from a broken peer ends one connection, never a thread
-    # with an exception nobody expects.
-    only_codec_errors(payload)
+def test_random_bytes_raise_only_codec_errors(payload):
+    # Garbage from a faulty peer may close its connection, but must not raise
+    # an exception that the connection doesn't handle.
+    decode_or_codec_error(payload)
 
 
 any_value = strategies.recursive(
@@ -125,19 +126,19 @@
     body=any_value,
     stamp=any_value,
 )
-def test_any_msgpack_raises_nothing_else(tag, body, stamp):
-    # As above, for frames that are msgpack but not what we agreed on.
-    only_codec_errors(msgpack.packb([tag, body, stamp]))
+def test_arbitrary_msgpack_raises_only_codec_errors(tag, body, stamp):
+    # As above, for valid msgpack that isn't a valid message.
+    decode_or_codec_error(msgpack.packb([tag, body, stamp]))
 
 
 @hypothesis.given(
     strategies.integers(min_value=0), strategies.integers(0, 255)
 )
-def test_one_flipped_byte_raises_nothing_else(place, byte):
-    # As above, for a real message that was damaged on its way.
+def test_changed_byte_raises_only_codec_errors(place, byte):
+    # As above, for a valid message that was corrupted in transit.
     payload = bytearray(payload_of(sample.Query("hello", 7, b"blob")))
     payload[place % len(payload)] = byte
-    only_codec_errors(bytes(payload))
+    decode_or_codec_error(bytes(payload))
 
 
 @hypothesis.given(
@@ -146,8 +147,7 @@
     strategies.binary(),
     strategies.integers(0, codec.MAX_STAMP),
 )
-def test_every_message_comes_back_equal(text, count, blob, stamp):
-    # What one process says, the other must hear.
+def test_decoded_message_equals_the_encoded_one(text, count, blob, stamp):
     query = sample.Query(text, count, blob)
     payload = codec.encode(query, stamp)[codec.LENGTH.size :]
     assert codec.decode_frame(payload) == codec.Frame(query, stamp)
--- a/tests/wire/test_datagrams.py
+++ b/tests/wire/test_datagrams.py
@@ -8,7 +8,7 @@
 KEY = b"k" * 32
 
 
-def test_content_comes_back():
+def test_unseal_returns_the_sealed_content():
     datagram = datagrams.seal(KEY, b"content")
     assert datagrams.unseal(KEY, datagram) == b"content"
 
@@ -24,20 +24,22 @@
         ),
     ],
 )
-def test_what_was_not_made_with_the_key_is_refused(datagram):
-    """Somebody who can send to an instance's port but holds no key makes
-    engines look idle or full, and all prompts go to one of them.
+def test_datagram_with_invalid_mac_is_rejected(datagram):
+    """Guards against forged loads from a sender without the key.
+
+    It could make engines look idle or full, so that all prompts are routed to
+    one of them.
     """
     with pytest.raises(connections.WireError):
         datagrams.unseal(KEY, datagram)
 
 
-def test_more_than_a_datagram_holds_is_refused():
+def test_too_large_content_is_rejected():
     with pytest.raises(datagrams.TooLargeError):
         datagrams.seal(KEY, bytes(datagrams.MAX_DATAGRAM_BYTES))
 
 
-def test_sent_and_received_at_an_address():
+def test_socket_receives_datagrams_at_its_address():
     with datagrams.open_socket("127.0.0.1:0") as receiver:
         with datagrams.open_socket("127.0.0.1:0") as sender:
             sender.sendto(b"news", receiver.getsockname())
--- a/tests/wire/test_event_loop.py
+++ b/tests/wire/test_event_loop.py
@@ -18,19 +18,19 @@
     made.stop()
 
 
-def test_coroutines_run_beside_each_other(loop):
+def test_call_runs_while_a_coroutine_waits(loop):
     event = asyncio.Event()
 
     async def wait():
         await event.wait()
-        return "met"
+        return "done"
 
     waiting = loop.spawn(wait())
     loop.call(event.set)
-    assert waiting.result(TIMEOUT_S) == "met"
+    assert waiting.result(TIMEOUT_S) == "done"
 
 
-def test_stop_cancels_what_still_runs(loop):
+def test_stop_cancels_running_tasks(loop):
     ended = threading.Event()
     begun = threading.Event()
 
@@ -48,7 +48,7 @@
     assert not loop.thread.is_alive()
 
 
-def test_fault_in_a_call_does_not_end_the_loop(loop):
+def test_error_in_a_call_does_not_stop_the_loop(loop):
     loop.call(lambda: 1 / 0)
 
     async def answer():
@@ -57,13 +57,13 @@
     assert loop.spawn(answer()).result(TIMEOUT_S) == "alive"
 
 
-def test_call_after_the_end_is_of_no_effect(loop):
+def test_call_after_stop_is_ignored(loop):
     loop.stop()
     loop.call(lambda: pytest.fail("called"))
     loop.stop()
 
 
-def test_loop_that_was_never_started_can_be_stopped():
+def test_unstarted_loop_can_be_stopped():
     made = event_loop.EventLoop("never")
     made.stop()
     made.stop()
--- a/tests/wire/test_hello.py
+++ b/tests/wire/test_hello.py
@@ -20,7 +20,7 @@
 
 
 def server_handshake(connection, identity, key):
-    """Run the server's half of the hello on a socket."""
+    """Run the server's side of the handshake on a socket."""
 
     async def run():
         loop = asyncio.get_running_loop()
@@ -35,7 +35,7 @@
 
 
 def run_handshake(pair, client_key, server_key):
-    """Run both halves of the hello; return what each of them raised."""
+    """Run both sides of the handshake; return the error text of each."""
     dialled, accepted = pair
     with concurrent.futures.ThreadPoolExecutor(2) as pool:
         sides = [
@@ -62,36 +62,36 @@
     return ""
 
 
-def test_peers_learn_each_others_proven_names(pair, key):
-    # A handler may act on who asks, so the name must be the proven one.
+def test_handshake_sets_the_authenticated_peers(pair, key):
+    # Handlers may decide by the name of the peer, so it must be authenticated.
     assert run_handshake(pair, key, key) == ["", ""]
     dialled, accepted = pair
     assert dialled.peer == AGENT
     assert accepted.peer == ENTRY
 
 
-def test_server_refuses_a_client_with_another_key(pair, key):
-    # A stranger on the network dials an agent.  Nothing it sends may be
-    # handled, and it must not get a proof that it could use elsewhere.
+def test_server_rejects_a_client_with_another_key(pair, key):
+    # An unauthenticated process connects to an agent.  None of its messages
+    # may be handled, and it must not get a MAC that it could use elsewhere.
     client, server = run_handshake(pair, b"another key", key)
     assert "client does not hold" in server
     assert "closed" in client or "failed" in client
 
 
-def test_client_refuses_a_server_with_another_key(pair, key):
-    # An address was taken over by a stranger that accepts every hello.
-    # The client must not hand it requests.
+def test_client_rejects_a_server_with_another_key(pair, key):
+    # Another process took over an address and accepts every handshake.  The
+    # client must not send it requests.
     dialled, accepted = pair
 
-    def stranger():
+    def attacker():
         accepted.set_timeout(5)
         accepted.send(make_challenge())
         received = accepted.receive()
-        # The best it can do without the key: reflect the client's MAC.
+        # Without the key it can only reflect the MAC of the client.
         accepted.send(hello.Welcome("agent-1", received.mac))
 
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
-        pool.submit(stranger)
+        pool.submit(attacker)
         with pytest.raises(connections.WireError, match="server does not"):
             hello.client_handshake(dialled, ENTRY, key)
 
@@ -100,9 +100,9 @@
     return hello.Challenge(version, b"n" * hello.NONCE_BYTES)
 
 
-def test_hello_of_one_name_does_not_open_another(pair, key):
-    # An entry's hello, overheard and replayed with the agent's name in it,
-    # must not pass: the MAC covers role and name.
+def test_hello_with_a_changed_identity_is_rejected(pair, key):
+    # An attacker intercepts the hello of an entry and replaces its role and
+    # name.  The MAC covers both.
     dialled, accepted = pair
 
     def client():
@@ -130,26 +130,28 @@
         pytest.param(sample.Query("x" * 2000), id="large frame"),
     ],
 )
-def test_nothing_but_a_hello_of_our_version_opens(pair, key, first):
-    # Another release, a scanner or a confused client dials in.
+def test_only_a_hello_of_the_same_version_is_accepted(pair, key, first):
+    # Another release, a port scanner or a faulty client connects.
     dialled, accepted = pair
     dialled.send(first)
     with pytest.raises(connections.WireError):
         server_handshake(accepted, AGENT, key)
 
 
-def test_stranger_cannot_make_us_buffer(pair, key):
-    # Before the hello a frame may announce as much as one after it; its
-    # length alone must end the connection.
+def test_unauthenticated_peer_cannot_announce_large_frames(pair, key):
+    # A length that is allowed after the handshake must close the connection
+    # before it, without any of the payload being buffered.
     dialled, accepted = pair
     dialled.sock.sendall(struct.pack("!I", codec.MAX_FRAME_BYTES))
     with pytest.raises(connections.WireError, match="too large"):
         server_handshake(accepted, AGENT, key)
 
 
-def test_stranger_cannot_move_the_clock(start_server, make_client, key):
-    # The stamp in a hello is read before the key is checked.  Were it
-    # taken over, anybody could push the order of all events.
+def test_unauthenticated_peer_cannot_advance_the_clock(
+    start_server, make_client, key
+):
+    # The stamp of a hello is decoded before the key is checked.  If the clock
+    # observed it, any process could change the order of all events.
     clock = clocks.HybridClock()
     address = start_server(clock=clock).address
     before = clock.last
