--- a/src/briarseam/wire/frames.py
+++ b/src/briarseam/wire/frames.py
@@ -10,8 +10,8 @@
 from briarseam.wire import connection as connections
 from briarseam.wire import hello
 
-# Limit of received frames that wait for the coroutine.  A client sends its
-# next message only after the reply, so more of them are unusual.
+# Reading pauses while this many received frames are queued.  A client sends
+# its next message only after the reply, so the queue is normally shorter.
 MAX_QUEUED_FRAMES = 4
 
 
