--- a/src/briarseam/forwarding/crash_guard.py
+++ b/src/briarseam/forwarding/crash_guard.py
@@ -22,8 +22,8 @@
 # A request that was lost at this many endpoints is refused.  One or two
 # losses also occur when endpoints crash or reset for other reasons.
 LOST_ENDPOINTS_LIMIT = 3
-# A crashed endpoint is back within seconds, and callers repeat a request
-# only within its deadline.
+# How long a loss counts.  A crashed endpoint is back within seconds, and
+# callers repeat a request only within its deadline.
 LOSS_TTL_S = 60.0
 # Only the newest losses are published to peers.
 MAX_PUBLISHED_LOSSES = 100
--- a/src/briarseam/membership/directory.py
+++ b/src/briarseam/membership/directory.py
@@ -245,7 +245,7 @@
 
 
 def is_newer(one: messages.CellStamp, other: messages.CellStamp) -> bool:
-    """Tell whether a stamp is newer than another."""
+    """Return whether a stamp is newer than another."""
     return (one.version, one.beat) > (other.version, other.beat)
 
 
--- a/src/briarseam/membership/entries.py
+++ b/src/briarseam/membership/entries.py
@@ -130,7 +130,7 @@
             self.membership.set_entries(serving)
 
     def is_ready(self) -> bool:
-        """Tell whether the agent has been ready, or waited long enough."""
+        """Return whether the agent has been ready, or waited long enough."""
         if not self.was_ready:
             waited_s = self.membership.clock() - self.started_at
             self.was_ready = waited_s > MAX_READY_WAIT_S or self.ready()
--- a/src/briarseam/membership/freshness.py
+++ b/src/briarseam/membership/freshness.py
@@ -40,7 +40,7 @@
         self.superseded = True
 
     def is_fresh(self, has_peers: bool) -> bool:
-        """Tell whether the view is recent.
+        """Return whether the view is recent.
 
         A process that resumes after a suspension still has its former view,
         in which dead members are alive.  The view is fresh only if a
@@ -57,5 +57,5 @@
         return not has_peers or self.is_recent(self.replied_at)
 
     def is_recent(self, at: float | None) -> bool:
-        """Tell whether a time is within the limit."""
+        """Return whether a time is within the limit."""
         return at is not None and self.clock() - at <= self.limit_s
--- a/src/briarseam/membership/gossip.py
+++ b/src/briarseam/membership/gossip.py
@@ -198,7 +198,7 @@
         partner: messages.About,
         updates: tuple[messages.CellSummary, ...] = (),
     ) -> bool:
-        """Exchange with one agent; tell whether it replied."""
+        """Exchange with one agent; return whether it replied."""
         client_factory = self.parts.client_factory
         client = client_factory.client(partner.address, max_idle=0)
         query = messages.CellsAsked(self.directory.stamps(), updates)
--- a/src/briarseam/membership/heartbeat_sender.py
+++ b/src/briarseam/membership/heartbeat_sender.py
@@ -158,7 +158,7 @@
             return
 
     def is_introducing(self) -> bool:
-        """Tell whether the peer may have read the last introduction."""
+        """Return whether the peer may have read the last introduction."""
         return self.introducing and not self.failures
 
     def pause_s(self) -> float:
--- a/src/briarseam/membership/presence.py
+++ b/src/briarseam/membership/presence.py
@@ -82,7 +82,7 @@
         self.report()
 
     def leaving_published(self) -> bool:
-        """Tell whether all agents know that the entry is leaving.
+        """Return whether all agents know that the entry is leaving.
 
         Reports again until they do.
         """
--- a/src/briarseam/membership/service.py
+++ b/src/briarseam/membership/service.py
@@ -234,7 +234,7 @@
         )
 
     def is_fresh(self) -> bool:
-        """Tell whether the local agent's view is recent."""
+        """Return whether the local agent's view is recent."""
         return self.freshness.is_fresh(bool(self.heartbeat_senders))
 
     def announce_leaving(self) -> None:
@@ -246,7 +246,7 @@
         self.publish_now()
 
     def is_published(self) -> bool:
-        """Tell whether all live peers have the local agent's description.
+        """Return whether all live peers have the local agent's description.
 
         Peers return a stopping instance in lookups until they know that it
         is leaving, so the time to live of these lookups starts then.  This
--- a/src/briarseam/membership/state.py
+++ b/src/briarseam/membership/state.py
@@ -122,7 +122,7 @@
         )
 
     def is_leaving(self) -> bool:
-        """Tell whether the peer or the instance list reports it as leaving."""
+        """Return whether the peer or the instance list says it is leaving."""
         return self.announced_leaving or self.listed_leaving
 
     def to_member(self, now: float) -> Member:
--- a/src/briarseam/membership/suspicion.py
+++ b/src/briarseam/membership/suspicion.py
@@ -83,7 +83,7 @@
 def may_forget(
     record: state.PeerRecord, now: float, table: tables.Table
 ) -> bool:
-    """Tell whether a record may be dropped.
+    """Return whether a record may be dropped.
 
     A peer that is on the instance list is kept, and heartbeats to it are
     retried.
@@ -161,7 +161,7 @@
 def shows_alive(
     answer: messages.Heard, record: state.PeerRecord, table: tables.Table
 ) -> bool:
-    """Tell whether a reply shows that the suspect is alive."""
+    """Return whether a reply shows that the suspect is alive."""
     if answer.silent_s is None or answer.incarnation < record.incarnation:
         return False
     return answer.silent_s <= table.suspect_after_s
--- a/src/briarseam/membership/table.py
+++ b/src/briarseam/membership/table.py
@@ -55,7 +55,7 @@
         return self.cell_of(self.local_agent.name, self.local_agent.zone)
 
     def in_cell(self, name: str, zone: str) -> bool:
-        """Tell whether an agent is a peer in the local cell."""
+        """Return whether an agent is a peer in the local cell."""
         if name == self.local_agent.name or zone != self.local_agent.zone:
             return False
         return self.cell_of(name, zone) == self.own_cell()
@@ -143,7 +143,7 @@
             return True
 
     def supersedes(self, record: state.PeerRecord, incarnation: int) -> bool:
-        """Tell whether a record is of a later incarnation and still live.
+        """Return whether a record is of a later incarnation and still live.
 
         A restarted instance gets a lower number if its clock was set back,
         so the number decides only while the higher incarnation is live.
--- a/src/briarseam/placement/cost.py
+++ b/src/briarseam/placement/cost.py
@@ -23,8 +23,8 @@
 # Cost of weights that are older than those of other engines.  An answer on
 # them is worth less, but engines with newer weights must not be swamped.
 OLD_WEIGHTS_COST_TOKENS = 4000
-# Cost of memory use above the threshold; it would be FILL_COST_TOKENS for the
-# whole memory.
+# An engine whose memory is filled beyond this share costs FILL_COST_TOKENS
+# times the excess, so that emptier engines are preferred.
 FILL_THRESHOLD = 0.6
 FILL_COST_TOKENS = 40_000
 # Cost of a request beyond the engine's slots, which waits for another one to
--- a/src/briarseam/placement/store_watches.py
+++ b/src/briarseam/placement/store_watches.py
@@ -25,8 +25,8 @@
 # queries this many peers.
 READERS_PER_CELL = 3
 READERS_KEY = "store-readers"
-# Up to this number of instances, each reads all stores directly.  Otherwise
-# prompts are prefilled again while a reader is lost or suspended.
+# Up to this number of instances, each reads all stores directly and depends on
+# no reader: prompts are prefilled again while a reader is lost or suspended.
 MAX_DIRECT_INSTANCES = 10
 
 
--- a/src/briarseam/routing/active_runs.py
+++ b/src/briarseam/routing/active_runs.py
@@ -83,7 +83,8 @@
             # A run that started before the report and ended after it has
             # freed a slot that the report shows as taken.  A run that
             # started and ended after the report is counted as an end only,
-            # since it is no longer in ``active``.
+            # since it is no longer in ``active``, which makes the result too
+            # low by one.
             return started - count_since(runs.ended_at, since)
 
     def keep_only(self, endpoints: typing.Container[str]) -> None:
